--- a/packages/coordination/src/claimLedger.ts
+++ b/packages/coordination/src/claimStore.ts
@@ -37,7 +37,7 @@
 }
 
 /** Options of the ledger. */
-export interface LedgerOptions {
+export interface ClaimStoreOptions {
   readonly service: KeyValueService;
   readonly clock: Clock;
   /** Prefix of the ledger's keys. */
@@ -50,7 +50,7 @@
   /** Milliseconds for which a key is remembered, at least. */
   readonly retention: number;
   /** Bytes of a head above which it is put away. */
-  readonly headBytes: number;
+  readonly maxActiveBytes: number;
 }
 
 /** Claims as stored: the key's digest to the rest, in an array to be small. */
@@ -95,13 +95,13 @@
 const archivesCached = 256;
 
 /** The ledger as one process sees it. */
-export class ClaimLedger {
+export class ClaimStore {
   private readonly shards: readonly Shard[];
   private readonly archives = new Map<string, StoredClaims>();
   /** Swaps sent, for metrics. */
-  swaps = 0;
+  swapCount = 0;
 
-  private constructor(private readonly options: LedgerOptions) {
+  private constructor(private readonly options: ClaimStoreOptions) {
     this.shards = Array.from({ length: options.shards }, (_, index) => ({
       key: `${options.prefix}${index}`,
       pending: [],
@@ -113,12 +113,12 @@
     }));
   }
 
-  static create(options: LedgerOptions): ClaimLedger {
-    return new ClaimLedger(options);
+  static create(options: ClaimStoreOptions): ClaimStore {
+    return new ClaimStore(options);
   }
 
   /** Returns the shard of a key, for choosing its usual writer. */
-  getShard(key: string): number {
+  getShardIndex(key: string): number {
     return hashText(key) % this.options.shards;
   }
 
@@ -127,7 +127,7 @@
    * time. After a failure the claim may still stand, so its request must not be sent, then or later.
    */
   claim(claim: Claim): Promise<Result<ClaimOutcome, Failure>> {
-    const shard = this.shards[this.getShard(claim.key)];
+    const shard = this.shards[this.getShardIndex(claim.key)];
     if (!shard) return Promise.resolve(Err(Failure.create(FailureCode.ClaimUnavailable)));
     const deadline = this.options.clock.getTime() + this.options.patience;
     return new Promise((settle) => {
@@ -141,7 +141,7 @@
    * where that could not be recorded; the key then stays used.
    */
   async release(claim: Claim): Promise<Result<void, Failure>> {
-    const shard = this.shards[this.getShard(claim.key)];
+    const shard = this.shards[this.getShardIndex(claim.key)];
     const end = this.options.clock.getTime() + this.options.patience;
     while (shard && this.options.clock.getTime() < end) {
       // Waits for its turn: a shard has one swap in flight.
@@ -170,7 +170,7 @@
 
   /** Reads whose claim stands on a key, undefined where none does. */
   async find(key: string): Promise<Result<Claim | undefined, Failure>> {
-    const shard = this.shards[this.getShard(key)];
+    const shard = this.shards[this.getShardIndex(key)];
     if (!shard) return Ok(undefined);
     const read = await this.readHead(shard);
     if (read.isErr()) return read;
@@ -245,7 +245,7 @@
   /** Swaps the head; on any doubt the head is read again, where a claim that took effect is found. */
   private async writeHead(shard: Shard, next: Head): Promise<boolean> {
     const bytes = encoder.encode(next);
-    this.swaps += 1;
+    this.swapCount += 1;
     shard.lastSwapAt = this.options.clock.getTime();
     const swapped = await this.options.service.compareAndSwap(shard.key, bytes, shard.revision ?? 0);
     if (swapped.isErr()) {
@@ -271,7 +271,7 @@
 
   /** Puts the head's claims into an archive and starts a new head. */
   private async putAwayIfDue(shard: Shard): Promise<Result<void, Failure>> {
-    const { clock, retention, headBytes, service } = this.options;
+    const { clock, retention, maxActiveBytes: headBytes, service } = this.options;
     const now = clock.getWallTime();
     const isOld = shard.head.startedAt !== 0 && now - shard.head.startedAt > retention / archivesPerRetention;
     if (!isOld && shard.encodedBytes < headBytes) return Ok.EMPTY;
--- a/packages/coordination/src/frames.ts
+++ b/packages/coordination/src/frames.ts
@@ -9,7 +9,7 @@
 const headBytes = 4;
 
 /** Largest frame that is sent or taken, in bytes. */
-export const frameLimit = 17_825_792;
+export const maxFrameBytes = 17_825_792;
 
 // Plain maps, not cbor-x's records: a frame must be readable without what other frames said.
 const encoder = new Encoder({ useRecords: false, tagUint8Array: false });
@@ -18,8 +18,8 @@
 /** Returns a message as the bytes of one frame; fails with `FrameTooLarge`. */
 export function encodeFrame(message: unknown): Result<Buffer, Failure> {
   const body = encoder.encode(message);
-  if (body.length > frameLimit) {
-    return Err(Failure.create(FailureCode.FrameTooLarge, { size: body.length, limit: frameLimit }));
+  if (body.length > maxFrameBytes) {
+    return Err(Failure.create(FailureCode.FrameTooLarge, { size: body.length, limit: maxFrameBytes }));
   }
   const frame = Buffer.allocUnsafe(headBytes + body.length);
   frame.writeUInt32BE(body.length, 0);
@@ -35,7 +35,7 @@
   private constructor(private limit: number) {}
 
   /** `limit`: largest frame taken, in bytes. */
-  static create(limit = frameLimit): FrameDecoder {
+  static create(limit = maxFrameBytes): FrameDecoder {
     return new FrameDecoder(limit);
   }
 
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -3,13 +3,13 @@
  * @module
  */
 export * from "./types.js";
-export * from "./liveView.js";
+export * from "./membershipView.js";
 export * from "./versionedDocument.js";
 export * from "./frames.js";
 export * from "./peerMessages.js";
-export { type ConnectionTraffic, getLife, type PeerIdentity } from "./peerConnection.js";
+export { type ConnectionTraffic, getIncarnationKey, type PeerIdentity } from "./peerConnection.js";
 export * from "./peerLinks.js";
 export * from "./serviceBudget.js";
 export * from "./leaseHolder.js";
-export * from "./claimLedger.js";
+export * from "./claimStore.js";
 export * from "./sharedLimits.js";
--- a/packages/coordination/src/leaseHolder.ts
+++ b/packages/coordination/src/leaseHolder.ts
@@ -18,9 +18,9 @@
   readonly name: string;
   readonly holder: string;
   /** Milliseconds that a lease lasts without renewal. */
-  readonly ttl: number;
+  readonly ttlMs: number;
   /** Milliseconds before the end of the lease at which this side stops acting: covers clocks and the order's way. */
-  readonly margin: number;
+  readonly safetyMarginMs: number;
   /** Returns a number from 0 to 1, for jitter. */
   readonly getRandom: () => number;
   /** Tells whether asking for the lease makes sense now; where it is left out, it always does. */
@@ -60,7 +60,7 @@
    * Returns the fence if acting is safe now. Call it right before each order, not once before many: between two
    * calls the process may have been paused.
    */
-  getFence(): Result<number, Failure> {
+  getFencingToken(): Result<number, Failure> {
     const { clock, name } = this.options;
     if (!this.held || clock.getBootTime() >= this.held.validUntil) {
       return Err(Failure.create(FailureCode.LeaseLost, { lease: name }));
@@ -69,12 +69,12 @@
   }
 
   /** Milliseconds that the lease has been held for; 0 where it is not. */
-  getTenure(): number {
+  getHeldMs(): number {
     return this.held ? this.options.clock.getTime() - this.held.since : 0;
   }
 
   /** Stops without giving the lease back: it runs out by itself. */
-  abandon(): void {
+  stopWithoutRelease(): void {
     this.stop.abort();
     this.held = undefined;
   }
@@ -89,7 +89,7 @@
   }
 
   private async hold(): Promise<void> {
-    const { clock, ttl, getRandom } = this.options;
+    const { clock, ttlMs: ttl, getRandom } = this.options;
     const { signal } = this.stop;
     while (!signal.aborted) {
       if (this.held) await this.renew(this.held.granted);
@@ -100,7 +100,7 @@
   }
 
   private async acquire(): Promise<void> {
-    const { service, clock, name, holder, ttl, logger, shouldAcquire } = this.options;
+    const { service, clock, name, holder, ttlMs: ttl, logger, shouldAcquire } = this.options;
     if (shouldAcquire && !shouldAcquire()) return;
     const sentAt = clock.getBootTime();
     const granted = await service.acquireLease(name, holder, ttl);
@@ -128,7 +128,7 @@
   }
 
   private setHeld(granted: GrantedLease, sentAt: number): void {
-    const { clock, ttl, margin } = this.options;
+    const { clock, ttlMs: ttl, safetyMarginMs: margin } = this.options;
     const since = this.held?.granted.fence === granted.fence ? this.held.since : clock.getTime();
     this.held = { granted, validUntil: sentAt + ttl - margin, since };
   }
--- a/packages/coordination/src/liveView.ts
+++ b/packages/coordination/src/membershipView.ts
@@ -10,7 +10,7 @@
 import { type InstanceRecord, InstanceRole, InstanceState } from "./types.js";
 
 /** Who said something about an instance. */
-export enum WordSource {
+export enum UpdateSource {
   List = 1,
   Notice = 2,
   Own = 3,
@@ -18,11 +18,11 @@
 }
 
 /** One word about an instance. */
-export interface InstanceWord {
+export interface InstanceUpdate {
   readonly id: string;
   readonly incarnation: number;
   readonly state: InstanceState;
-  readonly source: WordSource;
+  readonly source: UpdateSource;
   /** Milliseconds until the instance is taken, where known. */
   readonly remaining?: number | undefined;
   /** Full record, where the source has one. */
@@ -30,22 +30,22 @@
 }
 
 /** What the view holds of an instance. */
-export interface InstanceView {
+export interface InstanceStatus {
   readonly record: InstanceRecord;
   readonly state: InstanceState;
   /** Who said so first. */
-  readonly source: WordSource;
+  readonly source: UpdateSource;
   /** Monotonic time at which it will be taken, where known. */
-  readonly takenAt: number | undefined;
+  readonly reclaimAt: number | undefined;
   /** Lists in a row that did not name it. */
-  readonly absences: number;
+  readonly missedLists: number;
 }
 
 /** Called when an instance is new or its state changed. */
-export type ViewListener = (instance: InstanceView) => void;
+export type MembershipListener = (instance: InstanceStatus) => void;
 
 interface PendingWord {
-  readonly word: InstanceWord;
+  readonly word: InstanceUpdate;
   readonly heardAt: number;
 }
 
@@ -53,32 +53,32 @@
 const goneKept = 600_000;
 
 /** The merged view. */
-export class LiveView {
-  private readonly instances = new Map<string, InstanceView>();
+export class MembershipView {
+  private readonly instances = new Map<string, InstanceStatus>();
   /** Words about instances whose record is not known yet. */
   private readonly pending = new Map<string, PendingWord>();
   private readonly goneAt = new Map<string, number>();
-  private readonly listeners = new Set<ViewListener>();
+  private readonly listeners = new Set<MembershipListener>();
 
   private constructor(private readonly clock: Clock) {}
 
-  static create(clock: Clock): LiveView {
-    return new LiveView(clock);
+  static create(clock: Clock): MembershipView {
+    return new MembershipView(clock);
   }
 
   /** Calls back on each change until the returned function is called. */
-  onChange(listener: ViewListener): () => void {
+  onChange(listener: MembershipListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
   /** Returns what is known of an instance. */
-  get(id: string): InstanceView | undefined {
+  get(id: string): InstanceStatus | undefined {
     return this.instances.get(id);
   }
 
   /** Returns all instances, those that left too while they are remembered. */
-  getAll(): readonly InstanceView[] {
+  getAll(): readonly InstanceStatus[] {
     return [...this.instances.values()];
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Merges one word; true where it changed the view. */
-  add(word: InstanceWord): boolean {
+  merge(word: InstanceUpdate): boolean {
     const present = this.instances.get(word.id);
     if (!present || word.incarnation > present.record.incarnation) return this.addFirst(word);
     if (word.incarnation < present.record.incarnation) return false;
@@ -101,21 +101,21 @@
       ...present,
       state: word.state,
       source: word.source,
-      takenAt: this.getTakenAt(word) ?? present.takenAt,
+      reclaimAt: this.getTakenAt(word) ?? present.reclaimAt,
     });
     return true;
   }
 
   /** Merges a whole list: a word about each instance it names, an absence of each that it does not. */
-  addList(records: readonly InstanceRecord[]): void {
+  mergeList(records: readonly InstanceRecord[]): void {
     // An empty list while instances are known is a fault of the list, not the loss of the fleet.
     if (records.length === 0) return;
     const named = new Set<string>();
     for (const record of records) {
       named.add(record.id);
-      this.add({ ...record, source: WordSource.List, record });
+      this.merge({ ...record, source: UpdateSource.List, record });
       const view = this.instances.get(record.id);
-      if (view && view.absences > 0) this.put({ ...view, absences: 0 });
+      if (view && view.missedLists > 0) this.put({ ...view, missedLists: 0 });
     }
     for (const view of this.instances.values()) {
       if (!named.has(view.record.id)) this.addAbsence(view);
@@ -123,7 +123,7 @@
     this.forgetGone();
   }
 
-  private addFirst(word: InstanceWord): boolean {
+  private addFirst(word: InstanceUpdate): boolean {
     if (!word.record) {
       const known = this.pending.get(word.id)?.word;
       const isNewer = !known || word.incarnation > known.incarnation || word.state > known.state;
@@ -134,36 +134,36 @@
       record: word.record,
       state: word.state,
       source: word.source,
-      takenAt: this.getTakenAt(word),
-      absences: 0,
+      reclaimAt: this.getTakenAt(word),
+      missedLists: 0,
     });
     const waiting = this.pending.get(word.id);
     this.pending.delete(word.id);
-    if (waiting) this.add(waiting.word);
+    if (waiting) this.merge(waiting.word);
     return true;
   }
 
-  private refresh(present: InstanceView, word: InstanceWord): boolean {
-    const isSooner = word.remaining !== undefined && present.takenAt === undefined;
-    if (isSooner) this.instances.set(word.id, { ...present, takenAt: this.getTakenAt(word) });
+  private refresh(present: InstanceStatus, word: InstanceUpdate): boolean {
+    const isSooner = word.remaining !== undefined && present.reclaimAt === undefined;
+    if (isSooner) this.instances.set(word.id, { ...present, reclaimAt: this.getTakenAt(word) });
     return false;
   }
 
-  private addAbsence(view: InstanceView): void {
-    const absences = view.absences + 1;
-    const next = { ...view, absences };
+  private addAbsence(view: InstanceStatus): void {
+    const absences = view.missedLists + 1;
+    const next = { ...view, missedLists: absences };
     if (absences === absencesUntilIgnored) this.put(next);
     else this.instances.set(view.record.id, next);
   }
 
-  private put(view: InstanceView): void {
+  private put(view: InstanceStatus): void {
     this.instances.set(view.record.id, view);
     if (view.state === InstanceState.Gone) this.goneAt.set(view.record.id, this.clock.getTime());
     else this.goneAt.delete(view.record.id);
     for (const listener of this.listeners) listener(view);
   }
 
-  private getTakenAt(word: InstanceWord): number | undefined {
+  private getTakenAt(word: InstanceUpdate): number | undefined {
     return word.remaining === undefined ? undefined : this.clock.getTime() + word.remaining;
   }
 
@@ -171,7 +171,7 @@
     const limit = this.clock.getTime() - goneKept;
     for (const [id, time] of this.goneAt) {
       // A list that still names it would bring it back as live.
-      if (time > limit || this.instances.get(id)?.absences === 0) continue;
+      if (time > limit || this.instances.get(id)?.missedLists === 0) continue;
       this.goneAt.delete(id);
       this.instances.delete(id);
     }
@@ -182,6 +182,6 @@
 }
 
 /** Tells whether an instance takes new work. */
-export function isUsable(view: InstanceView): boolean {
-  return view.state === InstanceState.Live && view.absences < absencesUntilIgnored;
+export function isUsable(view: InstanceStatus): boolean {
+  return view.state === InstanceState.Live && view.missedLists < absencesUntilIgnored;
 }
--- a/packages/coordination/src/peerConnection.ts
+++ b/packages/coordination/src/peerConnection.ts
@@ -7,7 +7,7 @@
 import type { Socket } from "node:net";
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
-import { encodeFrame, FrameDecoder, frameLimit } from "./frames.js";
+import { encodeFrame, FrameDecoder, maxFrameBytes } from "./frames.js";
 import {
   type HelloMessage,
   LinkMessageKind,
@@ -24,7 +24,7 @@
 }
 
 /** Names one life of a peer. */
-export function getLife({ name, incarnation }: PeerIdentity): string {
+export function getIncarnationKey({ name, incarnation }: PeerIdentity): string {
   return `${name}/${incarnation}`;
 }
 
@@ -34,9 +34,9 @@
   readonly secret: string;
   readonly clock: Clock;
   /** Milliseconds for the handshake. */
-  readonly handshakeTimeout: number;
+  readonly handshakeTimeoutMs: number;
   /** Bytes that may wait to be sent; a slower peer loses messages, never memory. */
-  readonly outboxBytes: number;
+  readonly maxOutboxBytes: number;
 }
 
 /** Bytes and frames that went over a connection. */
@@ -57,7 +57,7 @@
 /** One connection, after its handshake. */
 export class PeerConnection {
   /** Monotonic time of the last frame from the peer. */
-  heardAt: number;
+  lastReceivedAt: number;
   private readonly calls = new Map<number, PendingCall>();
   private nextCall = 1;
   private isOpen = true;
@@ -71,7 +71,7 @@
     private readonly messages: AsyncGenerator<PeerMessage>,
     private readonly traffic: ConnectionTraffic,
   ) {
-    this.heardAt = options.clock.getTime();
+    this.lastReceivedAt = options.clock.getTime();
   }
 
   /** Greets the other side and checks its proof; the socket is destroyed where that fails. */
@@ -82,7 +82,7 @@
     traffic: ConnectionTraffic,
   ): Promise<Result<PeerConnection, Failure>> {
     socket.setNoDelay(true);
-    const timer = options.clock.startTimer(options.handshakeTimeout, () => socket.destroy());
+    const timer = options.clock.startTimer(options.handshakeTimeoutMs, () => socket.destroy());
     const messages = readMessages(socket, traffic);
     const peer = await greet(socket, isDialed, options, messages);
     timer.cancel();
@@ -92,7 +92,7 @@
 
   /** Sends a message; false where the connection is closed or its outbox is full. */
   send(message: PeerMessage): boolean {
-    if (!this.isOpen || this.socket.writableLength > this.options.outboxBytes) return false;
+    if (!this.isOpen || this.socket.writableLength > this.options.maxOutboxBytes) return false;
     return sendMessage(this.socket, message, this.traffic);
   }
 
@@ -123,7 +123,7 @@
   /** Hands each message to `handle` until the connection ends. */
   async serve(handle: (message: PeerMessage) => void): Promise<void> {
     for await (const message of this.messages) {
-      this.heardAt = this.options.clock.getTime();
+      this.lastReceivedAt = this.options.clock.getTime();
       if (message.kind === Number(LinkMessageKind.Reply)) this.settleCall(message as ReplyMessage);
       else handle(message);
     }
@@ -165,7 +165,7 @@
         if (!isMessage(message)) return;
         yield message;
         // Asked for more than the greeting: the peer has proved itself, and may make this side hold large frames.
-        if (message.kind === Number(LinkMessageKind.Proof)) decoder.setLimit(frameLimit);
+        if (message.kind === Number(LinkMessageKind.Proof)) decoder.setLimit(maxFrameBytes);
       }
     }
   } catch {
--- a/packages/coordination/src/peerLinks.ts
+++ b/packages/coordination/src/peerLinks.ts
@@ -36,16 +36,16 @@
 /** Options of the links. */
 export interface LinkOptions extends ConnectionOptions {
   readonly listen: string;
-  readonly pingInterval: number;
+  readonly pingIntervalMs: number;
   /** Silence after which a peer counts as lost, milliseconds. */
-  readonly lostAfter: number;
+  readonly lossTimeoutMs: number;
   /** Links kept open without a cause. */
-  readonly standingLinks: number;
+  readonly maxPersistentLinks: number;
   readonly logger: Logger;
   /** Returns a number from 0 to 1, for jitter. */
   readonly getRandom: () => number;
   /** Fields that each ping carries. */
-  readonly getPing: () => Readonly<Record<string, unknown>>;
+  readonly getPingFields: () => Readonly<Record<string, unknown>>;
 }
 
 /** Handles a message of one kind; what it returns is the answer, where one is awaited. */
@@ -100,12 +100,12 @@
   }
 
   /** Calls back when a link comes up. */
-  onUp(listener: LinkListener): void {
+  onLinkUp(listener: LinkListener): void {
     this.upListeners.add(listener);
   }
 
   /** Calls back when a link goes down. */
-  onDown(listener: LinkListener): void {
+  onLinkDown(listener: LinkListener): void {
     this.downListeners.add(listener);
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** Peers that should be linked. */
-  getWantedCount(): number {
+  getExpectedCount(): number {
     return this.peers.size;
   }
 
@@ -190,11 +190,11 @@
   /** Chooses the standing links: all peers while they are few, else those nearest by a hash of the pair. */
   private selectStanding(): readonly string[] {
     const names = [...this.known.keys()];
-    if (names.length <= this.options.standingLinks) return names;
+    if (names.length <= this.options.maxPersistentLinks) return names;
     const own = hashText(this.options.own.name);
     const scored = names.map((name) => ({ name, score: mixHashes(own ^ hashText(name), 0) }));
     scored.sort((left, right) => right.score - left.score);
-    return scored.slice(0, this.options.standingLinks).map(({ name }) => name);
+    return scored.slice(0, this.options.maxPersistentLinks).map(({ name }) => name);
   }
 
   private wantPeer(name: string): void {
@@ -235,7 +235,7 @@
     const isConnected = await new Promise<boolean>((resolve) => {
       socket.once("connect", () => resolve(true));
       socket.once("close", () => resolve(false));
-      socket.setTimeout(this.options.handshakeTimeout, () => socket.destroy());
+      socket.setTimeout(this.options.handshakeTimeoutMs, () => socket.destroy());
     });
     if (!isConnected) return false;
     socket.setTimeout(0);
@@ -287,8 +287,8 @@
     this.connections.set(peer.name, connection);
     if (present) this.retire(present);
     // A new life knows nothing, also where its former life's connection is not known to be lost yet.
-    const isNewcomer = !present || present.peer.incarnation < peer.incarnation;
-    if (isNewcomer) this.announce(this.upListeners, peer);
+    const isNewPeer = !present || present.peer.incarnation < peer.incarnation;
+    if (isNewPeer) this.announce(this.upListeners, peer);
     connection.send(this.createPing());
     await connection.serve((message) => this.handle(message, connection));
     if (this.connections.get(peer.name) === connection) {
@@ -300,7 +300,7 @@
 
   /** Uses a connection no more, but lets what is under way on it be answered: the peer may not know yet. */
   private retire(connection: PeerConnection): void {
-    const timer = this.options.clock.startTimer(this.options.lostAfter, () => {
+    const timer = this.options.clock.startTimer(this.options.lossTimeoutMs, () => {
       this.retiring.delete(timer);
       connection.close();
     });
@@ -332,17 +332,17 @@
   }
 
   private createPing(): PeerMessage {
-    return { kind: LinkMessageKind.Ping, ...this.options.getPing() };
+    return { kind: LinkMessageKind.Ping, ...this.options.getPingFields() };
   }
 
   private async ping(): Promise<void> {
-    const { clock, pingInterval, lostAfter } = this.options;
+    const { clock, pingIntervalMs: pingInterval, lossTimeoutMs: lostAfter } = this.options;
     const { signal } = this.stop;
     while (!signal.aborted) {
       await waitFor(clock, pingInterval, signal);
       const limit = clock.getTime() - lostAfter;
       for (const connection of this.connections.values()) {
-        if (connection.heardAt < limit) connection.close();
+        if (connection.lastReceivedAt < limit) connection.close();
         else connection.send(this.createPing());
       }
     }
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -15,7 +15,7 @@
 }
 
 /** First kind number free for the users of links. */
-export const firstFreeKind = 16;
+export const firstApplicationKind = 16;
 
 /** Any message. `call` is set where an answer is awaited. */
 export interface PeerMessage {
--- a/packages/coordination/src/serviceBudget.ts
+++ b/packages/coordination/src/serviceBudget.ts
@@ -56,7 +56,7 @@
   }
 
   /** Waits for a call's turn; false where it would take too long. */
-  take(kind: CallKind): Promise<boolean> {
+  acquire(kind: CallKind): Promise<boolean> {
     if (this.waiting.length === 0 && this.bucket.tryTake(1)) {
       this.count(kind);
       return Promise.resolve(true);
@@ -85,7 +85,7 @@
   private pump(): void {
     if (this.isPumping) return;
     this.isPumping = true;
-    this.clock.startTimer(Math.max(leastPause, this.bucket.getWait(1) ?? leastPause), () => {
+    this.clock.startTimer(Math.max(leastPause, this.bucket.getWaitMs(1) ?? leastPause), () => {
       this.isPumping = false;
       this.serveWaiting();
     });
@@ -153,7 +153,7 @@
   }
 
   private async spend<T>(call: () => Promise<Result<T, Failure>>): Promise<Result<T, Failure>> {
-    const isGranted = await this.budget.take(this.kind);
+    const isGranted = await this.budget.acquire(this.kind);
     return isGranted ? call() : Err(Failure.create(FailureCode.ServiceBudgetSpent));
   }
 }
--- a/packages/coordination/src/sharedLimits.ts
+++ b/packages/coordination/src/sharedLimits.ts
@@ -53,7 +53,7 @@
 }
 
 /** Returns the entry that lends a name's limit. */
-export function getLender(name: string, live: readonly string[]): string | undefined {
+export function getAllocator(name: string, live: readonly string[]): string | undefined {
   return sortByRendezvous(`lender/${name}`, live, (entry) => entry)[0];
 }
 
@@ -76,7 +76,7 @@
 }
 
 /** Lends limits to entries. One object serves all names whose lender this entry is. */
-export class ShareLender {
+export class ShareAllocator {
   private readonly ledgers = new Map<string, Ledger>();
 
   private constructor(
@@ -94,8 +94,8 @@
     members: LimitMembers,
     kinds: readonly AmountKind[],
     duration: number,
-  ): ShareLender {
-    return new ShareLender(clock, own, members, kinds, duration);
+  ): ShareAllocator {
+    return new ShareAllocator(clock, own, members, kinds, duration);
   }
 
   /** Names that something is lent of. */
@@ -104,9 +104,9 @@
   }
 
   /** Lends an entry a share of a limit; undefined where another entry is the lender, or this one is it too newly. */
-  lend(name: string, limit: Amounts, borrower: string, demand: ShareDemand): Amounts | undefined {
+  allocate(name: string, limit: Amounts, borrower: string, demand: ShareDemand): Amounts | undefined {
     const live = this.members.getLive();
-    if (getLender(name, live) !== this.own) {
+    if (getAllocator(name, live) !== this.own) {
       this.ledgers.delete(name);
       return undefined;
     }
--- a/packages/coordination/src/versionedDocument.ts
+++ b/packages/coordination/src/versionedDocument.ts
@@ -19,22 +19,22 @@
 }
 
 /** Where a document stands and how it is followed. */
-export interface FollowerOptions<Document> {
+export interface DocumentFollowerOptions<Document> {
   readonly service: KeyValueService;
   readonly key: string;
   readonly codec: DocumentCodec<Document>;
   readonly clock: Clock;
   readonly logger: Logger;
   /** Longest wait of one watch, milliseconds. */
-  readonly watchWait: number;
+  readonly watchWaitMs: number;
   /** Milliseconds without word from service or peers after which the document may be out of date. */
-  readonly currentWithin: number;
+  readonly maxAgeMs: number;
   /** Returns a number from 0 to 1, for jitter. */
   readonly getRandom: () => number;
 }
 
 /** A document in force. */
-export interface DocumentInForce<Document> {
+export interface ActiveDocument<Document> {
   readonly document: Document;
   readonly version: number;
   readonly bytes: Uint8Array;
@@ -45,17 +45,17 @@
 
 /** Follows one document. */
 export class DocumentFollower<Document> {
-  private inForce: DocumentInForce<Document> | undefined;
+  private inForce: ActiveDocument<Document> | undefined;
   private revision = 0;
   private heardAt: number | undefined;
   private readonly stop = new AbortController();
-  private readonly listeners = new Set<(inForce: DocumentInForce<Document>) => void>();
+  private readonly listeners = new Set<(inForce: ActiveDocument<Document>) => void>();
   private firstWakers: (() => void)[] = [];
   private task: Promise<void> = Promise.resolve();
 
-  private constructor(private readonly options: FollowerOptions<Document>) {}
+  private constructor(private readonly options: DocumentFollowerOptions<Document>) {}
 
-  static create<Document>(options: FollowerOptions<Document>): DocumentFollower<Document> {
+  static create<Document>(options: DocumentFollowerOptions<Document>): DocumentFollower<Document> {
     return new DocumentFollower(options);
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Returns what is in force, undefined before the first document. */
-  get(): DocumentInForce<Document> | undefined {
+  get(): ActiveDocument<Document> | undefined {
     return this.inForce;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Calls back on each new document. */
-  onChange(listener: (inForce: DocumentInForce<Document>) => void): void {
+  onChange(listener: (inForce: ActiveDocument<Document>) => void): void {
     this.listeners.add(listener);
   }
 
@@ -89,11 +89,11 @@
   /** Whether somebody who could know of a newer document was heard lately. */
   isCurrent(): boolean {
     if (!this.inForce || this.heardAt === undefined) return false;
-    return this.options.clock.getTime() - this.heardAt < this.options.currentWithin;
+    return this.options.clock.getTime() - this.heardAt < this.options.maxAgeMs;
   }
 
   /** Milliseconds since the service or a peer spoke; undefined before. */
-  getSilence(): number | undefined {
+  getAgeMs(): number | undefined {
     return this.heardAt === undefined ? undefined : this.options.clock.getTime() - this.heardAt;
   }
 
@@ -101,7 +101,7 @@
    * Takes a peer's word that its version was in force `age` milliseconds ago: our own is current if it is not lower.
    * The age is the peer's own silence, so that two entries cut off together cannot keep each other current.
    */
-  hearVersion(version: number, age: number): void {
+  confirmVersion(version: number, age: number): void {
     if (version <= this.version) this.hear(age);
   }
 
@@ -113,7 +113,7 @@
       return false;
     }
     const isNew = this.put(decoded.value, bytes);
-    this.hearVersion(this.options.codec.getVersion(decoded.value), age);
+    this.confirmVersion(this.options.codec.getVersion(decoded.value), age);
     return isNew;
   }
 
@@ -144,13 +144,13 @@
   }
 
   private readNext(): Promise<Result<StoredValue | undefined, Failure>> {
-    const { service, key, watchWait } = this.options;
+    const { service, key, watchWaitMs: watchWait } = this.options;
     if (this.heardAt === undefined) return service.read(key);
     return service.watch(key, this.revision, watchWait, this.stop.signal);
   }
 
   private take(value: StoredValue | undefined, sentAt: number): void {
-    const { clock, watchWait } = this.options;
+    const { clock, watchWaitMs: watchWait } = this.options;
     const elapsed = clock.getTime() - sentAt;
     const isUnchanged = (value?.revision ?? 0) === this.revision;
     // What the service says was true at some time after the call was sent; a watch that saw no change said so at the
@@ -231,7 +231,7 @@
 }
 
 /** Where and how to change a document. */
-export interface UpdateOptions<Document> {
+export interface DocumentUpdateOptions<Document> {
   readonly service: KeyValueService;
   readonly key: string;
   readonly codec: DocumentCodec<Document>;
@@ -249,7 +249,7 @@
  * `ServiceAnswerLost` where that stayed unknown.
  */
 export async function updateDocument<Document>(
-  options: UpdateOptions<Document>,
+  options: DocumentUpdateOptions<Document>,
   update: DocumentUpdate<Document>,
 ): Promise<Result<Document, Failure>> {
   const { service, key, codec, clock } = options;
@@ -283,7 +283,7 @@
 
 function readDocument<Document>(
   stored: StoredValue | undefined,
-  options: UpdateOptions<Document>,
+  options: DocumentUpdateOptions<Document>,
 ): Result<Document, Failure> {
   return stored ? options.codec.decode(stored.value) : Ok(options.empty);
 }
--- a/packages/coordination/test/claimLedger.test.ts
+++ b/packages/coordination/test/claimStore.test.ts
@@ -1,17 +1,17 @@
 import fc from "fast-check";
 import t from "tap";
-import { type Claim, type ClaimOutcome, ClaimLedger, type LedgerOptions } from "@gladewall/coordination";
-import { type Failure, FailureCode, settlePromises, VirtualClock } from "@gladewall/kernel";
-import { CallFate, MemoryKeyValue } from "@gladewall/standins";
+import { type Claim, type ClaimOutcome, ClaimStore, type ClaimStoreOptions } from "@gladewall/coordination";
+import { type Failure, FailureCode, flushPromises, VirtualClock } from "@gladewall/kernel";
+import { CallOutcome, MemoryKeyValue } from "@gladewall/standins";
 import type { Result } from "ts-results-es";
 
-interface Bench {
+interface TestBench {
   readonly clock: VirtualClock;
   readonly service: MemoryKeyValue;
-  readonly createLedger: (changes?: Partial<LedgerOptions>) => ClaimLedger;
+  readonly createLedger: (changes?: Partial<ClaimStoreOptions>) => ClaimStore;
 }
 
-function createBench(): Bench {
+function createTestBench(): TestBench {
   const clock = VirtualClock.create();
   const service = MemoryKeyValue.create(clock);
   const defaults = {
@@ -22,9 +22,9 @@
     interval: 10,
     patience: 2_000,
     retention: 1_000_000,
-    headBytes: 100_000,
+    maxActiveBytes: 100_000,
   };
-  return { clock, service, createLedger: (changes) => ClaimLedger.create({ ...defaults, ...changes }) };
+  return { clock, service, createLedger: (changes) => ClaimStore.create({ ...defaults, ...changes }) };
 }
 
 function createClaim(key: string, writer: string, request = `request-of-${writer}`): Claim {
@@ -44,7 +44,7 @@
 }
 
 t.test("the first claim of a key wins, another is shown whose claim stands", async (t) => {
-  const { clock, createLedger } = createBench();
+  const { clock, createLedger } = createTestBench();
   const [left, right] = [createLedger(), createLedger()];
   const [won] = await settleAll(clock, [left.claim(createClaim("k", "left"))]);
   const [lost] = await settleAll(clock, [right.claim(createClaim("k", "right"))]);
@@ -54,27 +54,27 @@
 });
 
 t.test("claims that come together go into one swap a shard", async (t) => {
-  const { clock, createLedger } = createBench();
+  const { clock, createLedger } = createTestBench();
   const ledger = createLedger({ shards: 1 });
   const claims = Array.from({ length: 200 }, (_, index) => ledger.claim(createClaim(`k${index}`, "w")));
   const outcomes = await settleAll(clock, claims);
   t.ok(outcomes.every((outcome) => outcome.unwrap().isWon));
-  t.ok(ledger.swaps <= 2, `${ledger.swaps} swaps`);
+  t.ok(ledger.swapCount <= 2, `${ledger.swapCount} swaps`);
 });
 
 t.test("a claim whose answer was lost is settled by reading it back", async (t) => {
-  for (const fate of [CallFate.AnswerLost, CallFate.EffectLate, CallFate.RequestLost]) {
-    const { clock, service, createLedger } = createBench();
+  for (const fate of [CallOutcome.ResponseLost, CallOutcome.DelayedEffect, CallOutcome.RequestLost]) {
+    const { clock, service, createLedger } = createTestBench();
     let calls = 0;
-    service.nextFate = () => (++calls === 2 ? fate : CallFate.Answered);
+    service.nextOutcome = () => (++calls === 2 ? fate : CallOutcome.Answered);
     const [outcome] = await settleAll(clock, [createLedger().claim(createClaim("k", "w"))]);
-    t.equal(outcome?.unwrap().isWon, true, CallFate[fate]);
+    t.equal(outcome?.unwrap().isWon, true, CallOutcome[fate]);
   }
 });
 
 t.test("with the service down a claim fails in time, and is never said to be won", async (t) => {
-  const { clock, service, createLedger } = createBench();
-  service.nextFate = () => CallFate.Refused;
+  const { clock, service, createLedger } = createTestBench();
+  service.nextOutcome = () => CallOutcome.Refused;
   const [outcome] = await settleAll(clock, [createLedger().claim(createClaim("k", "w"))]);
   t.equal(outcome?.unwrapErr().code, FailureCode.ClaimUnavailable);
   t.ok(clock.getTime() < 2_500);
@@ -83,8 +83,8 @@
 t.test(
   "a key stays claimed when its head is put away, and a new ledger finds it in the archive",
   async (t) => {
-    const { clock, service, createLedger } = createBench();
-    const ledger = createLedger({ shards: 1, headBytes: 1_000 });
+    const { clock, service, createLedger } = createTestBench();
+    const ledger = createLedger({ shards: 1, maxActiveBytes: 1_000 });
     for (let index = 0; index < 60; index++)
       await settleAll(clock, [ledger.claim(createClaim(`k${index}`, "w"))]);
     t.ok(service.store.get("claims/0")!.value.length < 2_000);
@@ -95,19 +95,19 @@
 );
 
 t.test("an archive that cannot be read makes the claim fail, not win", async (t) => {
-  const { clock, service, createLedger } = createBench();
-  const ledger = createLedger({ shards: 1, headBytes: 400 });
+  const { clock, service, createLedger } = createTestBench();
+  const ledger = createLedger({ shards: 1, maxActiveBytes: 400 });
   for (let index = 0; index < 20; index++)
     await settleAll(clock, [ledger.claim(createClaim(`k${index}`, "w"))]);
   const other = createLedger({ shards: 1, patience: 500 });
   let reads = 0;
-  service.nextFate = () => (++reads === 1 ? CallFate.Answered : CallFate.Refused);
+  service.nextOutcome = () => (++reads === 1 ? CallOutcome.Answered : CallOutcome.Refused);
   const [outcome] = await settleAll(clock, [other.claim(createClaim("k0", "other"))]);
   t.ok(outcome?.isErr());
 });
 
 t.test("a key that was given back can be claimed again, by its owner's word only", async (t) => {
-  const { clock, createLedger } = createBench();
+  const { clock, createLedger } = createTestBench();
   const [left, right] = [createLedger(), createLedger()];
   const own = createClaim("k", "left");
   await settleAll(clock, [left.claim(own)]);
@@ -126,8 +126,8 @@
 t.test(
   "a claim that comes while the ledger looks others up is itself looked up before it is written",
   async (t) => {
-    const { clock, createLedger } = createBench();
-    const first = createLedger({ shards: 1, headBytes: 300 });
+    const { clock, createLedger } = createTestBench();
+    const first = createLedger({ shards: 1, maxActiveBytes: 300 });
     for (let index = 0; index < 12; index++)
       await settleAll(clock, [first.claim(createClaim(`k${index}`, "first"))]);
     const other = createLedger({ shards: 1 });
@@ -144,23 +144,23 @@
 );
 
 t.test("a value that is none of ours is a failure, and is left as it is", async (t) => {
-  const { clock, service, createLedger } = createBench();
+  const { clock, service, createLedger } = createTestBench();
   const bytes = Uint8Array.from([0xff, 0x00, 0x13]);
-  service.store.trySwap("claims/0", bytes, 0);
-  service.store.trySwap("claims/1", bytes, 0);
+  service.store.tryCompareAndSwap("claims/0", bytes, 0);
+  service.store.tryCompareAndSwap("claims/1", bytes, 0);
   const [outcome] = await settleAll(clock, [createLedger({ patience: 300 }).claim(createClaim("k", "w"))]);
   t.equal(outcome?.unwrapErr().code, FailureCode.ClaimUnavailable);
   t.same(service.store.get("claims/0")?.value, bytes);
 });
 
 const fates = fc.constantFrom(
-  CallFate.Answered,
-  CallFate.Answered,
-  CallFate.Answered,
-  CallFate.Refused,
-  CallFate.AnswerLost,
-  CallFate.EffectLate,
-  CallFate.RequestLost,
+  CallOutcome.Answered,
+  CallOutcome.Answered,
+  CallOutcome.Answered,
+  CallOutcome.Refused,
+  CallOutcome.ResponseLost,
+  CallOutcome.DelayedEffect,
+  CallOutcome.RequestLost,
 );
 
 t.test("whatever fails, no key is won twice (differential against one map)", async (t) => {
@@ -172,10 +172,10 @@
   });
   await fc.assert(
     fc.asyncProperty(scenario, async ({ fates: script, attempts, headBytes }) => {
-      const { clock, service, createLedger } = createBench();
+      const { clock, service, createLedger } = createTestBench();
       let call = 0;
-      service.nextFate = () => script[call++ % script.length] ?? CallFate.Answered;
-      const ledgers = [0, 1, 2].map(() => createLedger({ patience: 1_500, headBytes }));
+      service.nextOutcome = () => script[call++ % script.length] ?? CallOutcome.Answered;
+      const ledgers = [0, 1, 2].map(() => createLedger({ patience: 1_500, maxActiveBytes: headBytes }));
       const running: Promise<Outcome>[] = [];
       for (const [index, { ledger, key, pause }] of attempts.entries()) {
         const claim = createClaim(`k${key}`, `w${ledger}`, `request-${index}`);
@@ -200,6 +200,6 @@
     }),
     { seed: 20261202, numRuns: 150 },
   );
-  await settlePromises();
+  await flushPromises();
   t.pass();
 });
--- a/packages/coordination/test/document.test.ts
+++ b/packages/coordination/test/document.test.ts
@@ -2,7 +2,7 @@
 import t from "tap";
 import { type DocumentCodec, DocumentFollower, updateDocument } from "@gladewall/coordination";
 import { Failure, FailureCode, Logger, VirtualClock } from "@gladewall/kernel";
-import { CallFate, MemoryKeyValue } from "@gladewall/standins";
+import { CallOutcome, MemoryKeyValue } from "@gladewall/standins";
 import { Err, Ok, type Result } from "ts-results-es";
 
 interface Sheet {
@@ -24,7 +24,7 @@
 };
 const empty: Sheet = { version: 0, rows: {}, edits: [] };
 
-function createBench() {
+function createTestBench() {
   const clock = VirtualClock.create();
   const service = MemoryKeyValue.create(clock);
   const createFollower = (source = service) =>
@@ -34,8 +34,8 @@
       codec,
       clock,
       logger: Logger.createSilent(),
-      watchWait: 2_000,
-      currentWithin: 6_000,
+      watchWaitMs: 2_000,
+      maxAgeMs: 6_000,
       getRandom: () => 0.5,
     });
   return { clock, service, createFollower };
@@ -69,7 +69,7 @@
 t.test(
   "a service that comes back with an older document is no word on it, and gets the newer one again",
   async (t) => {
-    const { clock, service, createFollower } = createBench();
+    const { clock, service, createFollower } = createTestBench();
     await Promise.all([edit(clock, service, "row", "one"), clock.advance(100)]);
     const follower = createFollower();
     follower.start();
@@ -77,7 +77,11 @@
     const older = service.store.get("sheet")!;
     await Promise.all([edit(clock, service, "row", "two"), clock.advance(200)]);
     t.equal(follower.version, 2);
-    const fallen = service.store.trySwap("sheet", older.value, service.store.get("sheet")!.revision);
+    const fallen = service.store.tryCompareAndSwap(
+      "sheet",
+      older.value,
+      service.store.get("sheet")!.revision,
+    );
     t.ok(fallen);
     await clock.advance(100);
     t.equal(follower.version, 2, "it never falls");
@@ -92,7 +96,7 @@
 );
 
 t.test("a save is in force at a follower as soon as its watch returns", async (t) => {
-  const { clock, service, createFollower } = createBench();
+  const { clock, service, createFollower } = createTestBench();
   const follower = createFollower();
   follower.start();
   await clock.advance(50);
@@ -107,7 +111,7 @@
 });
 
 t.test("a follower never steps back, whoever brings the older document", async (t) => {
-  const { createFollower } = createBench();
+  const { createFollower } = createTestBench();
   const follower = createFollower();
   const offer = (version: number): boolean => follower.offer(codec.encode({ ...empty, version }), 0);
   t.equal(offer(5), true);
@@ -119,8 +123,8 @@
 });
 
 t.test("a follower whose service restores an older document keeps the newer one", async (t) => {
-  const { clock, service, createFollower } = createBench();
-  service.store.trySwap("sheet", codec.encode({ ...empty, version: 2 }), 0);
+  const { clock, service, createFollower } = createTestBench();
+  service.store.tryCompareAndSwap("sheet", codec.encode({ ...empty, version: 2 }), 0);
   const follower = createFollower();
   follower.offer(codec.encode({ ...empty, version: 7 }), 0);
   follower.start();
@@ -134,50 +138,50 @@
 t.test(
   "word counts from when its source knew it: two that are cut off do not keep each other current",
   async (t) => {
-    const { clock, service, createFollower } = createBench();
+    const { clock, service, createFollower } = createTestBench();
     const [left, right] = [createFollower(), createFollower()];
     left.offer(codec.encode({ ...empty, version: 1 }), 0);
     right.offer(codec.encode({ ...empty, version: 1 }), 0);
-    service.nextFate = () => CallFate.Refused;
+    service.nextOutcome = () => CallOutcome.Refused;
     for (let second = 0; second < 10; second++) {
-      left.hearVersion(right.version, right.getSilence()!);
-      right.hearVersion(left.version, left.getSilence()!);
+      left.confirmVersion(right.version, right.getAgeMs()!);
+      right.confirmVersion(left.version, left.getAgeMs()!);
       await clock.advance(1_000);
     }
     t.notOk(left.isCurrent());
     t.notOk(right.isCurrent());
-    left.hearVersion(1, 100);
+    left.confirmVersion(1, 100);
     t.ok(left.isCurrent());
-    t.notOk(left.getSilence()! > 100);
+    t.notOk(left.getAgeMs()! > 100);
   },
 );
 
 t.test("a version that a peer has and this one has not is no word that this one is current", async (t) => {
-  const { clock, createFollower } = createBench();
+  const { clock, createFollower } = createTestBench();
   const follower = createFollower();
   follower.offer(codec.encode({ ...empty, version: 1 }), 0);
   await clock.advance(7_000);
-  follower.hearVersion(2, 0);
+  follower.confirmVersion(2, 0);
   t.notOk(follower.isCurrent());
 });
 
 t.test("edits that race all land once, whatever answers are lost", async (t) => {
   const fate = fc.constantFrom(
-    CallFate.Answered,
-    CallFate.Answered,
-    CallFate.Refused,
-    CallFate.AnswerLost,
-    CallFate.EffectLate,
-    CallFate.RequestLost,
+    CallOutcome.Answered,
+    CallOutcome.Answered,
+    CallOutcome.Refused,
+    CallOutcome.ResponseLost,
+    CallOutcome.DelayedEffect,
+    CallOutcome.RequestLost,
   );
   await fc.assert(
     fc.asyncProperty(
       fc.array(fate, { minLength: 1, maxLength: 30 }),
       fc.integer({ min: 1, max: 6 }),
       async (script, count) => {
-        const { clock, service } = createBench();
+        const { clock, service } = createTestBench();
         let call = 0;
-        service.nextFate = () => script[call++ % script.length] ?? CallFate.Answered;
+        service.nextOutcome = () => script[call++ % script.length] ?? CallOutcome.Answered;
         const ids = Array.from({ length: count }, (_, index) => `e${index}`);
         const running = ids.map((id) => edit(clock, service, id, id));
         const results = await settle(clock, Promise.all(running));
--- a/packages/coordination/test/leaseHolder.test.ts
+++ b/packages/coordination/test/leaseHolder.test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { LeaseHolder } from "@gladewall/coordination";
 import { FailureCode, Logger, VirtualClock, type Clock, type Timer } from "@gladewall/kernel";
-import { CallFate, MemoryKeyValue } from "@gladewall/standins";
+import { CallOutcome, MemoryKeyValue } from "@gladewall/standins";
 
 /** A holder's own clock, which can be stopped as a paused process's timers are, while time goes on. */
 class PausableClock implements Clock {
@@ -38,7 +38,7 @@
   }
 }
 
-function createBench() {
+function createTestBench() {
   const clock = VirtualClock.create();
   const service = MemoryKeyValue.create(clock);
   const createHolder = (holder: string, own: Clock = clock, source = service) =>
@@ -48,26 +48,26 @@
       logger: Logger.createSilent(),
       name: "planner",
       holder,
-      ttl: 3_000,
-      margin: 500,
+      ttlMs: 3_000,
+      safetyMarginMs: 500,
       getRandom: () => 0,
     });
   return { clock, service, createHolder };
 }
 
 t.test("one holds the lease; after it gives it back another does, with a higher fence", async (t) => {
-  const { clock, createHolder } = createBench();
+  const { clock, createHolder } = createTestBench();
   const [left, right] = [createHolder("left"), createHolder("right")];
   left.start();
   await clock.advance(10);
   right.start();
   await clock.advance(10_000);
-  const first = left.getFence().unwrap();
-  t.equal(right.getFence().unwrapErr().code, FailureCode.LeaseLost);
+  const first = left.getFencingToken().unwrap();
+  t.equal(right.getFencingToken().unwrapErr().code, FailureCode.LeaseLost);
   const closing = left.close();
   await clock.advance(5_000);
   await closing;
-  t.ok(right.getFence().unwrap() > first);
+  t.ok(right.getFencingToken().unwrap() > first);
   const closed = right.close();
   await clock.advance(5_000);
   await closed;
@@ -76,24 +76,24 @@
 t.test(
   "a paused holder finds its lease out of date before it acts, and nobody ever holds it with another",
   async (t) => {
-    const { clock, createHolder } = createBench();
+    const { clock, createHolder } = createTestBench();
     const own = new PausableClock(clock);
     const [left, right] = [createHolder("left", own), createHolder("right")];
     left.start();
     await clock.advance(10);
     right.start();
     await clock.advance(2_000);
-    const fence = left.getFence().unwrap();
+    const fence = left.getFencingToken().unwrap();
     own.pause();
     for (let step = 0; step < 80; step++) {
       await clock.advance(100);
-      t.notOk(left.getFence().isOk() && right.getFence().isOk());
+      t.notOk(left.getFencingToken().isOk() && right.getFencingToken().isOk());
     }
-    t.ok(left.getFence().isErr());
-    t.ok(right.getFence().unwrap() > fence);
+    t.ok(left.getFencingToken().isErr());
+    t.ok(right.getFencingToken().unwrap() > fence);
     own.resume();
     await clock.advance(5_000);
-    t.ok(left.getFence().isErr());
+    t.ok(left.getFencingToken().isErr());
     for (const holder of [left, right]) {
       const closed = holder.close();
       await clock.advance(5_000);
@@ -103,31 +103,35 @@
 );
 
 t.test("a lease is over by the time for which the holder's machine was suspended", async (t) => {
-  const { clock, createHolder } = createBench();
+  const { clock, createHolder } = createTestBench();
   const holder = createHolder("left");
   holder.start();
   await clock.advance(10);
-  t.ok(holder.getFence().isOk());
-  clock.moveWallTime(2_600);
-  t.equal(holder.getFence().unwrapErr().code, FailureCode.LeaseLost, "at once, before any timer has run");
+  t.ok(holder.getFencingToken().isOk());
+  clock.shiftWallTime(2_600);
+  t.equal(
+    holder.getFencingToken().unwrapErr().code,
+    FailureCode.LeaseLost,
+    "at once, before any timer has run",
+  );
   const closed = holder.close();
   await clock.advance(5_000);
   await closed;
 });
 
 t.test("validity counts from when a renewal was sent: a slow answer does not lengthen it", async (t) => {
-  const { clock, service, createHolder } = createBench();
+  const { clock, service, createHolder } = createTestBench();
   const holder = createHolder("left");
   holder.start();
   await clock.advance(10);
-  t.ok(holder.getFence().isOk());
+  t.ok(holder.getFencingToken().isOk());
   // From now on renewals take effect but their answers are lost: the holder may not rely on them.
-  service.nextFate = () => CallFate.AnswerLost;
+  service.nextOutcome = () => CallOutcome.ResponseLost;
   await clock.advance(2_600);
-  t.ok(holder.getFence().isErr());
-  service.nextFate = () => CallFate.Answered;
+  t.ok(holder.getFencingToken().isErr());
+  service.nextOutcome = () => CallOutcome.Answered;
   await clock.advance(1_500);
-  t.ok(holder.getFence().isOk());
+  t.ok(holder.getFencingToken().isOk());
   const closed = holder.close();
   await clock.advance(5_000);
   await closed;
--- a/packages/coordination/test/liveView.test.ts
+++ b/packages/coordination/test/membershipView.test.ts
@@ -4,10 +4,10 @@
   type InstanceRecord,
   InstanceRole,
   InstanceState,
-  type InstanceWord,
-  LiveView,
+  type InstanceUpdate,
+  MembershipView,
   PriceClass,
-  WordSource,
+  UpdateSource,
 } from "@gladewall/coordination";
 import { VirtualClock } from "@gladewall/kernel";
 
@@ -26,77 +26,77 @@
   };
 }
 
-function createWord(incarnation: number, state: InstanceState, source = WordSource.Peer): InstanceWord {
+function createWord(incarnation: number, state: InstanceState, source = UpdateSource.Peer): InstanceUpdate {
   return { id: "a", incarnation, state, source, record: createRecord("a", incarnation, state) };
 }
 
-function getLiveIds(view: LiveView): readonly string[] {
+function getLiveIds(view: MembershipView): readonly string[] {
   return view.getLive(InstanceRole.Endpoint).map(({ id }) => id);
 }
 
 t.test("a leaving word is not undone by a later live one from the lagging list", async (t) => {
-  const view = LiveView.create(VirtualClock.create());
-  view.addList([createRecord("a", 1)]);
-  view.add({
+  const view = MembershipView.create(VirtualClock.create());
+  view.mergeList([createRecord("a", 1)]);
+  view.merge({
     id: "a",
     incarnation: 1,
     state: InstanceState.Leaving,
-    source: WordSource.Notice,
+    source: UpdateSource.Notice,
     remaining: 5_000,
   });
-  view.addList([createRecord("a", 1)]);
+  view.mergeList([createRecord("a", 1)]);
   t.same(getLiveIds(view), []);
-  t.equal(view.get("a")?.takenAt, 5_000);
+  t.equal(view.get("a")?.reclaimAt, 5_000);
 });
 
 t.test(
   "a new instance under an old id is another one, and words about the old one do not touch it",
   async (t) => {
-    const view = LiveView.create(VirtualClock.create());
-    view.add(createWord(1, InstanceState.Gone));
-    view.add(createWord(2, InstanceState.Live));
+    const view = MembershipView.create(VirtualClock.create());
+    view.merge(createWord(1, InstanceState.Gone));
+    view.merge(createWord(2, InstanceState.Live));
     t.same(getLiveIds(view), ["a"]);
-    t.equal(view.add(createWord(1, InstanceState.Leaving)), false);
+    t.equal(view.merge(createWord(1, InstanceState.Leaving)), false);
     t.same(getLiveIds(view), ["a"]);
   },
 );
 
 t.test("a notice that comes before the list knows the instance is not lost", async (t) => {
-  const view = LiveView.create(VirtualClock.create());
-  view.add({
+  const view = MembershipView.create(VirtualClock.create());
+  view.merge({
     id: "a",
     incarnation: 1,
     state: InstanceState.Leaving,
-    source: WordSource.Notice,
+    source: UpdateSource.Notice,
     remaining: 100,
   });
-  view.addList([createRecord("a", 1)]);
+  view.mergeList([createRecord("a", 1)]);
   t.same(getLiveIds(view), []);
 });
 
 t.test("absence stops work after three lists and ends when the list names the instance again", async (t) => {
-  const view = LiveView.create(VirtualClock.create());
-  view.addList([createRecord("a", 1), createRecord("b", 1)]);
-  for (let list = 0; list < 2; list++) view.addList([createRecord("b", 1)]);
+  const view = MembershipView.create(VirtualClock.create());
+  view.mergeList([createRecord("a", 1), createRecord("b", 1)]);
+  for (let list = 0; list < 2; list++) view.mergeList([createRecord("b", 1)]);
   t.same(getLiveIds(view), ["a", "b"]);
-  view.addList([createRecord("b", 1)]);
+  view.mergeList([createRecord("b", 1)]);
   t.same(getLiveIds(view), ["b"]);
-  view.addList([createRecord("a", 1), createRecord("b", 1)]);
+  view.mergeList([createRecord("a", 1), createRecord("b", 1)]);
   t.same(getLiveIds(view), ["a", "b"]);
-  view.addList([]);
+  view.mergeList([]);
   t.same(getLiveIds(view), ["a", "b"]);
 });
 
 t.test("an instance that is gone is forgotten only when the list no longer names it", async (t) => {
   const clock = VirtualClock.create();
-  const view = LiveView.create(clock);
-  view.addList([createRecord("a", 1), createRecord("b", 1)]);
-  view.add(createWord(1, InstanceState.Gone));
+  const view = MembershipView.create(clock);
+  view.mergeList([createRecord("a", 1), createRecord("b", 1)]);
+  view.merge(createWord(1, InstanceState.Gone));
   await clock.advance(700_000);
-  view.addList([createRecord("a", 1), createRecord("b", 1)]);
+  view.mergeList([createRecord("a", 1), createRecord("b", 1)]);
   t.same(getLiveIds(view), ["b"]);
-  view.addList([createRecord("b", 1)]);
-  view.addList([createRecord("b", 1)]);
+  view.mergeList([createRecord("b", 1)]);
+  view.mergeList([createRecord("b", 1)]);
   t.equal(view.get("a"), undefined);
 });
 
@@ -106,8 +106,8 @@
     state: fc.constantFrom(InstanceState.Live, InstanceState.Leaving, InstanceState.Gone),
   });
   const merge = (words: readonly { incarnation: number; state: InstanceState }[]): readonly unknown[] => {
-    const view = LiveView.create(VirtualClock.create());
-    for (const { incarnation, state } of words) view.add(createWord(incarnation, state));
+    const view = MembershipView.create(VirtualClock.create());
+    for (const { incarnation, state } of words) view.merge(createWord(incarnation, state));
     const merged = view.get("a");
     return [merged?.record.incarnation, merged?.state];
   };
--- a/packages/coordination/test/peerLinks.test.ts
+++ b/packages/coordination/test/peerLinks.test.ts
@@ -4,7 +4,7 @@
 import t from "tap";
 import {
   encodeFrame,
-  firstFreeKind,
+  firstApplicationKind,
   FrameDecoder,
   LinkMessageKind,
   PeerLinks,
@@ -23,13 +23,13 @@
     clock,
     logger: Logger.createSilent(),
     listen: "127.0.0.1:0",
-    handshakeTimeout: 2_000,
-    outboxBytes: 1_000_000,
-    pingInterval: 20,
-    lostAfter: changes.lostAfter ?? 2_000,
-    standingLinks: 16,
+    handshakeTimeoutMs: 2_000,
+    maxOutboxBytes: 1_000_000,
+    pingIntervalMs: 20,
+    lossTimeoutMs: changes.lostAfter ?? 2_000,
+    maxPersistentLinks: 16,
     getRandom: () => 0.5,
-    getPing: () => ({}),
+    getPingFields: () => ({}),
   });
   const address = await links.open();
   return { links, peer: { name, incarnation: 1, address } };
@@ -72,13 +72,13 @@
 t.test("two that dial each other keep one link, and calls are answered both ways", async (t) => {
   const [left, right] = [await createLinks("left"), await createLinks("right")];
   for (const { links } of [left, right])
-    links.setHandler(firstFreeKind, (message, peer) => ({ message, from: peer.name }));
+    links.setHandler(firstApplicationKind, (message, peer) => ({ message, from: peer.name }));
   left.links.setPeers([right.peer]);
   right.links.setPeers([left.peer]);
   await Promise.all([left.links.waitForLinks(1), right.links.waitForLinks(1)]);
-  let answer = await left.links.call("right", { kind: firstFreeKind }, 1_000);
+  let answer = await left.links.call("right", { kind: firstApplicationKind }, 1_000);
   // While the two sides agree on the one link, a call may be cut with the other.
-  while (answer.isErr()) answer = await left.links.call("right", { kind: firstFreeKind }, 1_000);
+  while (answer.isErr()) answer = await left.links.call("right", { kind: firstApplicationKind }, 1_000);
   t.match(answer.unwrap(), { from: "left" });
   t.same(left.links.getLinked(), ["right"]);
   t.same(right.links.getLinked(), ["left"]);
@@ -88,7 +88,7 @@
 t.test("a peer with another secret is refused, before it can send anything", async (t) => {
   const [left, right] = [await createLinks("left"), await createLinks("right", { secret: "another secret" })];
   let heard = 0;
-  left.links.setHandler(firstFreeKind, () => (heard += 1));
+  left.links.setHandler(firstApplicationKind, () => (heard += 1));
   const socket = connect(Number(left.peer.address.split(":")[1]), "127.0.0.1");
   await once(socket, "connect");
   const hello = {
@@ -100,7 +100,7 @@
   };
   socket.write(encodeFrame(hello).unwrap());
   socket.write(encodeFrame({ kind: LinkMessageKind.Proof, proof: new Uint8Array(32) }).unwrap());
-  socket.write(encodeFrame({ kind: firstFreeKind }).unwrap());
+  socket.write(encodeFrame({ kind: firstApplicationKind }).unwrap());
   socket.resume();
   await once(socket, "close");
   t.equal(heard, 0);
@@ -122,11 +122,11 @@
 t.test("a lost peer is told, its calls fail, and it is linked again when it is back", async (t) => {
   const left = await createLinks("left");
   const right = await createLinks("right");
-  right.links.setHandler(firstFreeKind, () => new Promise(() => undefined));
+  right.links.setHandler(firstApplicationKind, () => new Promise(() => undefined));
   left.links.setPeers([right.peer]);
   await left.links.waitForLinks(1);
-  const down = new Promise<string>((resolve) => left.links.onDown(({ name }) => resolve(name)));
-  const call = left.links.call("right", { kind: firstFreeKind }, 10_000);
+  const down = new Promise<string>((resolve) => left.links.onLinkDown(({ name }) => resolve(name)));
+  const call = left.links.call("right", { kind: firstApplicationKind }, 10_000);
   await right.links.close();
   t.equal(await down, "right");
   t.equal((await call).unwrapErr().code, FailureCode.PeerUnreachable);
@@ -145,13 +145,13 @@
   const left = await createLinks("left");
   const lives = [await createLinks("right"), await createLinks("right", { incarnation: 2 })];
   const up: number[] = [];
-  left.links.onUp(({ incarnation }) => up.push(incarnation));
+  left.links.onLinkUp(({ incarnation }) => up.push(incarnation));
   for (const { links } of lives) {
     links.setPeers([left.peer]);
     await links.waitForLinks(1);
     while (up.length === 0) await new Promise((resolve) => setImmediate(resolve));
   }
-  const answered = await lives[1]!.links.call("left", { kind: firstFreeKind }, 50);
+  const answered = await lives[1]!.links.call("left", { kind: firstApplicationKind }, 50);
   t.ok(answered.isErr(), "no handler answers; by then the link is in use");
   t.same(up, [1, 2]);
   await Promise.all([left, ...lives].map(({ links }) => links.close()));
@@ -162,7 +162,7 @@
   const right = await createLinks("right");
   left.links.setPeers([right.peer]);
   await left.links.waitForLinks(1);
-  const down = new Promise<void>((resolve) => left.links.onDown(() => resolve()));
+  const down = new Promise<void>((resolve) => left.links.onLinkDown(() => resolve()));
   // A frozen process keeps its connections and says nothing.
   const [socket] = [
     ...(right.links as unknown as { sockets: Set<{ pause(): void; write(): boolean }> }).sockets,
--- a/packages/coordination/test/sharedLimits.test.ts
+++ b/packages/coordination/test/sharedLimits.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import t from "tap";
-import { AmountKind, getEqualSplit, getLender, ShareLender } from "@gladewall/coordination";
+import { AmountKind, getEqualSplit, getAllocator, ShareAllocator } from "@gladewall/coordination";
 import { VirtualClock } from "@gladewall/kernel";
 
 const kinds = [AmountKind.Divisible, AmountKind.Whole];
@@ -11,19 +11,19 @@
   live: readonly string[],
   clock: VirtualClock,
   unreachable: readonly string[] = [],
-): ShareLender {
+): ShareAllocator {
   const members = { getLive: () => live, isReachable: (name: string) => !unreachable.includes(name) };
-  return ShareLender.create(clock, own, members, kinds, duration);
+  return ShareAllocator.create(clock, own, members, kinds, duration);
 }
 
 const live = ["a", "b", "c"];
-const lenderName = getLender("row", live)!;
+const lenderName = getAllocator("row", live)!;
 const borrowers = live.filter((name) => name !== lenderName);
 
 /** Lets the time pass in which a new lender only renews. */
-async function createSettled(clock: VirtualClock, limit: readonly number[]): Promise<ShareLender> {
+async function createSettled(clock: VirtualClock, limit: readonly number[]): Promise<ShareAllocator> {
   const lender = createLender(lenderName, live, clock);
-  lender.lend("row", limit, lenderName, { wanted: [0, 0], held: [0, 0] });
+  lender.allocate("row", limit, lenderName, { wanted: [0, 0], held: [0, 0] });
   await clock.advance(duration + 1);
   return lender;
 }
@@ -41,13 +41,13 @@
   const clock = VirtualClock.create();
   const lender = await createSettled(clock, [90, 9]);
   await clock.advance(duration);
-  const share = lender.lend("row", [90, 9], borrowers[0]!, { wanted: [500, 50], held: [0, 0] });
+  const share = lender.allocate("row", [90, 9], borrowers[0]!, { wanted: [500, 50], held: [0, 0] });
   t.same(share, [90, 9]);
-  const late = lender.lend("row", [90, 9], borrowers[1]!, { wanted: [500, 50], held: [0, 0] });
+  const late = lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [500, 50], held: [0, 0] });
   t.same(late, [0, 0]);
-  const renewed = lender.lend("row", [90, 9], borrowers[0]!, { wanted: [500, 50], held: share! });
+  const renewed = lender.allocate("row", [90, 9], borrowers[0]!, { wanted: [500, 50], held: share! });
   t.same(renewed, [45, 4]);
-  t.same(lender.lend("row", [90, 9], borrowers[1]!, { wanted: [500, 50], held: [0, 0] }), [45, 4]);
+  t.same(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [500, 50], held: [0, 0] }), [45, 4]);
 });
 
 t.test("while nobody wants the whole, whoever asks later finds something", async (t) => {
@@ -55,7 +55,7 @@
   const lender = await createSettled(clock, [900, 900]);
   await clock.advance(duration);
   for (const name of live) {
-    const [rate = 0, count = 0] = lender.lend("row", [900, 900], name, { wanted: [3, 3], held: [0, 0] })!;
+    const [rate = 0, count = 0] = lender.allocate("row", [900, 900], name, { wanted: [3, 3], held: [0, 0] })!;
     t.ok(rate >= 3 && count >= 3, `${name} got ${rate} and ${count}`);
   }
 });
@@ -63,25 +63,25 @@
 t.test("one that is not the lender lends nothing", async (t) => {
   const clock = VirtualClock.create();
   const other = createLender(borrowers[0]!, live, clock);
-  t.equal(other.lend("row", [9, 9], lenderName, { wanted: [1, 1], held: [0, 0] }), undefined);
+  t.equal(other.allocate("row", [9, 9], lenderName, { wanted: [1, 1], held: [0, 0] }), undefined);
 });
 
 t.test("a new lender renews what is held and lends nothing else until the old shares are over", async (t) => {
   const clock = VirtualClock.create();
   const lender = createLender(lenderName, live, clock);
-  t.same(lender.lend("row", [90, 9], borrowers[0]!, { wanted: [90, 9], held: [30, 3] }), [30, 3]);
-  t.equal(lender.lend("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), undefined);
+  t.same(lender.allocate("row", [90, 9], borrowers[0]!, { wanted: [90, 9], held: [30, 3] }), [30, 3]);
+  t.equal(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), undefined);
   await clock.advance(duration + 1);
-  t.same(lender.lend("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), [90, 9]);
+  t.same(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), [90, 9]);
 });
 
 t.test("entries that are cut off keep the part that a lender leaves to them", async (t) => {
   const clock = VirtualClock.create();
   const cut = borrowers[1]!;
   const lender = createLender(lenderName, live, clock, [cut]);
-  lender.lend("row", [90, 9], lenderName, { wanted: [0, 0], held: [0, 0] });
+  lender.allocate("row", [90, 9], lenderName, { wanted: [0, 0], held: [0, 0] });
   await clock.advance(duration + 1);
-  const [rate = 0, count = 0] = lender.lend("row", [90, 9], borrowers[0]!, {
+  const [rate = 0, count = 0] = lender.allocate("row", [90, 9], borrowers[0]!, {
     wanted: [900, 90],
     held: [0, 0],
   })!;
@@ -109,7 +109,7 @@
           for (const { borrower, wanted, pause } of questions) {
             const name = live[borrower]!;
             const present = held.get(name);
-            const amounts = lender.lend("row", [limit, limit], name, {
+            const amounts = lender.allocate("row", [limit, limit], name, {
               wanted: [wanted, wanted],
               held: present && present.until > clock.getTime() ? present.amounts : [0, 0],
             })!;
--- a/packages/entry/src/admission.ts
+++ b/packages/entry/src/admission.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
-import { getRowName, RowGate, type RowShare, type TableRow } from "@gladewall/policy";
+import { getRowName, RowLimiter, type RowShare, type PolicyRow } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { Dispatcher } from "./dispatcher.js";
 import type { EntrySettings } from "./entrySettings.js";
@@ -24,14 +24,14 @@
 }
 
 /** Counts an arrival of so many tokens and returns this entry's share of its row. */
-export type ShareSource = (row: TableRow, active: number, tokens: number) => RowShare;
+export type ShareSource = (row: PolicyRow, active: number, tokens: number) => RowShare;
 
 const noEndpointRetryAfter = 1_000;
 const leastRetryAfter = 1;
 
 /** Decides who comes in. */
 export class AdmissionControl {
-  private readonly gates = new Map<string, RowGate>();
+  private readonly limiters = new Map<string, RowLimiter>();
 
   private constructor(
     private readonly settings: EntrySettings["requests"],
@@ -50,15 +50,15 @@
   }
 
   /** Admits a request under its row or says why not. */
-  admit(row: TableRow, request: AdmissionRequest): Result<Admission, Failure> {
+  admit(row: PolicyRow, request: AdmissionRequest): Result<Admission, Failure> {
     const late = this.findLateness(row, request);
     if (late) return Err(late);
-    const gate = this.getGate(row, getRowName(row), request.work);
-    const entered = gate.tryEnter(request.work);
+    const gate = this.getLimiter(row, getRowName(row), request.work);
+    const entered = gate.tryAcquire(request.work);
     if (entered.isErr()) return entered;
     let isInside = true;
     const leave = (unused: number): void => {
-      if (isInside) gate.leave(unused);
+      if (isInside) gate.release(unused);
       isInside = false;
     };
     return Ok({ leave });
@@ -66,11 +66,11 @@
 
   /** Requests of each row that are inside. */
   getActive(): ReadonlyMap<string, number> {
-    return new Map([...this.gates].map(([name, gate]) => [name, gate.getActive()]));
+    return new Map([...this.limiters].map(([name, gate]) => [name, gate.getActiveCount()]));
   }
 
   /** Refuses what could only be late: the caller learns now, and when to come back. */
-  private findLateness(row: TableRow, request: AdmissionRequest): Failure | undefined {
+  private findLateness(row: PolicyRow, request: AdmissionRequest): Failure | undefined {
     const wait = this.dispatcher.getExpectedWait(request.service, row.priority, request.promptTokens);
     if (wait === Infinity) {
       return Failure.create(FailureCode.NoEndpoint, { service: request.service }, noEndpointRetryAfter);
@@ -87,11 +87,11 @@
     );
   }
 
-  private getGate(row: TableRow, rowName: string, tokens: number): RowGate {
-    let gate = this.gates.get(rowName);
-    const share = this.getShare(row, gate?.getActive() ?? 0, tokens);
+  private getLimiter(row: PolicyRow, rowName: string, tokens: number): RowLimiter {
+    let gate = this.limiters.get(rowName);
+    const share = this.getShare(row, gate?.getActiveCount() ?? 0, tokens);
     if (gate) gate.setShare(share);
-    else this.gates.set(rowName, (gate = RowGate.create(this.clock, rowName, share)));
+    else this.limiters.set(rowName, (gate = RowLimiter.create(this.clock, rowName, share)));
     return gate;
   }
 }
--- a/packages/entry/src/afterFailure.ts
+++ b/packages/entry/src/afterFailure.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { Failure, FailureCode, Outcome } from "@gladewall/kernel";
-import { decideRetry, RepeatRule, type RetryBudget, RetryVerdict } from "@gladewall/policy";
+import { decideRetry, RepeatRule, type RetryBudget, RetryDecision } from "@gladewall/policy";
 import { type ActiveRequest, StopReason } from "./requests.js";
 
 /** What the decision rests on. */
@@ -20,14 +20,14 @@
 }
 
 /** Decides whether a request is sent again. */
-export function decideAfterFailure(input: AfterFailureInput): RetryVerdict {
+export function decideAfterFailure(input: AfterFailureInput): RetryDecision {
   const { request, failure, budget, remaining } = input;
   const { repeat } = request.envelope;
-  if (input.attempts >= input.highestAttempts) return RetryVerdict.GiveUp;
-  if (input.isStreamedBody || !canGoOn(request)) return RetryVerdict.GiveUp;
+  if (input.attempts >= input.highestAttempts) return RetryDecision.GiveUp;
+  if (input.isStreamedBody || !canGoOn(request)) return RetryDecision.GiveUp;
   // A run that was stopped here to be moved is no failure of an endpoint, and costs no budget.
   const wasMoved = request.attemptStop.signal.aborted;
-  if (wasMoved && repeat === RepeatRule.Allowed) return RetryVerdict.Retry;
+  if (wasMoved && repeat === RepeatRule.Allowed) return RetryDecision.Retry;
   return decideRetry({ failure, repeat, remaining, budget });
 }
 
--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -9,7 +9,7 @@
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { Endpoint, Fleet } from "./fleet.js";
 import type { ActiveRequest } from "./requests.js";
-import type { AnswerChunk, Dispatch, RunSink } from "./types.js";
+import type { ResponseChunk, Dispatch, RunSink } from "./types.js";
 
 /** What attempts work with. */
 export interface AttemptParts {
@@ -64,7 +64,7 @@
   async attach(request: ActiveRequest, endpoint: Endpoint): Promise<Result<void, Failure>> {
     const attempt = request.run?.attempt ?? 1;
     const options = { endpoint, attempt, prefill: 0, cacheSource: undefined, rest: undefined };
-    endpoint.load.addDispatch(0);
+    endpoint.load.recordDispatch(0);
     request.attemptStop = new AbortController();
     const intake = Intake.create(request, options, this.parts);
     const emitted = request.log.end;
@@ -117,7 +117,7 @@
 
   readonly sink: RunSink = {
     setHead: (head) => this.request.log.setHead(head),
-    setLoad: (report) => this.options.endpoint.load.setReport(report),
+    setLoad: (report) => this.options.endpoint.load.applyReport(report),
     add: (chunk) => this.add(chunk),
   };
 
@@ -125,18 +125,18 @@
   end(emittedBefore: number, isGood: boolean): void {
     const { endpoint, prefill } = this.options;
     const { envelope, log } = this.request;
-    if (this.isFirst) endpoint.load.addFirstToken(prefill, 0);
+    if (this.isFirst) endpoint.load.recordFirstToken(prefill, 0);
     const tokens = (envelope.model?.promptTokens ?? 0) + log.end - emittedBefore;
-    endpoint.load.addEnd(this.parts.clock.getTime() - this.started, tokens, isGood);
+    endpoint.load.recordEnd(this.parts.clock.getTime() - this.started, tokens, isGood);
     this.parts.fleet.announceRoom(envelope.service);
   }
 
-  private add(chunk: AnswerChunk): Promise<void> {
+  private add(chunk: ResponseChunk): Promise<void> {
     const now = this.parts.clock.getTime();
     if (this.isFirst) {
       this.isFirst = false;
       this.request.firstAt ??= now;
-      this.options.endpoint.load.addFirstToken(this.options.prefill, now - this.started);
+      this.options.endpoint.load.recordFirstToken(this.options.prefill, now - this.started);
     }
     if (chunk.usage) this.learn(chunk);
     const added = this.request.log.add(chunk);
@@ -145,7 +145,7 @@
   }
 
   /** Learns which part of the prompt the endpoint held; it holds all of it now. */
-  private learn(chunk: AnswerChunk): void {
+  private learn(chunk: ResponseChunk): void {
     const { model } = this.request.envelope;
     const { metrics, prefixes } = this.parts;
     prefixes.add(model?.blocks ?? [], this.options.endpoint.load.record.id);
--- a/packages/entry/src/backupStore.ts
+++ b/packages/entry/src/backupStore.ts
@@ -22,7 +22,7 @@
   type ProgressReply,
 } from "./peerKinds.js";
 import type { ActiveRequest, Requests } from "./requests.js";
-import type { AnswerChunk, Envelope } from "./types.js";
+import type { ResponseChunk, Envelope } from "./types.js";
 import { decodeFailure } from "./wireFailure.js";
 
 /** What the store works with. */
@@ -50,7 +50,7 @@
   readonly holder: PeerIdentity;
   /** Monotonic time of the request's deadline. */
   readonly deadline: number;
-  readonly chunks: AnswerChunk[];
+  readonly chunks: ResponseChunk[];
   /** Index of the first chunk held. */
   readonly first: number;
   progress: ProgressItem;
@@ -81,7 +81,7 @@
     links.setHandler(PeerKind.Handover, (message) => this.handleHandover(message as HandoverMessage));
     links.setHandler(PeerKind.NeverStart, (message) => this.handleNeverStart(message as NeverStartMessage));
     links.setHandler(PeerKind.Drop, (message, peer) => this.handleDrop(message as DropMessage, peer));
-    links.onDown((peer) => void this.handleDown(peer));
+    links.onLinkDown((peer) => void this.handleDown(peer));
   }
 
   static create(parts: StoreParts): BackupStore {
--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -4,10 +4,15 @@
  * with the request never contradicts what a caller has already read.
  * @module
  */
-import { InstanceRole, type InstanceRecord, type LiveView, type PeerLinks } from "@gladewall/coordination";
+import {
+  InstanceRole,
+  type InstanceRecord,
+  type MembershipView,
+  type PeerLinks,
+} from "@gladewall/coordination";
 import { type Clock, type Logger, sortByRendezvous, waitFor } from "@gladewall/kernel";
 import { DecisionRule, DecisionStage } from "@gladewall/policy";
-import { AnswerState } from "./answerLog.js";
+import { ResponseState } from "./responseLog.js";
 import type { DecisionWriter } from "./decisions.js";
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
@@ -33,7 +38,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly links: PeerLinks;
-  readonly view: LiveView;
+  readonly view: MembershipView;
   readonly decisions: DecisionWriter;
   readonly metrics: EntryMetrics;
   readonly ring: ExplainRing;
@@ -73,8 +78,8 @@
   private readonly flushers = new Map<string, Flusher>();
 
   private constructor(private readonly parts: BackupParts) {
-    parts.links.onDown((peer) => this.handleDown(peer.name));
-    parts.links.onUp(() => this.protectBare());
+    parts.links.onLinkDown((peer) => this.handleDown(peer.name));
+    parts.links.onLinkUp(() => this.protectBare());
   }
 
   static create(parts: BackupParts): BackupWriter {
@@ -333,7 +338,7 @@
     const held = peers.get(peer);
     // Groups to one backup may be acknowledged out of order: what it once had it still has.
     if (held) peers.set(peer, { chunks: Math.max(held.chunks, next.chunks), decisions: next.decisions });
-    if (state === AnswerState.Open) {
+    if (state === ResponseState.Open) {
       request.log.release(getLeastHeld(peers));
       return;
     }
@@ -358,7 +363,7 @@
       head: log.head,
       from: held.chunks,
       chunks: log.getChunksFrom(held.chunks).map(encodeChunk),
-      isComplete: log.state === AnswerState.Complete,
+      isComplete: log.state === ResponseState.Complete,
       failure: log.failure && encodeFailure(log.failure),
       decisions: decisions.slice(held.decisions),
     };
@@ -369,7 +374,7 @@
 interface Sent {
   readonly protection: Protection;
   readonly next: Held;
-  readonly state: AnswerState;
+  readonly state: ResponseState;
 }
 
 /** Chunks that every backup has: any of them may be the one that goes on. */
--- a/packages/entry/src/claimGate.ts
+++ b/packages/entry/src/claimGuard.ts
@@ -7,12 +7,12 @@
 import { DecisionRule, DecisionStage, RepeatRule } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { BackupWriter } from "./backupWriter.js";
-import type { Claims } from "./claims.js";
+import type { ClaimClient } from "./claimClient.js";
 import type { DecisionWriter } from "./decisions.js";
 import type { ActiveRequest } from "./requests.js";
 
 /** What the gate says. */
-export enum GateVerdict {
+export enum SendDecision {
   /** This entry, and no other, may send the request. */
   Send = 1,
   /** Another has the claim: this entry must never send. */
@@ -20,38 +20,43 @@
 }
 
 /** A verdict and, where it is `Lost`, the claim that stands. */
-export interface GateOutcome {
-  readonly verdict: GateVerdict;
+export interface SendCheck {
+  readonly verdict: SendDecision;
   readonly standing: Claim | undefined;
 }
 
-const sendOutcome: GateOutcome = { verdict: GateVerdict.Send, standing: undefined };
+const sendOutcome: SendCheck = { verdict: SendDecision.Send, standing: undefined };
 const claimRetryAfter = 2_000;
 
 /** Decides who may send. */
-export class ClaimGate {
+export class ClaimGuard {
   private constructor(
     /** Name and incarnation: a restarted entry is another writer. */
     private readonly writer: string,
-    private readonly claims: Claims,
+    private readonly claims: ClaimClient,
     private readonly backups: BackupWriter,
     private readonly decisions: DecisionWriter,
   ) {}
 
-  static create(writer: string, claims: Claims, backups: BackupWriter, decisions: DecisionWriter): ClaimGate {
-    return new ClaimGate(writer, claims, backups, decisions);
+  static create(
+    writer: string,
+    claims: ClaimClient,
+    backups: BackupWriter,
+    decisions: DecisionWriter,
+  ): ClaimGuard {
+    return new ClaimGuard(writer, claims, backups, decisions);
   }
 
   /**
    * Passes a request through. `isBackup` tells that this entry took it over: then only a claim of its own lets it
    * start. Fails with `ClaimUnavailable`.
    */
-  async pass(
+  async ensureClaim(
     request: ActiveRequest,
     endpoint: string,
     run: string,
     isBackup: boolean,
-  ): Promise<Result<GateOutcome, Failure>> {
+  ): Promise<Result<SendCheck, Failure>> {
     const { envelope } = request;
     if (envelope.repeat === RepeatRule.Allowed || request.isClaimed) return Ok(sendOutcome);
     const claim: Claim = {
@@ -63,8 +68,8 @@
       run,
     };
     const outcome = await this.claims.claim(claim);
-    if (outcome.isErr()) return this.passWithout(request, isBackup);
-    if (!outcome.value.isWon) return Ok({ verdict: GateVerdict.Lost, standing: outcome.value.claim });
+    if (outcome.isErr()) return this.proceedWithoutClaim(request, isBackup);
+    if (!outcome.value.isWon) return Ok({ verdict: SendDecision.Lost, standing: outcome.value.claim });
     request.isClaimed = true;
     request.claim = claim;
     this.decisions.add(envelope.id, DecisionStage.Claim, DecisionRule.ClaimWon, {});
@@ -82,10 +87,10 @@
    * The service is down. A caller's key could be used again at another entry, so a keyed request is refused. One
    * without a key is known here alone: it is sent once by its holder, after its backups agreed never to start it.
    */
-  private async passWithout(
+  private async proceedWithoutClaim(
     request: ActiveRequest,
     isBackup: boolean,
-  ): Promise<Result<GateOutcome, Failure>> {
+  ): Promise<Result<SendCheck, Failure>> {
     const refusal = Failure.create(FailureCode.ClaimUnavailable, {}, claimRetryAfter);
     if (isBackup) return Err(refusal.withOutcome(Outcome.Unknown));
     if (request.envelope.keyDigest !== undefined) return Err(refusal);
--- a/packages/entry/src/decisions.ts
+++ b/packages/entry/src/decisions.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { Clock, Failure, FailureCode } from "@gladewall/kernel";
-import type { Alternative, DecisionRecord, DecisionRule, DecisionStage } from "@gladewall/policy";
+import type { PlacementAlternative, DecisionRecord, DecisionRule, DecisionStage } from "@gladewall/policy";
 import type { ExplainRing } from "./explainRing.js";
 
 /** Figures and names of a decision. */
@@ -27,7 +27,7 @@
     stage: DecisionStage,
     rule: DecisionRule,
     inputs: DecisionInputs,
-    alternatives: readonly Alternative[] = [],
+    alternatives: readonly PlacementAlternative[] = [],
   ): void {
     this.put(request, stage, rule, inputs, alternatives, undefined);
   }
@@ -48,7 +48,7 @@
     stage: DecisionStage,
     rule: DecisionRule,
     inputs: DecisionInputs,
-    alternatives: readonly Alternative[],
+    alternatives: readonly PlacementAlternative[],
     failure: FailureCode | undefined,
   ): void {
     const time = this.clock.getWallTime();
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -5,8 +5,8 @@
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
 import {
-  type EndpointLoad,
-  OrderQueue,
+  type EndpointLoadEstimate,
+  FairQueue,
   type Placement,
   type PlacementOptions,
   type PlacementRequest,
@@ -38,7 +38,7 @@
 
 /** The queues of all services. */
 export class Dispatcher {
-  private readonly queues = new Map<string, OrderQueue<Waiting>>();
+  private readonly queues = new Map<string, FairQueue<Waiting>>();
 
   private constructor(
     private readonly settings: EntrySettings["requests"],
@@ -76,7 +76,7 @@
   getExpectedWait(service: string, priority: number, tokens: number): number {
     const loads = this.fleet.getLoads(service).filter((load) => !load.isLeaving);
     if (loads.length === 0) return Infinity;
-    const direct = loads.reduce((least, load) => Math.min(least, load.getExpectedWait(tokens)), Infinity);
+    const direct = loads.reduce((least, load) => Math.min(least, load.estimateWaitMs(tokens)), Infinity);
     const ahead = this.queues.get(service)?.getWorkAhead(priority) ?? 0;
     const perToken = loads.reduce((sum, load) => sum + load.getWorkRate(), 0);
     return direct + (perToken > 0 ? ahead / perToken : 0);
@@ -135,15 +135,15 @@
 
   private placeWaiting(
     waiting: Waiting,
-    withRoom: readonly EndpointLoad[],
-    loads: readonly EndpointLoad[],
+    withRoom: readonly EndpointLoadEstimate[],
+    loads: readonly EndpointLoadEstimate[],
   ): Result<Placed, Failure> {
     const hasOthers = withRoom.some((load) => !waiting.request.excluded.has(load.record.id));
     const candidates = hasOthers ? withRoom : loads;
     const placement = placeRequest(waiting.request, candidates, this.prefixes, this.getOptions());
     if (placement.isErr()) return Err(placement.error.withRetryAfter(noEndpointRetryAfter));
     const { endpoint, cachedTokens } = placement.value;
-    endpoint.addDispatch(Math.max(0, waiting.request.tokens - cachedTokens));
+    endpoint.recordDispatch(Math.max(0, waiting.request.tokens - cachedTokens));
     return Ok({
       placement: placement.value,
       waited: this.clock.getTime() - waiting.since,
@@ -151,15 +151,18 @@
     });
   }
 
-  private hasRoom(load: EndpointLoad): boolean {
-    return load.getActive() < load.getWidth() * (1 + this.settings.engine_slack);
+  private hasRoom(load: EndpointLoadEstimate): boolean {
+    return load.getActiveCount() < load.getWidth() * (1 + this.settings.engine_slack);
   }
 
-  private getQueue(service: string): OrderQueue<Waiting> {
+  private getQueue(service: string): FairQueue<Waiting> {
     let queue = this.queues.get(service);
     if (!queue) {
       const { queue: capacity, starvation_bound: starvationBound } = this.settings;
-      this.queues.set(service, (queue = OrderQueue.create(this.clock, { capacity, starvationBound })));
+      this.queues.set(
+        service,
+        (queue = FairQueue.create(this.clock, { capacity, starvationLimitMs: starvationBound })),
+      );
     }
     return queue;
   }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -6,12 +6,12 @@
 import {
   InstanceState,
   InstanceRole,
-  type LiveView,
+  type MembershipView,
   type PeerLinks,
   ServiceBudget,
 } from "@gladewall/coordination";
 import { type Clock, Failure, FailureCode, type Logger, SystemClock } from "@gladewall/kernel";
-import type { Table } from "@gladewall/policy";
+import type { PolicyTable } from "@gladewall/policy";
 import { Err, type Result } from "ts-results-es";
 import { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
@@ -59,7 +59,7 @@
     const base = { getSettings, incarnation, clock, logger, clients, budget };
     this.membership = Membership.create(base);
     const { membership, ring } = this;
-    const getTable = (): Result<Table, Failure> => this.getTable();
+    const getTable = (): Result<PolicyTable, Failure> => this.getTable();
     this.serving = Serving.create({ ...base, membership, metrics, ring, getTable });
     this.front = Front.create(settings.front, logger, this.serving.routes, () => createRequestId(entry.name));
     this.operators = OperatorPort.create({
@@ -85,7 +85,7 @@
   }
 
   /** What this entry knows of all instances. */
-  get view(): LiveView {
+  get view(): MembershipView {
     return this.membership.view;
   }
 
@@ -203,13 +203,13 @@
     cancel();
   }
 
-  private getTable(): Result<Table, Failure> {
+  private getTable(): Result<PolicyTable, Failure> {
     if (this.isLeaving) return Err(Failure.create(FailureCode.Leaving, {}, leavingRetryAfter));
     return this.membership.getTable();
   }
 
   private getStatus(): unknown {
-    const instances = this.view.getAll().map(({ record, state, takenAt }) => ({
+    const instances = this.view.getAll().map(({ record, state, reclaimAt: takenAt }) => ({
       id: record.id,
       role: InstanceRole[record.role],
       service: record.service,
@@ -225,8 +225,8 @@
 
   private setGauges(): void {
     const { registry } = this.metrics;
-    registry.setGauge("gladewall_configuration_version", "Version in force.", () => this.version);
-    registry.setGauge("gladewall_ready", "1 while requests are taken.", () =>
+    registry.registerGauge("gladewall_configuration_version", "Version in force.", () => this.version);
+    registry.registerGauge("gladewall_ready", "1 while requests are taken.", () =>
       this.getUnready() === undefined ? 1 : 0,
     );
   }
--- a/packages/entry/src/entryMetrics.ts
+++ b/packages/entry/src/entryMetrics.ts
@@ -2,7 +2,7 @@
  * The metrics of an entry, named once.
  * @module
  */
-import { type Counter, type Failure, type Latency, Metrics } from "@gladewall/kernel";
+import { type Counter, type Failure, type LatencyHistogram, Metrics } from "@gladewall/kernel";
 import type { ActiveRequest } from "./requests.js";
 import type { Envelope } from "./types.js";
 
@@ -18,7 +18,7 @@
   readonly unprotected: Counter;
   readonly copiedBytes: Counter;
   readonly progressFrames: Counter;
-  readonly copyTime: Latency;
+  readonly copyTime: LatencyHistogram;
   readonly moves: Counter;
 
   private constructor(readonly registry: Metrics) {
@@ -53,7 +53,10 @@
       "gladewall_progress_frames_total",
       "Groups of progress sent to backups.",
     );
-    this.copyTime = registry.getLatency("gladewall_copy_milliseconds", "Time until a backup holds a copy.");
+    this.copyTime = registry.getLatencyHistogram(
+      "gladewall_copy_milliseconds",
+      "Time until a backup holds a copy.",
+    );
     this.moves = registry.getCounter("gladewall_moves_total", "Runs moved off leaving endpoints.");
   }
 
@@ -62,10 +65,14 @@
   }
 
   /** Latency to the first token or byte of a row's requests, milliseconds. */
-  getFirst(row: string): Latency {
-    return this.registry.getLatency("gladewall_first_milliseconds", "Time to the first token or byte.", {
-      row,
-    });
+  getFirst(row: string): LatencyHistogram {
+    return this.registry.getLatencyHistogram(
+      "gladewall_first_milliseconds",
+      "Time to the first token or byte.",
+      {
+        row,
+      },
+    );
   }
 
   /** Counts a request that ended whole. */
@@ -73,7 +80,7 @@
     const { row } = envelope;
     this.getFirst(row).record(first);
     this.registry
-      .getLatency("gladewall_total_milliseconds", "Time to the end of the answer.", { row })
+      .getLatencyHistogram("gladewall_total_milliseconds", "Time to the end of the answer.", { row })
       .record(total);
     this.registry
       .getCounter("gladewall_output_tokens_total", "Tokens given to callers.", { row })
--- a/packages/entry/src/entrySettings.ts
+++ b/packages/entry/src/entrySettings.ts
@@ -9,10 +9,10 @@
   createDecimal,
   createFlag,
   createInteger,
-  createReloadable,
+  markReloadable,
   createSecret,
   createText,
-  formatReference,
+  formatSettingsReference,
   type SettingsOf,
 } from "@gladewall/kernel";
 
@@ -113,7 +113,7 @@
     notices: createText("Plug-in of reclaim notices.", "http-notices"),
     notices_address: createAddress("Address of the cloud's notices."),
     timeout: createInteger("ms", 2_000, [50, 60_000], "Longest time for a call on the platform."),
-    list_interval: createReloadable(
+    list_interval: markReloadable(
       createInteger("ms", 1_000, [20, 600_000], "Time between readings of the instance list."),
     ),
     prefix: createText("Prefix of this system's keys in the key-value service.", "gladewall/"),
@@ -134,8 +134,8 @@
     watch_wait: createInteger("ms", 2_000, [50, 600_000], "Longest wait of one watch."),
   },
   requests: {
-    default_class: createReloadable(createText("Class of a request that names none.", "standard")),
-    deadline: createReloadable(createInteger("ms", 300_000, [100, 86_400_000], "Longest life of a request.")),
+    default_class: markReloadable(createText("Class of a request that names none.", "standard")),
+    deadline: markReloadable(createInteger("ms", 300_000, [100, 86_400_000], "Longest life of a request.")),
     queue: createInteger(
       "requests",
       1_000,
@@ -156,9 +156,7 @@
     ),
     retry_fraction: createDecimal("", 0.1, [0, 1], "Retries allowed for each success."),
     attempts: createInteger("attempts", 6, [1, 100], "Most attempts of one request."),
-    refuse_late: createReloadable(
-      createFlag(true, "Refuse at the door what cannot meet its latency target."),
-    ),
+    refuse_late: markReloadable(createFlag(true, "Refuse at the door what cannot meet its latency target.")),
     copy_bytes: createInteger(
       "bytes",
       262_144,
@@ -286,10 +284,10 @@
     backoff_highest: createInteger("ms", 10_000, [1, 600_000], "Longest such time."),
   },
   placement: {
-    price_weight: createReloadable(
+    price_weight: markReloadable(
       createDecimal("ms per cent/h", 0.5, [0, 10_000], "Milliseconds that one cent an hour is worth."),
     ),
-    risk_weight: createReloadable(
+    risk_weight: markReloadable(
       createDecimal(
         "ms",
         20,
@@ -297,14 +295,14 @@
         "Milliseconds that a reclaimable instance costs the most urgent.",
       ),
     ),
-    hall_distance: createReloadable(createDecimal("ms", 2, [0, 10_000], "Round trip to another data hall.")),
-    load_bound: createReloadable(
+    hall_distance: markReloadable(createDecimal("ms", 2, [0, 10_000], "Round trip to another data hall.")),
+    load_bound: markReloadable(
       createDecimal("", 1.5, [1, 100], "Multiple of the mean load above which a prefix home is passed over."),
     ),
     prefix_blocks: createInteger("blocks", 50_000, [100, 10_000_000], "Prompt blocks remembered."),
   },
   logs: {
-    level: createReloadable(
+    level: markReloadable(
       createChoice(["error", "warn", "info", "debug"], "info", "Least severity that is written."),
     ),
     decisions: createInteger("requests", 5_000, [10, 1_000_000], "Requests whose decisions are remembered."),
@@ -318,5 +316,5 @@
 export function formatSettingsPage(): string {
   const head =
     "# Settings\n\nWritten by `gladewalld --reference`. One INI file; every key stands in its section.\n\n";
-  return `${head}${formatReference(entrySchema)}`;
+  return `${head}${formatSettingsReference(entrySchema)}`;
 }
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -8,11 +8,11 @@
 import { Failure, FailureCode } from "@gladewall/kernel";
 import {
   estimateTokens,
-  getServiceRepeat,
-  hashBlocks,
+  getServiceRepeatRule,
+  hashPromptBlocks,
   RepeatRule,
   type ServiceRecord,
-  type TableRow,
+  type PolicyRow,
 } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import { type Envelope, type Header, ModelForm, type ModelRequest } from "./types.js";
@@ -108,7 +108,7 @@
     promptTokens: estimateTokens(prompt),
     outputTokens,
     isContinuable: !parsed.tools && !parsed.logprobs && !parsed.response_format,
-    blocks: hashBlocks(`${parsed.model}\n${prompt}`),
+    blocks: hashPromptBlocks(`${parsed.model}\n${prompt}`),
   };
   return Ok({ service: parsed.model, model });
 }
@@ -144,7 +144,7 @@
   readonly workspace: string;
   readonly service: ServiceRecord;
   readonly marks: RequestMarks;
-  readonly row: TableRow;
+  readonly row: PolicyRow;
   readonly rowName: string;
   readonly method: string;
   readonly path: string;
@@ -160,7 +160,7 @@
   const isNever =
     marks.isNever ||
     row.repeat === RepeatRule.Never ||
-    getServiceRepeat(service, input.method, input.path) === RepeatRule.Never;
+    getServiceRepeatRule(service, input.method, input.path) === RepeatRule.Never;
   return {
     id: input.id,
     workspace: input.workspace,
--- a/packages/entry/src/fleet.ts
+++ b/packages/entry/src/fleet.ts
@@ -5,12 +5,12 @@
 import {
   type InstanceRecord,
   InstanceRole,
-  type InstanceView,
+  type InstanceStatus,
   isUsable,
-  type LiveView,
+  type MembershipView,
 } from "@gladewall/coordination";
 import { type Clock, createFromPlugin, type Logger, PluginKind, waitFor } from "@gladewall/kernel";
-import { EndpointLoad } from "@gladewall/policy";
+import { EndpointLoadEstimate } from "@gladewall/policy";
 import type { EntrySettings } from "./entrySettings.js";
 import type { EndpointClient, EndpointOptions } from "./types.js";
 
@@ -19,19 +19,19 @@
 
 /** One endpoint. */
 export interface Endpoint {
-  readonly load: EndpointLoad;
+  readonly load: EndpointLoadEstimate;
   readonly client: EndpointClient;
   /** Ends the endpoint's own task. */
   readonly stop: AbortController;
 }
 
 /** Called when an endpoint starts to leave or is gone. */
-export type LeavingListener = (endpoint: Endpoint, view: InstanceView) => void;
+export type LeavingListener = (endpoint: Endpoint, view: InstanceStatus) => void;
 
 /** All endpoints that this entry knows. */
 export class Fleet {
   private readonly endpoints = new Map<string, Endpoint>();
-  private readonly loadsByService = new Map<string, EndpointLoad[]>();
+  private readonly loadsByService = new Map<string, EndpointLoadEstimate[]>();
   private readonly roomListeners = new Set<(service: string) => void>();
   private readonly leavingListeners = new Set<LeavingListener>();
   private readonly stopWatching: () => void;
@@ -40,18 +40,23 @@
     private readonly settings: EntrySettings["endpoints"],
     private readonly clock: Clock,
     private readonly logger: Logger,
-    view: LiveView,
+    view: MembershipView,
   ) {
     this.stopWatching = view.onChange((instance) => this.handleChange(instance));
     for (const instance of view.getAll()) this.handleChange(instance);
   }
 
-  static create(settings: EntrySettings["endpoints"], clock: Clock, logger: Logger, view: LiveView): Fleet {
+  static create(
+    settings: EntrySettings["endpoints"],
+    clock: Clock,
+    logger: Logger,
+    view: MembershipView,
+  ): Fleet {
     return new Fleet(settings, clock, logger, view);
   }
 
   /** Returns the loads of a service's endpoints, leaving ones too. */
-  getLoads(service: string): readonly EndpointLoad[] {
+  getLoads(service: string): readonly EndpointLoadEstimate[] {
     return this.loadsByService.get(service) ?? [];
   }
 
@@ -90,7 +95,7 @@
     await Promise.all(endpoints.map((endpoint) => endpoint.client.close()));
   }
 
-  private handleChange(view: InstanceView): void {
+  private handleChange(view: InstanceStatus): void {
     if (view.record.role !== InstanceRole.Endpoint) return;
     const present = this.endpoints.get(view.record.id);
     const isSame = present && isSameInstance(present.load.record, view.record);
@@ -123,7 +128,7 @@
       return undefined;
     }
     if (replaced) this.removeEndpoint(replaced);
-    const load = EndpointLoad.create(this.clock, record);
+    const load = EndpointLoadEstimate.create(this.clock, record);
     const endpoint: Endpoint = { load, client: client.value, stop: new AbortController() };
     this.endpoints.set(record.id, endpoint);
     const loads = this.loadsByService.get(record.service) ?? [];
@@ -157,7 +162,7 @@
     while (!signal.aborted && !endpoint.load.isLeaving) {
       const report = await endpoint.client.readLoad();
       if (report.isOk()) {
-        endpoint.load.setReport(report.value);
+        endpoint.load.applyReport(report.value);
         this.announceRoom(endpoint.load.record.service);
       }
       await waitFor(this.clock, this.getPollInterval(), signal);
--- a/packages/entry/src/gossip.ts
+++ b/packages/entry/src/gossip.ts
@@ -5,18 +5,23 @@
  */
 import {
   type DocumentFollower,
-  type InstanceView,
+  type InstanceStatus,
   InstanceState,
   LinkMessageKind,
-  type LiveView,
+  type MembershipView,
   type PeerIdentity,
   type PeerLinks,
   type PeerMessage,
-  WordSource,
+  UpdateSource,
 } from "@gladewall/coordination";
 import type { Clock } from "@gladewall/kernel";
 import type { Configuration } from "@gladewall/policy";
-import { type ConfigurationReply, PeerKind, type PingFields, type WordMessage } from "./peerKinds.js";
+import {
+  type ConfigurationReply,
+  PeerKind,
+  type PingFields,
+  type InstanceUpdateMessage,
+} from "./peerKinds.js";
 
 const askTimeout = 2_000;
 /** Age that a peer gives which has never heard from anybody. */
@@ -30,14 +35,16 @@
   private constructor(
     private readonly own: string,
     private readonly links: PeerLinks,
-    private readonly view: LiveView,
+    private readonly view: MembershipView,
     private readonly follower: DocumentFollower<Configuration>,
     private readonly clock: Clock,
   ) {
     links.setHandler(LinkMessageKind.Ping, (message, peer) => this.handlePing(message, peer));
     links.setHandler(PeerKind.AskConfiguration, () => this.createConfigurationReply());
-    links.setHandler(PeerKind.Word, (message) => this.handleWord(message as WordMessage));
-    links.onUp((peer) => this.sendWords(peer));
+    links.setHandler(PeerKind.InstanceUpdate, (message) =>
+      this.handleInstanceUpdate(message as InstanceUpdateMessage),
+    );
+    links.onLinkUp((peer) => this.sendInstanceUpdates(peer));
     follower.onChange(() => links.broadcast({ kind: LinkMessageKind.Ping, ...this.createPing() }));
     view.onChange((instance) => this.passOn(instance));
   }
@@ -45,7 +52,7 @@
   static create(
     own: string,
     links: PeerLinks,
-    view: LiveView,
+    view: MembershipView,
     follower: DocumentFollower<Configuration>,
     clock: Clock,
   ): Gossip {
@@ -59,7 +66,7 @@
 
   private handlePing(message: PeerMessage, peer: PeerIdentity): void {
     const { version, age } = message as PeerMessage & PingFields;
-    this.follower.hearVersion(version, age);
+    this.follower.confirmVersion(version, age);
     if (version > this.follower.version) void this.askConfiguration(peer);
   }
 
@@ -74,37 +81,37 @@
   }
 
   private createConfigurationReply(): ConfigurationReply {
-    return { bytes: this.follower.get()?.bytes, age: this.follower.getSilence() ?? neverHeard };
+    return { bytes: this.follower.get()?.bytes, age: this.follower.getAgeMs() ?? neverHeard };
   }
 
-  private handleWord(message: WordMessage): void {
-    this.view.add({ ...message.word, source: WordSource.Peer });
+  private handleInstanceUpdate(message: InstanceUpdateMessage): void {
+    this.view.merge({ ...message.word, source: UpdateSource.Peer });
   }
 
   /** The list is everyone's own to read; any other word that changed this view may be news to the others. */
-  private passOn(instance: InstanceView): void {
-    if (instance.source !== WordSource.List) this.links.broadcast(this.createWord(instance));
+  private passOn(instance: InstanceStatus): void {
+    if (instance.source !== UpdateSource.List) this.links.broadcast(this.createUpdateMessage(instance));
   }
 
   /** Tells a peer that has just been linked of this entry itself, which its list may not show yet, and who is leaving. */
-  private sendWords(peer: PeerIdentity): void {
+  private sendInstanceUpdates(peer: PeerIdentity): void {
     for (const instance of this.view.getAll()) {
       const isNews = instance.state === InstanceState.Leaving || instance.record.id === this.own;
-      if (isNews) this.links.send(peer.name, this.createWord(instance));
+      if (isNews) this.links.send(peer.name, this.createUpdateMessage(instance));
     }
   }
 
-  private createWord({ record, state, takenAt }: InstanceView): WordMessage {
+  private createUpdateMessage({ record, state, reclaimAt: takenAt }: InstanceStatus): InstanceUpdateMessage {
     const remaining = takenAt === undefined ? undefined : Math.max(0, takenAt - this.clock.getTime());
     const { id, incarnation } = record;
     return {
-      kind: PeerKind.Word,
-      word: { id, incarnation, state, source: WordSource.Peer, remaining, record },
+      kind: PeerKind.InstanceUpdate,
+      word: { id, incarnation, state, source: UpdateSource.Peer, remaining, record },
     };
   }
 }
 
 /** Returns what a ping says of the configuration. */
 export function createPingFields(follower: DocumentFollower<Configuration>): PingFields {
-  return { version: follower.version, age: Math.round(follower.getSilence() ?? neverHeard) };
+  return { version: follower.version, age: Math.round(follower.getAgeMs() ?? neverHeard) };
 }
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
-import { connectionHeaders, Failure, FailureCode } from "@gladewall/kernel";
+import { hopByHopHeaders, Failure, FailureCode } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { Header } from "./types.js";
 
@@ -73,7 +73,7 @@
     const name = (rawHeaders[index] ?? "").toLowerCase();
     const value = rawHeaders[index + 1] ?? "";
     if (name === "x-forwarded-for") forwarded.push(...value.split(",").map((part) => part.trim()));
-    if (connectionHeaders.has(name) || ownHeaders.has(name) || named.has(name) || name.startsWith(ownPrefix))
+    if (hopByHopHeaders.has(name) || ownHeaders.has(name) || named.has(name) || name.startsWith(ownPrefix))
       continue;
     headers.push([name, value]);
   }
@@ -100,12 +100,12 @@
 }
 
 /** Returns an endpoint's headers that a caller gets. */
-export function selectAnswerHeaders(headers: IncomingHttpHeaders): readonly Header[] {
+export function selectResponseHeaders(headers: IncomingHttpHeaders): readonly Header[] {
   const connection = headers.connection;
   const named = getConnectionNames(connection === undefined ? [] : ["connection", connection]);
   const selected: Header[] = [];
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || name === "x-load" || connectionHeaders.has(name) || named.has(name)) continue;
+    if (value === undefined || name === "x-load" || hopByHopHeaders.has(name) || named.has(name)) continue;
     for (const single of Array.isArray(value) ? value : [value]) selected.push([name, single]);
   }
   return selected;
--- a/packages/entry/src/keyLookup.ts
+++ b/packages/entry/src/keyLookup.ts
@@ -3,13 +3,13 @@
  * with a key would be refused: "not run" must be true of the key, not only of its latest sending.
  * @module
  */
-import { InstanceRole, type LiveView, type PeerLinks } from "@gladewall/coordination";
+import { InstanceRole, type MembershipView, type PeerLinks } from "@gladewall/coordination";
 import { Failure, FailureCode, sortByRendezvous } from "@gladewall/kernel";
 import { RepeatRule } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { BackupStore } from "./backupStore.js";
 import type { KeyConflict } from "./backupWriter.js";
-import type { Claims } from "./claims.js";
+import type { ClaimClient } from "./claimClient.js";
 import { type FindKeyMessage, type FindKeyReply, PeerKind } from "./peerKinds.js";
 import type { Envelope } from "./types.js";
 
@@ -18,9 +18,9 @@
   private constructor(
     private readonly own: string,
     private readonly links: PeerLinks,
-    private readonly view: LiveView,
+    private readonly view: MembershipView,
     private readonly copies: BackupStore,
-    private readonly claims: Claims,
+    private readonly claims: ClaimClient,
     private readonly timeout: number,
   ) {
     links.setHandler(PeerKind.FindKey, (message) => this.handleFind(message as FindKeyMessage));
@@ -30,9 +30,9 @@
   static create(
     own: string,
     links: PeerLinks,
-    view: LiveView,
+    view: MembershipView,
     copies: BackupStore,
-    claims: Claims,
+    claims: ClaimClient,
     timeout: number,
   ): KeyLookup {
     return new KeyLookup(own, links, view, copies, claims, timeout);
--- a/packages/entry/src/leavingRuns.ts
+++ b/packages/entry/src/leavingRuns.ts
@@ -2,7 +2,7 @@
  * What becomes of runs on a leaving endpoint: let finish, move with their cache, or run again elsewhere.
  * @module
  */
-import type { InstanceView } from "@gladewall/coordination";
+import type { InstanceStatus } from "@gladewall/coordination";
 import type { Clock } from "@gladewall/kernel";
 import { DecisionRule, DecisionStage, RepeatRule } from "@gladewall/policy";
 import type { DecisionWriter } from "./decisions.js";
@@ -36,13 +36,13 @@
   }
 
   /** Urgent requests are moved first, then those that would lose most. */
-  private handleLeaving(endpoint: Endpoint, view: InstanceView): void {
+  private handleLeaving(endpoint: Endpoint, view: InstanceStatus): void {
     const { id } = endpoint.load.record;
     const runs = this.requests.getOpen().filter((request) => request.run?.endpoint === id);
     runs.sort(
       (left, right) => right.envelope.priority - left.envelope.priority || right.log.end - left.log.end,
     );
-    const takenAt = view.takenAt ?? this.clock.getTime() + this.settings.notice_assumed;
+    const takenAt = view.reclaimAt ?? this.clock.getTime() + this.settings.notice_assumed;
     for (const request of runs) this.decide(request, endpoint, takenAt - this.clock.getTime());
   }
 
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -7,7 +7,7 @@
 import {
   DaemonLogs,
   type Failure,
-  findLogLevel,
+  parseLogLevel,
   formatSettings,
   printFailures,
   readSettings,
@@ -38,7 +38,7 @@
     void entry
       .stop()
       .then(() => logs.close())
-      .then(() => process.exit(ExitCode.Good));
+      .then(() => process.exit(ExitCode.Success));
   };
   process.on("SIGTERM", stop);
   process.on("SIGINT", stop);
@@ -49,7 +49,7 @@
         logger.error("settings.refused", { failure: failure.name, text: failure.text });
       return;
     }
-    logger.setLevel(findLogLevel(settings.value.logs.level));
+    logger.setLevel(parseLogLevel(settings.value.logs.level));
     entry.reload(settings.value);
     logger.info("settings.reloaded", {});
   });
@@ -59,21 +59,21 @@
   const options = await parseArguments(process.argv.slice(2));
   if (options.reference) {
     process.stdout.write(formatSettingsPage());
-    process.exit(ExitCode.Good);
+    process.exit(ExitCode.Success);
   }
   const settings = readDaemonSettings(options);
   if (settings.isErr()) {
     printFailures(settings.error);
-    process.exit(ExitCode.BadSettings);
+    process.exit(ExitCode.InvalidSettings);
   }
-  const logs = DaemonLogs.create(SystemClock.create(), findLogLevel(settings.value.logs.level), {});
+  const logs = DaemonLogs.create(SystemClock.create(), parseLogLevel(settings.value.logs.level), {});
   const entry = Entry.create(settings.value, logs.logger);
   if (entry.isErr()) {
     printFailures([entry.error]);
-    process.exit(ExitCode.BadSettings);
+    process.exit(ExitCode.InvalidSettings);
   }
   if (options.print) process.stdout.write(formatSettings(entrySchema, settings.value));
-  if (options.check || options.print) process.exit(ExitCode.Good);
+  if (options.check || options.print) process.exit(ExitCode.Success);
   handleSignals(entry.value, logs, options);
   await entry.value.start();
 }
--- a/packages/entry/src/membership.ts
+++ b/packages/entry/src/membership.ts
@@ -8,16 +8,16 @@
   type InstanceRecord,
   InstanceRole,
   InstanceState,
-  type InstanceView,
-  type InstanceWord,
-  LiveView,
+  type InstanceStatus,
+  type InstanceUpdate,
+  MembershipView,
   PeerLinks,
   PriceClass,
   type ServiceBudget,
-  WordSource,
+  UpdateSource,
 } from "@gladewall/coordination";
 import { type Clock, type Closeable, Failure, FailureCode, type Logger } from "@gladewall/kernel";
-import { type Configuration, Table } from "@gladewall/policy";
+import { type Configuration, PolicyTable } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import { configurationCodec, configurationKey } from "./configurationCodec.js";
 import type { EntrySettings } from "./entrySettings.js";
@@ -36,24 +36,24 @@
 }
 
 /** Called with what the view says of an entry. */
-export type EntryListener = (instance: InstanceView) => void;
+export type EntryListener = (instance: InstanceStatus) => void;
 
 const notReadyRetryAfter = 1_000;
 
 /** An entry's membership. */
 export class Membership implements Closeable {
-  readonly view: LiveView;
+  readonly view: MembershipView;
   readonly links: PeerLinks;
   readonly follower: DocumentFollower<Configuration>;
   private readonly platform: PlatformFollower;
-  private table: Table | undefined;
+  private table: PolicyTable | undefined;
 
   private constructor(private readonly parts: MembershipParts) {
     const { clock, logger, clients } = parts;
     const getListInterval = (): number => parts.getSettings().platform.list_interval;
-    this.view = LiveView.create(clock);
+    this.view = MembershipView.create(clock);
     this.follower = this.createFollower();
-    this.follower.onChange(({ document }) => (this.table = Table.create(document)));
+    this.follower.onChange(({ document }) => (this.table = PolicyTable.create(document)));
     this.platform = PlatformFollower.create(clients, this.view, clock, logger, getListInterval);
     this.links = this.createLinks();
     Gossip.create(this.own, this.links, this.view, this.follower, clock);
@@ -68,7 +68,7 @@
   async open(): Promise<string> {
     const { peers } = this.parts.getSettings();
     const address = await this.links.open();
-    this.view.add(this.createOwnWord(peers.advertise || address));
+    this.view.merge(this.createOwnUpdate(peers.advertise || address));
     this.links.setPeers(peers.seeds.map((seed) => ({ name: seed, incarnation: 0, address: seed })));
     this.follower.start();
     await this.platform.readList();
@@ -85,7 +85,7 @@
 
   /** Calls back when a notice says that this very instance will be taken, with the milliseconds left. */
   onOwnNotice(listener: (remaining: number) => void): void {
-    this.view.onChange(({ record, state, takenAt }) => {
+    this.view.onChange(({ record, state, reclaimAt: takenAt }) => {
       const isNotice = record.id === this.own && state === InstanceState.Leaving && takenAt !== undefined;
       if (isNotice) listener(takenAt - this.parts.clock.getTime());
     });
@@ -94,16 +94,16 @@
   /** Tells everyone that this entry is leaving: peers hear it from here first, the list may be long in saying so. */
   announceLeaving(): void {
     const own = this.view.get(this.own);
-    if (own) this.view.add({ ...own.record, state: InstanceState.Leaving, source: WordSource.Own });
+    if (own) this.view.merge({ ...own.record, state: InstanceState.Leaving, source: UpdateSource.Own });
   }
 
   /** Returns the table in force, however old the word for it. */
-  getAnyTable(): Result<Table, Failure> {
+  getAnyTable(): Result<PolicyTable, Failure> {
     return this.table ? Ok(this.table) : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfter));
   }
 
   /** Returns the table in force where it is known to be current; fails with `NotReady`. */
-  getTable(): Result<Table, Failure> {
+  getTable(): Result<PolicyTable, Failure> {
     const isCurrent = this.follower.isCurrent() || this.hasMostPeers();
     return isCurrent ? this.getAnyTable() : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfter));
   }
@@ -121,11 +121,11 @@
    * with most of the peers it should be linked with goes on: whoever could know of a newer one is among them.
    */
   private hasMostPeers(): boolean {
-    const wanted = this.links.getWantedCount();
+    const wanted = this.links.getExpectedCount();
     return wanted > 0 && this.links.getLinked().length * 2 > wanted;
   }
 
-  private handleInstance(instance: InstanceView): void {
+  private handleInstance(instance: InstanceStatus): void {
     if (!isEntry(instance) || instance.record.id === this.own) return;
     const entries = this.view.getAll().filter((each) => isEntry(each) && each.state !== InstanceState.Gone);
     const peers = entries.map(({ record: { id, incarnation, address } }) => ({
@@ -137,7 +137,7 @@
   }
 
   /** This entry's word about itself, before any list has it. */
-  private createOwnWord(address: string): InstanceWord {
+  private createOwnUpdate(address: string): InstanceUpdate {
     const { name, hall, price_class: priceClass } = this.parts.getSettings().entry;
     const record: InstanceRecord = {
       id: name,
@@ -151,7 +151,7 @@
       price: 0,
       state: InstanceState.Live,
     };
-    return { ...record, source: WordSource.Own, record };
+    return { ...record, source: UpdateSource.Own, record };
   }
 
   private createLinks(): PeerLinks {
@@ -163,13 +163,13 @@
       clock,
       logger,
       listen: peers.listen,
-      handshakeTimeout: peers.lost_after,
-      outboxBytes: peers.outbox_bytes,
-      pingInterval: peers.ping_interval,
-      lostAfter: peers.lost_after,
-      standingLinks: peers.links,
+      handshakeTimeoutMs: peers.lost_after,
+      maxOutboxBytes: peers.outbox_bytes,
+      pingIntervalMs: peers.ping_interval,
+      lossTimeoutMs: peers.lost_after,
+      maxPersistentLinks: peers.links,
       getRandom: Math.random,
-      getPing: () => ({ ...createPingFields(this.follower) }),
+      getPingFields: () => ({ ...createPingFields(this.follower) }),
     });
   }
 
@@ -182,13 +182,13 @@
       codec: configurationCodec,
       clock,
       logger,
-      watchWait: configuration.watch_wait,
-      currentWithin: configuration.current_within,
+      watchWaitMs: configuration.watch_wait,
+      maxAgeMs: configuration.current_within,
       getRandom: Math.random,
     });
   }
 }
 
-function isEntry(instance: InstanceView): boolean {
+function isEntry(instance: InstanceStatus): boolean {
   return instance.record.role === InstanceRole.Entry;
 }
--- a/packages/entry/src/answerModel.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -5,11 +5,11 @@
  */
 import type { ServerResponse } from "node:http";
 import { Failure, FailureCode } from "@gladewall/kernel";
-import { AnswerState } from "./answerLog.js";
+import { ResponseState } from "./responseLog.js";
 import { waitForDrain } from "./drain.js";
 import { formatProblem, sendMoved, sendProblem } from "./problem.js";
 import type { ActiveRequest } from "./requests.js";
-import { type AnswerChunk, ModelForm, type Usage } from "./types.js";
+import { type ResponseChunk, ModelForm, type Usage } from "./types.js";
 
 const millisecondsPerSecond = 1000;
 /** Milliseconds after which a caller comes back to a stream that goes on elsewhere. */
@@ -43,17 +43,17 @@
 };
 
 /** How a caller takes an answer. */
-export interface AnswerView {
+export interface ResponseView {
   readonly isStream: boolean;
   /** Position from which to give it. */
   readonly from: number;
 }
 
 /** Writes an answer until its end or until the caller left; the signal aborts then. */
-export async function writeModelAnswer(
+export async function writeModelResponse(
   response: ServerResponse,
   request: ActiveRequest,
-  view: AnswerView,
+  view: ResponseView,
   signal: AbortSignal,
 ): Promise<void> {
   if (view.isStream) return writeStream(response, request, view.from, signal);
@@ -66,7 +66,7 @@
     usage = chunk.usage ?? usage;
   }
   if (signal.aborted) return;
-  if (request.log.state === AnswerState.Moved) return sendMoved(response, request.envelope.id);
+  if (request.log.state === ResponseState.Moved) return sendMoved(response, request.envelope.id);
   const failure = getFailure(request);
   if (failure) return sendProblem(response, failure, request.envelope.id);
   const body = formatWhole(request, text.join(""), finish, usage);
@@ -90,7 +90,7 @@
     if (!response.write(formatEvent(request, chunk))) await waitForDrain(response, signal);
   }
   if (signal.aborted) return;
-  if (request.log.state === AnswerState.Moved) return endMovedStream(response, request.envelope.id);
+  if (request.log.state === ResponseState.Moved) return endMovedStream(response, request.envelope.id);
   const failure = getFailure(request);
   if (failure && !response.headersSent) return sendProblem(response, failure, request.envelope.id);
   if (!response.headersSent) startStream(response, request.envelope.id);
@@ -118,11 +118,11 @@
 
 function getFailure(request: ActiveRequest): Failure | undefined {
   const { log } = request;
-  if (log.state === AnswerState.Complete) return undefined;
+  if (log.state === ResponseState.Complete) return undefined;
   return log.failure ?? Failure.create(FailureCode.Internal, { detail: "the answer has no end" });
 }
 
-function formatEvent(request: ActiveRequest, chunk: AnswerChunk): string {
+function formatEvent(request: ActiveRequest, chunk: ResponseChunk): string {
   const { envelope } = request;
   const form = envelope.model?.form ?? ModelForm.Chat;
   const writer = formWriters[form];
--- a/packages/entry/src/peerKinds.ts
+++ b/packages/entry/src/peerKinds.ts
@@ -2,15 +2,15 @@
  * Messages between entries: kinds and shapes. Kinds below 16 belong to the links themselves.
  * @module
  */
-import type { Amounts, Claim, InstanceWord, PeerMessage, ShareDemand } from "@gladewall/coordination";
+import type { Amounts, Claim, InstanceUpdate, PeerMessage, ShareDemand } from "@gladewall/coordination";
 import type { FailureCode, Outcome } from "@gladewall/kernel";
 import type { DecisionRecord } from "@gladewall/policy";
-import type { AnswerChunk, AnswerHead, Envelope, Usage } from "./types.js";
+import type { ResponseChunk, ResponseHead, Envelope, Usage } from "./types.js";
 
 /** Kinds of message. */
 export enum PeerKind {
   AskConfiguration = 16,
-  Word = 17,
+  InstanceUpdate = 17,
   Copy = 18,
   Progress = 19,
   Handover = 20,
@@ -38,13 +38,13 @@
 }
 
 /** Word about an instance, passed on. */
-export interface WordMessage extends PeerMessage {
-  readonly kind: PeerKind.Word;
-  readonly word: InstanceWord;
+export interface InstanceUpdateMessage extends PeerMessage {
+  readonly kind: PeerKind.InstanceUpdate;
+  readonly word: InstanceUpdate;
 }
 
 /** A run as peers tell it. */
-export interface RunWord {
+export interface RunLocation {
   readonly runId: string;
   readonly attempt: number;
   readonly endpoint: string;
@@ -91,8 +91,8 @@
 /** What is new about one request. */
 export interface ProgressItem {
   readonly request: string;
-  readonly run?: RunWord | undefined;
-  readonly head?: AnswerHead | undefined;
+  readonly run?: RunLocation | undefined;
+  readonly head?: ResponseHead | undefined;
   /** Index of the first chunk. */
   readonly from: number;
   readonly chunks: readonly WireChunk[];
@@ -194,7 +194,7 @@
 export interface FollowPart extends PeerMessage {
   readonly kind: PeerKind.FollowPart;
   readonly stream: number;
-  readonly head?: AnswerHead | undefined;
+  readonly head?: ResponseHead | undefined;
   readonly chunks: readonly WireChunk[];
   readonly isComplete: boolean;
   readonly failure?: WireFailure | undefined;
@@ -227,7 +227,7 @@
 }
 
 /** Returns a chunk as it is sent. */
-export function encodeChunk(chunk: AnswerChunk): WireChunk {
+export function encodeChunk(chunk: ResponseChunk): WireChunk {
   const { position, data, choices, finish, usage } = chunk;
   if (usage) return [position, data, choices ?? "", finish ?? "", usage];
   if (finish !== undefined) return [position, data, choices ?? "", finish];
@@ -235,7 +235,7 @@
 }
 
 /** Returns a chunk as it was before it was sent. */
-export function decodeChunk([position, data, choices, finish, usage]: WireChunk): AnswerChunk {
+export function decodeChunk([position, data, choices, finish, usage]: WireChunk): ResponseChunk {
   return {
     position,
     data,
--- a/packages/entry/src/platform.ts
+++ b/packages/entry/src/platform.ts
@@ -6,9 +6,9 @@
   type InstanceList,
   InstanceState,
   type KeyValueService,
-  type LiveView,
+  type MembershipView,
   type NoticeSource,
-  WordSource,
+  UpdateSource,
 } from "@gladewall/coordination";
 import {
   type Clock,
@@ -66,7 +66,7 @@
 
   private constructor(
     private readonly clients: PlatformClients,
-    private readonly view: LiveView,
+    private readonly view: MembershipView,
     private readonly clock: Clock,
     private readonly logger: Logger,
     private readonly getListInterval: () => number,
@@ -74,7 +74,7 @@
 
   static create(
     clients: PlatformClients,
-    view: LiveView,
+    view: MembershipView,
     clock: Clock,
     logger: Logger,
     getListInterval: () => number,
@@ -97,7 +97,7 @@
     this.isSilent = false;
     // A few readings of the same list still count: absence is only believed after several.
     this.unchanged = list.value.isUnchanged ? this.unchanged + 1 : 0;
-    if (this.unchanged <= unchangedCounted) this.view.addList(list.value.records);
+    if (this.unchanged <= unchangedCounted) this.view.mergeList(list.value.records);
   }
 
   async close(): Promise<void> {
@@ -131,11 +131,11 @@
       last = batch.value.last;
       for (const { instance, incarnation, remaining } of batch.value.notices) {
         this.logger.info("notice", { instance, remainingMs: Math.round(remaining) });
-        this.view.add({
+        this.view.merge({
           id: instance,
           incarnation,
           state: InstanceState.Leaving,
-          source: WordSource.Notice,
+          source: UpdateSource.Notice,
           remaining,
         });
       }
--- a/packages/entry/src/plugins/httpCall.ts
+++ b/packages/entry/src/plugins/httpCall.ts
@@ -16,7 +16,7 @@
 }
 
 /** An HTTP answer read as text. */
-export interface CallAnswer {
+export interface CallResponse {
   readonly status: number;
   readonly body: string;
   /** Entity tag, where the answer has one. */
@@ -73,7 +73,7 @@
 }
 
 /** Makes a call. Fails with `ServiceUnavailable`, or `ServiceAnswerLost` where a change may have taken effect. */
-export async function callService(pool: Pool, call: Call): Promise<Result<CallAnswer, Failure>> {
+export async function callService(pool: Pool, call: Call): Promise<Result<CallResponse, Failure>> {
   const timeout = AbortSignal.timeout(call.timeout);
   const signal = call.signal ? AbortSignal.any([timeout, call.signal]) : timeout;
   try {
@@ -93,7 +93,7 @@
 }
 
 /** Parses JSON; fails with `ServiceUnavailable`. */
-export function parseJson<Shape>(answer: CallAnswer): Result<Shape, Failure> {
+export function parseJson<Shape>(answer: CallResponse): Result<Shape, Failure> {
   try {
     return Ok(JSON.parse(answer.body) as Shape);
   } catch {
--- a/packages/entry/src/plugins/httpKeyValue.ts
+++ b/packages/entry/src/plugins/httpKeyValue.ts
@@ -8,14 +8,14 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import type { Pool } from "undici";
 import type { AddressOptions } from "../types.js";
-import { type CallAnswer, CallEffect, callService, createPool, parseJson } from "./httpCall.js";
+import { type CallResponse, CallEffect, callService, createPool, parseJson } from "./httpCall.js";
 
 interface ReadEntry {
   readonly Value: string;
   readonly ModifyIndex: number;
 }
 
-interface SwapAnswer {
+interface SwapResponse {
   readonly Results: readonly { readonly KV: { readonly ModifyIndex: number } }[];
 }
 
@@ -72,7 +72,7 @@
     if (answer.value.status === statusConflict)
       return Err(Failure.create(FailureCode.ServiceConflict, { key }));
     if (answer.value.status !== statusOk) return Err(createStatusFailure(answer.value.status));
-    const parsed = parseJson<SwapAnswer>(answer.value);
+    const parsed = parseJson<SwapResponse>(answer.value);
     const revision = parsed.isOk() ? parsed.value.Results[0]?.KV.ModifyIndex : undefined;
     return revision === undefined ? Err(Failure.create(FailureCode.ServiceAnswerLost)) : Ok(revision);
   }
@@ -111,7 +111,7 @@
     await this.pool.destroy();
   }
 
-  private change(path: string, body: string): Promise<Result<CallAnswer, Failure>> {
+  private change(path: string, body: string): Promise<Result<CallResponse, Failure>> {
     const { timeout } = this.options;
     return callService(this.pool, { method: "PUT", path, body, effect: CallEffect.Change, timeout });
   }
@@ -127,7 +127,7 @@
   return Failure.create(FailureCode.ServiceUnavailable, { detail: `status ${status}` });
 }
 
-function parseRead(answer: Result<CallAnswer, Failure>): Result<StoredValue | undefined, Failure> {
+function parseRead(answer: Result<CallResponse, Failure>): Result<StoredValue | undefined, Failure> {
   if (answer.isErr()) return answer;
   if (answer.value.status === statusNotFound) return Ok(undefined);
   if (answer.value.status !== statusOk) return Err(createStatusFailure(answer.value.status));
--- a/packages/entry/src/plugins/openaiEngine.ts
+++ b/packages/entry/src/plugins/openaiEngine.ts
@@ -13,7 +13,7 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import type { Dispatcher, Pool } from "undici";
 import {
-  CancelWord,
+  CancelOutcome,
   type Dispatch,
   type EndpointClient,
   type EndpointOptions,
@@ -78,13 +78,13 @@
     return this.stream({ method: "GET", path, signal }, dispatch, sink);
   }
 
-  async cancel(runId: string): Promise<CancelWord> {
+  async cancel(runId: string): Promise<CancelOutcome> {
     const path = `/v1/runs/${encodeURIComponent(runId)}`;
     const call = { method: "DELETE", path, effect: CallEffect.None, timeout: cancelTimeout } as const;
     const answer = await callService(this.pool, call);
     const word = answer.andThen((text) => parseJson<{ state: string }>(text));
-    if (word.isErr()) return CancelWord.Unknown;
-    return cancelWords[word.value.state] ?? CancelWord.Unknown;
+    if (word.isErr()) return CancelOutcome.Unknown;
+    return cancelWords[word.value.state] ?? CancelOutcome.Unknown;
   }
 
   getCacheSource(runId: string): string {
@@ -134,9 +134,9 @@
   }
 }
 
-const cancelWords: Readonly<Record<string, CancelWord>> = {
-  "not-started": CancelWord.NotStarted,
-  started: CancelWord.Started,
+const cancelWords: Readonly<Record<string, CancelOutcome>> = {
+  "not-started": CancelOutcome.NotStarted,
+  started: CancelOutcome.Started,
 };
 
 function createStatusFailure(
--- a/packages/entry/src/plugins/webService.ts
+++ b/packages/entry/src/plugins/webService.ts
@@ -8,9 +8,9 @@
 import { type LoadReport, RepeatRule } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { Dispatcher, Pool } from "undici";
-import { selectAnswerHeaders } from "../headers.js";
+import { selectResponseHeaders } from "../headers.js";
 import {
-  CancelWord,
+  CancelOutcome,
   type Dispatch,
   type EndpointClient,
   type EndpointOptions,
@@ -53,7 +53,7 @@
       }
       const load = readLoadHeader(answer.headers);
       if (load) sink.setLoad(load);
-      sink.setHead({ status: answer.statusCode, headers: selectAnswerHeaders(answer.headers) });
+      sink.setHead({ status: answer.statusCode, headers: selectResponseHeaders(answer.headers) });
       for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
         await sink.add({ position, data: bytes });
         position += bytes.length;
@@ -70,8 +70,8 @@
     return Err(Failure.create(FailureCode.EndpointRunUnknown, { endpoint: this.options.record.id }));
   }
 
-  async cancel(): Promise<CancelWord> {
-    return CancelWord.Unknown;
+  async cancel(): Promise<CancelOutcome> {
+    return CancelOutcome.Unknown;
   }
 
   getCacheSource(): undefined {
--- a/packages/entry/src/requests.ts
+++ b/packages/entry/src/requests.ts
@@ -4,7 +4,7 @@
  */
 import type { Claim } from "@gladewall/coordination";
 import { type Clock, Outcome } from "@gladewall/kernel";
-import { AnswerLog, AnswerState } from "./answerLog.js";
+import { ResponseLog, ResponseState } from "./responseLog.js";
 import type { EntrySettings } from "./entrySettings.js";
 import type { Envelope } from "./types.js";
 
@@ -25,7 +25,7 @@
 
 /** One request and its answer. */
 export class ActiveRequest {
-  readonly log: AnswerLog;
+  readonly log: ResponseLog;
   /** Aborted when the request is to stop; its reason is a `StopReason`. */
   readonly stop = new AbortController();
   /** Aborted when only the present attempt is to stop; renewed by each attempt. */
@@ -50,7 +50,7 @@
     /** Monotonic time by which it must have ended. */
     readonly deadline: number,
   ) {
-    this.log = AnswerLog.create(holdBytes);
+    this.log = ResponseLog.create(holdBytes);
   }
 
   static create(envelope: Envelope, holdBytes: number, startedAt: number, deadline: number): ActiveRequest {
@@ -59,7 +59,7 @@
 
   /** Whether the request has not ended. */
   get isOpen(): boolean {
-    return this.log.state === AnswerState.Open;
+    return this.log.state === ResponseState.Open;
   }
 
   /** Why it is being stopped, undefined while it is not. */
@@ -106,7 +106,7 @@
   /** Whether this entry holds a request: running, or with its answer. */
   isHeld(id: string): boolean {
     const request = this.get(id);
-    return request !== undefined && request.log.state !== AnswerState.Moved;
+    return request !== undefined && request.log.state !== ResponseState.Moved;
   }
 
   /** Returns the request of a key. */
--- a/packages/entry/src/answerFetcher.ts
+++ b/packages/entry/src/responseFetcher.ts
@@ -5,7 +5,7 @@
 import type { PeerIdentity, PeerLinks } from "@gladewall/coordination";
 import { type Clock, Failure, FailureCode, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
-import { AnswerState } from "./answerLog.js";
+import { ResponseState } from "./responseLog.js";
 import type { EntrySettings } from "./entrySettings.js";
 import { getEntryOfRequest } from "./envelope.js";
 import {
@@ -45,7 +45,7 @@
 const outboxPause = 10;
 
 /** Finds and mirrors answers. */
-export class AnswerFetcher {
+export class ResponseFetcher {
   private readonly mirrors = new Map<number, Mirror>();
   /** Parts that came before the answer to the call that asked for them was seen. */
   private readonly early = new Map<number, FollowPart[]>();
@@ -57,11 +57,11 @@
     links.setHandler(PeerKind.Follow, (message, peer) => this.handleFollow(message as FollowMessage, peer));
     links.setHandler(PeerKind.FollowPart, (message) => this.handlePart(message as FollowPart));
     links.setHandler(PeerKind.Cancel, (message) => this.handleCancel(message as CancelMessage));
-    links.onDown((peer) => this.handleDown(peer));
+    links.onLinkDown((peer) => this.handleDown(peer));
   }
 
-  static create(parts: FetcherParts): AnswerFetcher {
-    return new AnswerFetcher(parts);
+  static create(parts: FetcherParts): ResponseFetcher {
+    return new ResponseFetcher(parts);
   }
 
   /**
@@ -154,7 +154,7 @@
     if (part.isComplete) log.complete();
     if (part.failure) log.fail(decodeFailure(part.failure));
     if (part.isMoved) log.move();
-    if (log.state !== AnswerState.Open) mirror.settle();
+    if (log.state !== ResponseState.Open) mirror.settle();
   }
 
   private handleDown(peer: PeerIdentity): void {
@@ -168,7 +168,7 @@
 
   private handleFollow(message: FollowMessage, peer: PeerIdentity): FollowReply {
     const request = this.parts.requests.get(message.request);
-    if (!request || request.log.state === AnswerState.Moved)
+    if (!request || request.log.state === ResponseState.Moved)
       return { envelope: undefined, attachedTo: undefined, isWhole: false };
     const isWhole = request.log.canFollow(0);
     if (isWhole) void this.feed(request, message.stream, peer);
@@ -217,9 +217,9 @@
       stream,
       head: log.head,
       chunks,
-      isComplete: isEnd && log.state === AnswerState.Complete,
+      isComplete: isEnd && log.state === ResponseState.Complete,
       failure: isEnd && log.failure ? encodeFailure(log.failure) : undefined,
-      isMoved: isEnd && log.state === AnswerState.Moved,
+      isMoved: isEnd && log.state === ResponseState.Moved,
     };
   }
 }
--- a/packages/entry/src/answerLog.ts
+++ b/packages/entry/src/responseLog.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import type { Failure } from "@gladewall/kernel";
-import type { AnswerChunk, AnswerHead } from "./types.js";
+import type { ResponseChunk, ResponseHead } from "./types.js";
 
 /** State of an answer. */
-export enum AnswerState {
+export enum ResponseState {
   Open = 1,
   Complete = 2,
   Failed = 3,
@@ -24,12 +24,12 @@
 }
 
 /** An answer that grows. */
-export class AnswerLog {
-  head: AnswerHead | undefined;
-  state = AnswerState.Open;
+export class ResponseLog {
+  head: ResponseHead | undefined;
+  state = ResponseState.Open;
   failure: Failure | undefined;
   /** Chunks held; the first has index `dropped`. */
-  private chunks: AnswerChunk[] = [];
+  private chunks: ResponseChunk[] = [];
   private dropped = 0;
   private bytes = 0;
   private heldBytes = 0;
@@ -41,8 +41,8 @@
   private constructor(private readonly holdBytes: number) {}
 
   /** `holdBytes`: largest answer that is held whole. */
-  static create(holdBytes: number): AnswerLog {
-    return new AnswerLog(holdBytes);
+  static create(holdBytes: number): ResponseLog {
+    return new ResponseLog(holdBytes);
   }
 
   /** Position after the last chunk: tokens or bytes. */
@@ -72,30 +72,30 @@
   }
 
   /** Chunks held. */
-  getChunks(): readonly AnswerChunk[] {
+  getChunks(): readonly ResponseChunk[] {
     return this.chunks;
   }
 
-  setHead(head: AnswerHead): void {
+  setHead(head: ResponseHead): void {
     this.head ??= head;
     this.wake();
   }
 
   /** Adds a chunk; resolves when there is room for the next. */
-  async add(chunk: AnswerChunk): Promise<void> {
+  async add(chunk: ResponseChunk): Promise<void> {
     const size = getChunkBytes(chunk);
     this.chunks.push(chunk);
     this.bytes += size;
     this.heldBytes += size;
     this.wake();
     this.dropOldest();
-    while (this.state === AnswerState.Open && this.readers.size > 0 && this.getLag() > windowBytes) {
+    while (this.state === ResponseState.Open && this.readers.size > 0 && this.getLag() > windowBytes) {
       await this.waitForChange();
     }
   }
 
   /** Fills a new log with what another entry had of the answer. */
-  load(head: AnswerHead | undefined, chunks: readonly AnswerChunk[]): void {
+  load(head: ResponseHead | undefined, chunks: readonly ResponseChunk[]): void {
     this.head = head;
     this.chunks = [...chunks];
     this.heldBytes = chunks.reduce((sum, chunk) => sum + getChunkBytes(chunk), 0);
@@ -104,23 +104,23 @@
 
   /** Ends the answer with its end mark seen. */
   complete(): void {
-    if (this.state !== AnswerState.Open) return;
-    this.state = AnswerState.Complete;
+    if (this.state !== ResponseState.Open) return;
+    this.state = ResponseState.Complete;
     this.wake();
   }
 
   /** Ends the answer without one. */
   fail(failure: Failure): void {
-    if (this.state !== AnswerState.Open) return;
-    this.state = AnswerState.Failed;
+    if (this.state !== ResponseState.Open) return;
+    this.state = ResponseState.Failed;
     this.failure = failure;
     this.wake();
   }
 
   /** Ends the answer here because it goes on at another entry. */
   move(): void {
-    if (this.state !== AnswerState.Open) return;
-    this.state = AnswerState.Moved;
+    if (this.state !== ResponseState.Open) return;
+    this.state = ResponseState.Moved;
     this.wake();
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Returns the held chunks from an index on. */
-  getChunksFrom(index: number): readonly AnswerChunk[] {
+  getChunksFrom(index: number): readonly ResponseChunk[] {
     return this.chunks.slice(Math.max(0, index - this.dropped));
   }
 
@@ -147,12 +147,12 @@
 
   /** Resolves when the answer is no longer open. */
   async waitForEnd(): Promise<void> {
-    while (this.state === AnswerState.Open) await this.waitForChange();
+    while (this.state === ResponseState.Open) await this.waitForChange();
   }
 
   /** Resolves when the head is known, or the answer has ended. */
   async waitForHead(): Promise<void> {
-    while (!this.head && this.state === AnswerState.Open) await this.waitForChange();
+    while (!this.head && this.state === ResponseState.Open) await this.waitForChange();
   }
 
   /** Tells whether a reader can start at a position. */
@@ -162,7 +162,7 @@
   }
 
   /** Yields chunks from a position on until the answer ends or the signal is aborted. */
-  async *follow(position: number, signal: AbortSignal): AsyncGenerator<AnswerChunk> {
+  async *follow(position: number, signal: AbortSignal): AsyncGenerator<ResponseChunk> {
     const reader: Reader = { taken: this.bytes - this.heldBytes };
     this.readers.add(reader);
     const wake = (): void => this.wake();
@@ -178,9 +178,9 @@
           reader.taken += getChunkBytes(chunk);
           this.dropOldest();
           if (this.readers.size > 0) this.wake();
-        } else if (this.state !== AnswerState.Open && index >= Math.min(this.released, this.count)) {
+        } else if (this.state !== ResponseState.Open && index >= Math.min(this.released, this.count)) {
           // A moved answer is taken up at the other entry from what was released here.
-          if (this.state === AnswerState.Moved || index >= this.count) return;
+          if (this.state === ResponseState.Moved || index >= this.count) return;
           await this.waitForChange();
         } else {
           await this.waitForChange();
@@ -226,11 +226,11 @@
 }
 
 /** Length of a chunk in its answer's positions: a token counts one, bytes count themselves. */
-export function getChunkLength(chunk: AnswerChunk): number {
+export function getChunkLength(chunk: ResponseChunk): number {
   if (typeof chunk.data !== "string") return chunk.data.length;
   return chunk.finish === undefined ? 1 : 0;
 }
 
-function getChunkBytes(chunk: AnswerChunk): number {
+function getChunkBytes(chunk: ResponseChunk): number {
   return chunk.data.length + (chunk.choices?.length ?? 0);
 }
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -10,14 +10,14 @@
   getKeyHash,
   getRowName,
   type ServiceRecord,
-  type Table,
-  type TableRow,
+  type PolicyTable,
+  type PolicyRow,
 } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { AdmissionControl } from "./admission.js";
-import type { AnswerFetcher } from "./answerFetcher.js";
-import { parseEventId, writeModelAnswer } from "./answerModel.js";
-import { writeWebAnswer } from "./answerWeb.js";
+import type { ResponseFetcher } from "./responseFetcher.js";
+import { parseEventId, writeModelResponse } from "./modelResponse.js";
+import { writeWebResponse } from "./webResponse.js";
 import type { BackupWriter } from "./backupWriter.js";
 import type { DecisionWriter } from "./decisions.js";
 import type { EntryMetrics } from "./entryMetrics.js";
@@ -40,19 +40,19 @@
   readonly requests: Requests;
   readonly runner: Runner;
   readonly backups: BackupWriter;
-  readonly fetcher: AnswerFetcher;
+  readonly fetcher: ResponseFetcher;
   readonly keys: KeyLookup;
   readonly decisions: DecisionWriter;
   readonly metrics: EntryMetrics;
   /** Returns the table in force, or why this entry takes no request now. */
-  getTable(): Result<Table, Failure>;
+  getTable(): Result<PolicyTable, Failure>;
   /** Returns the table in force although this entry may be leaving. */
-  getAnyTable(): Result<Table, Failure>;
+  getAnyTable(): Result<PolicyTable, Failure>;
 }
 
 /** A caller whose key is known. */
 interface Caller {
-  readonly table: Table;
+  readonly table: PolicyTable;
   readonly workspace: string;
 }
 
@@ -176,7 +176,7 @@
     return undefined;
   }
 
-  private createEnvelope(exchange: Exchange, candidate: Candidate, row: TableRow): Envelope {
+  private createEnvelope(exchange: Exchange, candidate: Candidate, row: PolicyRow): Envelope {
     const { caller, marks, service, model } = candidate;
     return createEnvelope({
       id: exchange.id,
@@ -265,8 +265,8 @@
   ): Promise<void> {
     const { response, gone } = exchange;
     exchange.gone.addEventListener("abort", () => this.handleGone(request));
-    if (request.envelope.model) await writeModelAnswer(response, request, { isStream, from }, gone);
-    else await writeWebAnswer(response, request, gone);
+    if (request.envelope.model) await writeModelResponse(response, request, { isStream, from }, gone);
+    else await writeWebResponse(response, request, gone);
   }
 
   /** A run without a key goes on for a grace time after its last caller left, so that the caller can come back. */
@@ -330,7 +330,7 @@
     return this.identify(exchange, this.parts.getTable());
   }
 
-  private identify(exchange: Exchange, table: Result<Table, Failure>): Result<Caller, Failure> {
+  private identify(exchange: Exchange, table: Result<PolicyTable, Failure>): Result<Caller, Failure> {
     if (table.isErr()) return table;
     const key = bearerPattern.exec(exchange.request.headers.authorization ?? "")?.[1];
     const workspace = key === undefined ? undefined : table.value.getWorkspace(getKeyHash(key));
--- a/packages/entry/src/rowShares.ts
+++ b/packages/entry/src/rowShares.ts
@@ -6,16 +6,16 @@
   AmountKind,
   type Amounts,
   getEqualSplit,
-  getLender,
+  getAllocator,
   InstanceRole,
   type LimitMembers,
-  type LiveView,
+  type MembershipView,
   type PeerIdentity,
   type PeerLinks,
-  ShareLender,
+  ShareAllocator,
 } from "@gladewall/coordination";
 import { type Clock, waitFor } from "@gladewall/kernel";
-import { getRowName, type RowShare, type Table, type TableRow } from "@gladewall/policy";
+import { getRowName, type RowShare, type PolicyTable, type PolicyRow } from "@gladewall/policy";
 import type { EntrySettings } from "./entrySettings.js";
 import { type AskShareMessage, PeerKind, type ShareReply } from "./peerKinds.js";
 
@@ -26,8 +26,8 @@
 /** Weight of the newest window in the demand. */
 const smoothing = 0.5;
 
-interface Borrowed {
-  readonly row: TableRow;
+interface AllocatedRow {
+  readonly row: PolicyRow;
   amounts: Amounts | undefined;
   /** Monotonic time at which the loan ends. */
   until: number;
@@ -43,8 +43,8 @@
 
 /** Borrows and lends shares. */
 export class RowShares {
-  private readonly borrowed = new Map<string, Borrowed>();
-  private readonly lender: ShareLender;
+  private readonly allocatedRows = new Map<string, AllocatedRow>();
+  private readonly allocator: ShareAllocator;
   private readonly members: LimitMembers;
 
   private constructor(
@@ -52,8 +52,8 @@
     private readonly settings: EntrySettings["limits"],
     private readonly clock: Clock,
     private readonly links: PeerLinks,
-    view: LiveView,
-    private readonly getTable: () => Table | undefined,
+    view: MembershipView,
+    private readonly getTable: () => PolicyTable | undefined,
   ) {
     this.members = {
       getLive: () => {
@@ -62,7 +62,7 @@
       },
       isReachable: (name) => links.isLinked(name),
     };
-    this.lender = ShareLender.create(clock, own, this.members, kinds, settings.loan);
+    this.allocator = ShareAllocator.create(clock, own, this.members, kinds, settings.loan);
     links.setHandler(PeerKind.AskShare, (message, peer) => this.handleAsk(message as AskShareMessage, peer));
   }
 
@@ -71,26 +71,26 @@
     settings: EntrySettings["limits"],
     clock: Clock,
     links: PeerLinks,
-    view: LiveView,
-    getTable: () => Table | undefined,
+    view: MembershipView,
+    getTable: () => PolicyTable | undefined,
   ): RowShares {
     return new RowShares(own, settings, clock, links, view, getTable);
   }
 
   /** Rows that this entry has borrowed a share of. */
-  getBorrowedCount(): number {
-    return this.borrowed.size;
+  getAllocatedCount(): number {
+    return this.allocatedRows.size;
   }
 
   /** Rows that this entry lends. */
-  getLentCount(): number {
-    return this.lender.size;
+  getManagedCount(): number {
+    return this.allocator.size;
   }
 
   /** Counts an arrival and returns this entry's share of its row now. */
-  getShare(row: TableRow, active: number, tokens: number): RowShare {
+  getShare(row: PolicyRow, active: number, tokens: number): RowShare {
     const name = getRowName(row);
-    const borrowed = this.getBorrowed(name, row);
+    const borrowed = this.getAllocatedRow(name, row);
     borrowed.requests += 1;
     borrowed.tokens += tokens;
     borrowed.peak = Math.max(borrowed.peak, active + 1);
@@ -102,15 +102,15 @@
     return { requestsPerSecond, tokensPerSecond, concurrency };
   }
 
-  private getSplit(row: TableRow): Amounts {
+  private getSplit(row: PolicyRow): Amounts {
     return getEqualSplit(getRowName(row), getLimit(row), kinds, this.own, this.members.getLive());
   }
 
-  private getBorrowed(name: string, row: TableRow): Borrowed {
-    const present = this.borrowed.get(name);
+  private getAllocatedRow(name: string, row: PolicyRow): AllocatedRow {
+    const present = this.allocatedRows.get(name);
     // A row that was edited has other limits: what was lent of the old ones says nothing.
     if (present?.row === row) return present;
-    const fresh: Borrowed = {
+    const fresh: AllocatedRow = {
       row,
       amounts: undefined,
       until: 0,
@@ -121,46 +121,50 @@
       askedAt: -Infinity,
       isAsking: false,
     };
-    this.borrowed.set(name, fresh);
+    this.allocatedRows.set(name, fresh);
     return fresh;
   }
 
   /** Asks again and again while requests come; ends when none came for a loan's time. */
-  private async follow(name: string, borrowed: Borrowed): Promise<void> {
+  private async follow(name: string, borrowed: AllocatedRow): Promise<void> {
     borrowed.isAsking = true;
-    while (borrowed.requests > 0 && this.borrowed.get(name) === borrowed) {
+    while (borrowed.requests > 0 && this.allocatedRows.get(name) === borrowed) {
       await this.ask(name, borrowed);
       await waitFor(this.clock, this.settings.ask_interval);
     }
     borrowed.isAsking = false;
-    if (this.borrowed.get(name) === borrowed && borrowed.until < this.clock.getTime())
-      this.borrowed.delete(name);
+    if (this.allocatedRows.get(name) === borrowed && borrowed.until < this.clock.getTime())
+      this.allocatedRows.delete(name);
   }
 
-  private async ask(name: string, borrowed: Borrowed): Promise<void> {
+  private async ask(name: string, borrowed: AllocatedRow): Promise<void> {
     const now = this.clock.getTime();
     const wanted = this.takeDemand(borrowed, now);
     const isHeld = borrowed.until > now;
     const held = (isHeld ? borrowed.amounts : undefined) ?? nothing;
-    const lender = getLender(name, this.members.getLive());
+    const lender = getAllocator(name, this.members.getLive());
     if (lender === this.own) {
-      this.setLoan(borrowed, this.lender.lend(name, getLimit(borrowed.row), this.own, { wanted, held }), now);
+      this.setAllocation(
+        borrowed,
+        this.allocator.allocate(name, getLimit(borrowed.row), this.own, { wanted, held }),
+        now,
+      );
       return;
     }
     if (lender === undefined) return;
     const message: AskShareMessage = { kind: PeerKind.AskShare, row: name, demand: { wanted, held } };
     const answer = await this.links.call(lender, message, this.settings.ask_interval);
-    if (answer.isOk()) this.setLoan(borrowed, (answer.value as ShareReply).amounts, now);
+    if (answer.isOk()) this.setAllocation(borrowed, (answer.value as ShareReply).amounts, now);
   }
 
   /** Counts the loan from when it was asked for: the lender cannot have counted from earlier. */
-  private setLoan(borrowed: Borrowed, amounts: Amounts | undefined, askedAt: number): void {
+  private setAllocation(borrowed: AllocatedRow, amounts: Amounts | undefined, askedAt: number): void {
     if (!amounts) return;
     borrowed.amounts = amounts;
     borrowed.until = askedAt + this.settings.loan;
   }
 
-  private takeDemand(borrowed: Borrowed, now: number): Amounts {
+  private takeDemand(borrowed: AllocatedRow, now: number): Amounts {
     const elapsed = Math.max(
       this.settings.ask_interval,
       Math.min(now - borrowed.askedAt, this.settings.loan),
@@ -183,10 +187,10 @@
   private handleAsk(message: AskShareMessage, peer: PeerIdentity): ShareReply {
     const row = this.getTable()?.configuration.rows.find((each) => getRowName(each) === message.row);
     if (!row) return { amounts: undefined };
-    return { amounts: this.lender.lend(message.row, getLimit(row), peer.name, message.demand) };
+    return { amounts: this.allocator.allocate(message.row, getLimit(row), peer.name, message.demand) };
   }
 }
 
-function getLimit(row: TableRow): Amounts {
+function getLimit(row: PolicyRow): Amounts {
   return [row.requestsPerSecond, row.tokensPerSecond, row.concurrency];
 }
--- a/packages/entry/src/runner.ts
+++ b/packages/entry/src/runner.ts
@@ -11,15 +11,15 @@
   type PlacementRequest,
   RepeatRule,
   type RetryBudget,
-  RetryVerdict,
+  RetryDecision,
 } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
 import { decideAfterFailure, describeOutcome, describeStop } from "./afterFailure.js";
-import type { AnswerFetcher } from "./answerFetcher.js";
-import { AnswerState } from "./answerLog.js";
+import type { ResponseFetcher } from "./responseFetcher.js";
+import { ResponseState } from "./responseLog.js";
 import { type AttemptRunner, getPrefill } from "./attempt.js";
 import type { BackupWriter } from "./backupWriter.js";
-import { type ClaimGate, type GateOutcome, GateVerdict } from "./claimGate.js";
+import { type ClaimGuard, type SendCheck, SendDecision } from "./claimGuard.js";
 import type { DecisionWriter } from "./decisions.js";
 import type { Dispatcher, Placed } from "./dispatcher.js";
 import type { EntryMetrics } from "./entryMetrics.js";
@@ -27,7 +27,7 @@
 import { getWorkTokens } from "./envelope.js";
 import type { Endpoint, Fleet } from "./fleet.js";
 import { type ActiveRequest, StopReason } from "./requests.js";
-import { CancelWord } from "./types.js";
+import { CancelOutcome } from "./types.js";
 
 /** What a runner works with. */
 export interface RunnerParts {
@@ -40,9 +40,9 @@
   readonly decisions: DecisionWriter;
   readonly metrics: EntryMetrics;
   readonly attempts: AttemptRunner;
-  readonly gate: ClaimGate;
+  readonly gate: ClaimGuard;
   readonly backups: BackupWriter;
-  readonly fetcher: AnswerFetcher;
+  readonly fetcher: ResponseFetcher;
 }
 
 /** How a request comes to this entry. */
@@ -150,8 +150,13 @@
       const endpoint = this.parts.fleet.get(placement.endpoint.record.id);
       if (!endpoint) continue;
       const runId = this.parts.attempts.getRunId(request, attempts.count);
-      const gate = await this.parts.gate.pass(request, placement.endpoint.record.id, runId, options.isBackup);
-      if (gate.isErr() || gate.value.verdict === GateVerdict.Lost) {
+      const gate = await this.parts.gate.ensureClaim(
+        request,
+        placement.endpoint.record.id,
+        runId,
+        options.isBackup,
+      );
+      if (gate.isErr() || gate.value.verdict === SendDecision.Lost) {
         placement.endpoint.cancelDispatch(prefill);
         return this.handleUnclaimed(request, gate);
       }
@@ -170,7 +175,7 @@
 
   private async handleUnclaimed(
     request: ActiveRequest,
-    gate: Result<GateOutcome, Failure>,
+    gate: Result<SendCheck, Failure>,
   ): Promise<Result<void, Failure>> {
     if (gate.isErr()) return Err(describeOutcome(request, gate.error));
     const { standing } = gate.value;
@@ -255,8 +260,8 @@
       await request.log.add(chunk);
     }
     if (log.head) request.log.setHead(log.head);
-    if (log.state === AnswerState.Complete) return FollowEnd.Complete;
-    return log.state === AnswerState.Moved ? FollowEnd.Moved : FollowEnd.Failed;
+    if (log.state === ResponseState.Complete) return FollowEnd.Complete;
+    return log.state === ResponseState.Moved ? FollowEnd.Moved : FollowEnd.Failed;
   }
 
   private async place(request: ActiveRequest, attempts: Attempts): Promise<Result<Placed, Failure>> {
@@ -314,7 +319,7 @@
       isStreamedBody: options.rest !== undefined,
     });
     const inputs = { attempt: attempts.count, endpoint: record.id };
-    if (verdict === RetryVerdict.GiveUp) {
+    if (verdict === RetryDecision.GiveUp) {
       this.parts.decisions.addFailure(
         envelope.id,
         DecisionStage.Retry,
@@ -355,7 +360,7 @@
   private countFailure(endpoint: Endpoint, failure: Failure): void {
     if (failure.code === FailureCode.BadRequest) return;
     const { backoff, backoff_highest: highest } = this.parts.settings.endpoints;
-    endpoint.load.addFailure(backoff, highest);
+    endpoint.load.recordFailure(backoff, highest);
     this.parts.metrics.endpointFailures.add();
     const { id } = endpoint.load.record;
     this.parts.logger.warn("endpoint.failed", { endpoint: id, failure: failure.name, text: failure.text });
@@ -370,7 +375,7 @@
     const { envelope, log } = request;
     const { clock, budget, decisions, logger, metrics } = this.parts;
     log.complete();
-    budget.earn();
+    budget.deposit();
     const total = clock.getTime() - request.startedAt;
     const first = (request.firstAt ?? clock.getTime()) - request.startedAt;
     const output = envelope.model ? log.end : 0;
@@ -414,7 +419,7 @@
     const isStopped = request.stopReason !== undefined;
     if (!endpoint || !isStopped || failure.outcome === Outcome.NotRun) return failure;
     const word = await endpoint.client.cancel(run.runId);
-    const isNotRun = word === CancelWord.NotStarted && run.attempt === 1 && request.log.count === 0;
+    const isNotRun = word === CancelOutcome.NotStarted && run.attempt === 1 && request.log.count === 0;
     return isNotRun ? failure.withOutcome(Outcome.NotRun) : failure;
   }
 }
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -2,17 +2,23 @@
  * What an entry serves with: from the queues to the runs, with backups, claims, shares and held answers.
  * @module
  */
-import { CallKind, ClaimLedger, isUsable } from "@gladewall/coordination";
+import { CallKind, ClaimStore, isUsable } from "@gladewall/coordination";
 import type { Closeable, Failure } from "@gladewall/kernel";
-import { type PlacementOptions, PrefixIndex, RepeatRule, RetryBudget, type Table } from "@gladewall/policy";
+import {
+  type PlacementOptions,
+  PrefixIndex,
+  RepeatRule,
+  RetryBudget,
+  type PolicyTable,
+} from "@gladewall/policy";
 import type { Result } from "ts-results-es";
 import { AdmissionControl } from "./admission.js";
-import { AnswerFetcher } from "./answerFetcher.js";
+import { ResponseFetcher } from "./responseFetcher.js";
 import { AttemptRunner } from "./attempt.js";
 import { BackupStore, type ResumeOptions } from "./backupStore.js";
 import { BackupWriter } from "./backupWriter.js";
-import { ClaimGate, createWriterName } from "./claimGate.js";
-import { Claims } from "./claims.js";
+import { ClaimGuard, createWriterName } from "./claimGuard.js";
+import { ClaimClient } from "./claimClient.js";
 import { DecisionWriter } from "./decisions.js";
 import { Dispatcher } from "./dispatcher.js";
 import type { EntryMetrics } from "./entryMetrics.js";
@@ -33,7 +39,7 @@
   readonly metrics: EntryMetrics;
   readonly ring: ExplainRing;
   /** Returns the table for new requests, or why none is taken. */
-  readonly getTable: () => Result<Table, Failure>;
+  readonly getTable: () => Result<PolicyTable, Failure>;
 }
 
 /** Everything that has to do with requests. */
@@ -46,7 +52,7 @@
   private readonly copies: BackupStore;
   private readonly runner: Runner;
   private readonly shares: RowShares;
-  private readonly ledger: ClaimLedger;
+  private readonly claimStore: ClaimStore;
 
   private constructor(private readonly parts: ServingParts) {
     const { clock, logger, metrics, ring, membership, getTable } = parts;
@@ -75,12 +81,12 @@
     const backups = BackupWriter.create(base);
     const resume = (request: ActiveRequest, options: ResumeOptions): void => this.resume(request, options);
     this.copies = BackupStore.create({ ...base, resume });
-    const fetcher = AnswerFetcher.create({ ...base, hasCopy: (id) => this.copies.has(id) });
+    const fetcher = ResponseFetcher.create({ ...base, hasCopy: (id) => this.copies.has(id) });
     const attempts = AttemptRunner.create({ ...base, entry: name, prefixes, backups });
-    this.ledger = this.createLedger();
-    const claims = Claims.create(name, this.ledger, links, view, settings.claims.peer_timeout);
+    this.claimStore = this.createClaimStore();
+    const claims = ClaimClient.create(name, this.claimStore, links, view, settings.claims.peer_timeout);
     const keys = KeyLookup.create(name, links, view, this.copies, claims, settings.backups.ack_timeout);
-    const gate = ClaimGate.create(createWriterName(name, parts.incarnation), claims, backups, decisions);
+    const gate = ClaimGuard.create(createWriterName(name, parts.incarnation), claims, backups, decisions);
     const budget = RetryBudget.create(settings.requests.retry_fraction);
     const runner = Runner.create({ ...base, budget, attempts, gate, backups, fetcher });
     LeavingRuns.create(settings.endpoints, clock, requests, decisions, metrics, fleet);
@@ -90,7 +96,7 @@
     const admission = AdmissionControl.create(settings.requests, clock, dispatcher, (row, active, tokens) =>
       this.shares.getShare(row, active, tokens),
     );
-    const getAnyTable = (): Result<Table, Failure> => membership.getAnyTable();
+    const getAnyTable = (): Result<PolicyTable, Failure> => membership.getAnyTable();
     this.routes = CallerRoutes.create({
       ...base,
       admission,
@@ -152,15 +158,15 @@
     return {
       priceWeight: placement.price_weight,
       riskWeight: placement.risk_weight,
-      hallDistance: placement.hall_distance,
-      loadBound: placement.load_bound,
+      hallRoundTripMs: placement.hall_distance,
+      maxLoadFactor: placement.load_bound,
     };
   }
 
-  private createLedger(): ClaimLedger {
+  private createClaimStore(): ClaimStore {
     const { budget, clients, clock } = this.parts;
     const { claims, platform } = this.parts.getSettings();
-    return ClaimLedger.create({
+    return ClaimStore.create({
       service: budget.wrap(clients.keyValue, CallKind.Claim),
       clock,
       prefix: `${platform.prefix}claims/`,
@@ -168,28 +174,36 @@
       interval: claims.interval,
       patience: claims.patience,
       retention: claims.retention,
-      headBytes: claims.head_bytes,
+      maxActiveBytes: claims.head_bytes,
     });
   }
 
   private setGauges(): void {
     const { registry } = this.parts.metrics;
     const { traffic } = this.parts.membership.links;
-    registry.setGauge("gladewall_open_requests", "Requests that have not ended.", () =>
+    registry.registerGauge("gladewall_open_requests", "Requests that have not ended.", () =>
       this.requests.getOpenCount(),
     );
-    registry.setGauge("gladewall_waiting_requests", "Requests in queues.", () => this.dispatcher.getTotal());
-    registry.setGauge("gladewall_claim_swaps", "Swaps of claim shards.", () => this.ledger.swaps);
-    registry.setGauge("gladewall_borrowed_rows", "Rows with a borrowed share.", () =>
-      this.shares.getBorrowedCount(),
+    registry.registerGauge("gladewall_waiting_requests", "Requests in queues.", () =>
+      this.dispatcher.getTotal(),
     );
-    registry.setGauge("gladewall_lent_rows", "Rows that this entry lends.", () => this.shares.getLentCount());
-    registry.setGauge("gladewall_copies", "Copies held for peers.", () => this.copies.size);
-    registry.setGauge("gladewall_protected", "Requests with a copy elsewhere.", () =>
+    registry.registerGauge(
+      "gladewall_claim_swaps",
+      "Swaps of claim shards.",
+      () => this.claimStore.swapCount,
+    );
+    registry.registerGauge("gladewall_borrowed_rows", "Rows with a borrowed share.", () =>
+      this.shares.getAllocatedCount(),
+    );
+    registry.registerGauge("gladewall_lent_rows", "Rows that this entry lends.", () =>
+      this.shares.getManagedCount(),
+    );
+    registry.registerGauge("gladewall_copies", "Copies held for peers.", () => this.copies.size);
+    registry.registerGauge("gladewall_protected", "Requests with a copy elsewhere.", () =>
       this.backups.getProtectedCount(),
     );
-    registry.setGauge("gladewall_peer_sent_bytes", "Bytes sent to peers.", () => traffic.sentBytes);
-    registry.setGauge(
+    registry.registerGauge("gladewall_peer_sent_bytes", "Bytes sent to peers.", () => traffic.sentBytes);
+    registry.registerGauge(
       "gladewall_peer_received_bytes",
       "Bytes received from peers.",
       () => traffic.receivedBytes,
--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -64,13 +64,13 @@
 }
 
 /** Status and headers of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: readonly Header[];
 }
 
 /** A piece of an answer: a token of a model, or bytes of a web service. */
-export interface AnswerChunk {
+export interface ResponseChunk {
   /** Token position, or byte offset. */
   readonly position: number;
   readonly data: string | Uint8Array;
@@ -97,14 +97,14 @@
 
 /** Takes what an endpoint answers. A promise that is pending holds the endpoint back. */
 export interface RunSink {
-  setHead(head: AnswerHead): void;
+  setHead(head: ResponseHead): void;
   /** Takes the load that an endpoint tells with its answer. */
   setLoad(report: LoadReport): void;
-  add(chunk: AnswerChunk): Promise<void>;
+  add(chunk: ResponseChunk): Promise<void>;
 }
 
 /** What an endpoint says of a run it was told to cancel. */
-export enum CancelWord {
+export enum CancelOutcome {
   /** It never started: nothing was run. */
   NotStarted = 1,
   /** It had started. */
@@ -120,7 +120,7 @@
   /** Attaches to a run that is already there, from a position on; fails with `EndpointRunUnknown`. */
   resume(dispatch: Dispatch, sink: RunSink, signal: AbortSignal): Promise<Result<void, Failure>>;
   /** Cancels a run and returns the endpoint's word about it. */
-  cancel(runId: string): Promise<CancelWord>;
+  cancel(runId: string): Promise<CancelOutcome>;
   /** Returns where another endpoint can fetch a run's cache from; undefined where this kind has none. */
   getCacheSource(runId: string): string | undefined;
   /** Reads the load report. */
--- a/packages/entry/src/answerWeb.ts
+++ b/packages/entry/src/webResponse.ts
@@ -4,13 +4,13 @@
  */
 import type { ServerResponse } from "node:http";
 import { Failure, FailureCode } from "@gladewall/kernel";
-import { AnswerState } from "./answerLog.js";
+import { ResponseState } from "./responseLog.js";
 import { waitForDrain } from "./drain.js";
 import { sendMoved, sendProblem } from "./problem.js";
 import type { ActiveRequest } from "./requests.js";
 
 /** Writes an answer until its end or until the caller left; a cut answer cuts the connection. */
-export async function writeWebAnswer(
+export async function writeWebResponse(
   response: ServerResponse,
   request: ActiveRequest,
   signal: AbortSignal,
@@ -18,9 +18,9 @@
   const { log, envelope } = request;
   await log.waitForHead();
   if (signal.aborted) return;
-  if (!log.head && log.state === AnswerState.Moved) return sendMoved(response, envelope.id);
+  if (!log.head && log.state === ResponseState.Moved) return sendMoved(response, envelope.id);
   // An answer that is already known to be cut is told as such; only one that breaks midway has to break the connection.
-  if (!log.head || log.state === AnswerState.Failed) {
+  if (!log.head || log.state === ResponseState.Failed) {
     const failure = log.failure ?? Failure.create(FailureCode.Internal, { detail: "the answer has no head" });
     return sendProblem(response, failure, envelope.id);
   }
@@ -38,6 +38,6 @@
   }
   if (signal.aborted) return;
   // Cutting the connection is the only way left to say that the body is not whole.
-  if (log.state !== AnswerState.Complete) return void response.destroy();
+  if (log.state !== ResponseState.Complete) return void response.destroy();
   response.end();
 }
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -8,23 +8,23 @@
 import type { IncomingMessage } from "node:http";
 import { Failure, FailureCode, type Timer } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
-import { type BodyEnd, readWholeBody } from "./answerBody.js";
-import { writeFailure, writeWholeAnswer } from "./answerWriter.js";
-import { Attempt, AttemptEnd, type AttemptResult } from "./attempt.js";
+import { type ReceivedBody, readResponseBody } from "./responseBody.js";
+import { writeProblemResponse, writeEndpointResponse } from "./responseWriter.js";
+import { Attempt, AttemptOutcome, type AttemptResult } from "./attempt.js";
 import { AttemptHistory } from "./attemptHistory.js";
 import type { CrashSubject } from "./crashRecords.js";
-import type { AboardRequest } from "./crashWatch.js";
+import type { InFlightRequest } from "./crashDetector.js";
 import type { Endpoint } from "./endpoint.js";
 import type { LimitSource } from "./endpointLimits.js";
-import type { ExchangeEnd, ExchangeParts, ExchangeRequest } from "./exchangeTypes.js";
+import type { RequestOutcome, ActiveRequestParts, ActiveRequestInput } from "./activeRequestTypes.js";
 import type { Placement } from "./placement.js";
 import { createFingerprint } from "./requestFingerprint.js";
-import { RelayEnd, StreamRelay } from "./streamRelay.js";
-import type { Trial } from "./suspects.js";
+import { RelayOutcome, StreamRelay } from "./streamRelay.js";
+import type { Trial } from "./suspectGate.js";
 import {
-  type AnswerHead,
-  AnswerWord,
-  type CallerHead,
+  type ResponseHead,
+  ExecutionStatus,
+  type CallerRequestHead,
   type Route,
   RouteKind,
   type Service,
@@ -52,7 +52,7 @@
 const urgencyPerWorkspaceRank = 3;
 
 /** Serves one request. */
-export class Exchange implements AboardRequest {
+export class ActiveRequest implements InFlightRequest {
   private attempt: Attempt | undefined;
   /** Whether the attempt has neither an answer's head nor failed. */
   private isUnderWay = false;
@@ -71,28 +71,28 @@
   private isOver = false;
   private timer: Timer | undefined;
   private readonly endsAt: number;
-  private end: ExchangeEnd | undefined;
+  private end: RequestOutcome | undefined;
 
   private constructor(
-    private readonly parts: ExchangeParts,
-    private readonly request: ExchangeRequest,
+    private readonly parts: ActiveRequestParts,
+    private readonly request: ActiveRequestInput,
   ) {
     const { admitted, head, arrivedAt } = request;
     this.endsAt = arrivedAt + getTimeLimit(admitted.route, head);
   }
 
-  static create(parts: ExchangeParts, request: ExchangeRequest): Exchange {
-    return new Exchange(parts, request);
+  static create(parts: ActiveRequestParts, request: ActiveRequestInput): ActiveRequest {
+    return new ActiveRequest(parts, request);
   }
 
   /** Runs to the final answer. Never rejects. */
-  async run(): Promise<ExchangeEnd> {
+  async run(): Promise<RequestOutcome> {
     const { response } = this.request;
     const handleClose = (): void => this.handleCallerGone();
     response.on("close", handleClose);
     this.timer = this.parts.clock.startTimer(this.getTimeLeft(), () => this.giveUp());
     this.parts.budget.countRequest(this.request.service.name);
-    this.parts.demand.count(this.request.service.name, this.request.head.promptTokens ?? 0);
+    this.parts.demand.countPromptTokens(this.request.service.name, this.request.head.promptTokens ?? 0);
     let next = Next.TryAgain;
     while (next === Next.TryAgain && !this.isOver) next = await this.tryOnce();
     if (next === Next.GiveUp && !this.isOver) this.answerFailure(this.createFinalFailure());
@@ -102,7 +102,7 @@
     return this.end ?? this.createEnd(response.statusCode, undefined);
   }
 
-  private createEnd(status: number, failure: Failure | undefined): ExchangeEnd {
+  private createEnd(status: number, failure: Failure | undefined): RequestOutcome {
     const { placement, history, firstEventMs, runs } = this;
     return { status, failure, placement, arrivals: history.arrivals, runs, firstEventMs };
   }
@@ -172,10 +172,16 @@
     const { promptTokens = 0, parts } = head;
     const avoidsLimited = this.permitRefusals >= mostPermitRefusals;
     const wanted = { service, promptTokens, parts, excluded, rank: this.permitRank, avoidsLimited };
-    if (suspects.isWatching(this.workspace)) {
+    if (suspects.hasSuspects(this.workspace)) {
       const { subject } = this;
       const leftMs = this.getTimeLeft();
-      const trial = await suspects.seek({ id: head.id, subject, service: service.name, excluded, leftMs });
+      const trial = await suspects.findTrial({
+        id: head.id,
+        subject,
+        service: service.name,
+        excluded,
+        leftMs,
+      });
       if (trial.isErr()) return trial;
       this.trial = trial.value;
     }
@@ -188,13 +194,13 @@
   private async tryPermitted(placement: Placement): Promise<Next> {
     const { permits, clock } = this.parts;
     const { endpoint } = placement;
-    if (permits.isFree(endpoint)) return this.tryAt(placement);
+    if (permits.isUnlimited(endpoint)) return this.tryAt(placement);
     const wanted = { id: this.request.head.id, rank: this.permitRank, leftMs: this.getTimeLeft() };
-    const isGranted = await permits.take(endpoint, wanted);
+    const isGranted = await permits.acquire(endpoint, wanted);
     // The endpoint may have said something else while the permit was asked for.
-    if (isGranted && endpoint.isOpen(clock.getTime())) return this.tryAt(placement);
+    if (isGranted && endpoint.acceptsPermitted(clock.getTime())) return this.tryAt(placement);
     this.permitRefusals += 1;
-    const { limit } = endpoint.words;
+    const { limit } = endpoint.availability;
     this.log("permit.refused", {
       endpoint: endpoint.id,
       perSecond: limit.perSecond,
@@ -221,10 +227,10 @@
     if (this.isOver) return Next.Done;
     if (this.getTimeLeft() < leastAttemptMs) return Next.GiveUp;
     const { endpoint } = placement;
-    this.excluded.add(endpoint.life);
+    this.excluded.add(endpoint.incarnation);
     this.placement = placement;
     endpoint.active += 1;
-    endpoint.aboard.add(this);
+    endpoint.inFlight.add(this);
     const pending = service.engine ? placement.uncachedTokens : 0;
     endpoint.pendingTokens += pending;
     this.tellIfLong(placement, pending);
@@ -236,7 +242,7 @@
     const next = await this.send(placement, clearPending);
     clearPending();
     endpoint.active -= 1;
-    endpoint.aboard.delete(this);
+    endpoint.inFlight.delete(this);
     return next;
   }
 
@@ -261,13 +267,13 @@
   /** Charges one more run; false where the limit is spent. */
   private async tryCharge(): Promise<boolean> {
     const { charge } = this.request;
-    return !charge || (await this.parts.charges.takeRepeat(charge, this.getTimeLeft())).isOk();
+    return !charge || (await this.parts.charges.takeRetry(charge, this.getTimeLeft())).isOk();
   }
 
   private tellIfLong({ endpoint }: Placement, tokens: number): void {
-    const { rates, tellPlaced } = this.parts;
+    const { rates, announcePlacement: tellPlaced } = this.parts;
     if (tokens / rates.get(this.request.service.name) < toldAtOnceMs) return;
-    tellPlaced(endpoint.life, tokens);
+    tellPlaced(endpoint.incarnation, tokens);
   }
 
   private async send(placement: Placement, clearPending: () => void): Promise<Next> {
@@ -277,14 +283,14 @@
     const attempt = this.createAttempt(endpoint);
     this.attempt = attempt;
     this.isUnderWay = true;
-    const round = endpoint.words.beginTry();
+    const round = endpoint.availability.beginAttempt();
     const result = await attempt.result;
-    endpoint.words.endTry(round, result.end === AttemptEnd.Answered);
+    endpoint.availability.endAttempt(round, result.end === AttemptOutcome.Answered);
     this.isUnderWay = false;
-    this.parts.metrics.countAttempt(this.request.service.name, AttemptEnd[result.end]);
-    if (result.end !== AttemptEnd.NotSent) this.history.noteArrival();
+    this.parts.metrics.countAttempt(this.request.service.name, AttemptOutcome[result.end]);
+    if (result.end !== AttemptOutcome.NotSent) this.history.noteArrival();
     if (this.isOver) return Next.Done;
-    if (result.end !== AttemptEnd.Answered || !result.response)
+    if (result.end !== AttemptOutcome.Answered || !result.response)
       return this.handleNoAnswer(endpoint, result, beganAt);
     this.history.noteRun();
     const { route } = this.request.admitted;
@@ -310,43 +316,47 @@
     const target = message.url ?? "/";
     const base = { pool, protocol: platform.endpoints, requestId: head.id, connectTimeoutMs };
     const sentAt = this.parts.clock.getTime();
-    const onHead = (answer: AnswerHead, status: number): void =>
+    const onHead = (answer: ResponseHead, status: number): void =>
       this.takeHead(endpoint, answer, { requestId: head.id, status, sentAt });
     return Attempt.create({ ...base, method, target, headers, body, onHead });
   }
 
   /** Takes what an endpoint says of itself, whatever becomes of the request. */
-  private takeHead(endpoint: Endpoint, { word, load, notice, limit }: AnswerHead, source: LimitSource): void {
+  private takeHead(
+    endpoint: Endpoint,
+    { executionStatus: word, load, notice, limit }: ResponseHead,
+    source: LimitSource,
+  ): void {
     const { clock, directory, limits } = this.parts;
     if (load) endpoint.noteLoad(load, clock.getTime());
-    if (word === AnswerWord.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
-    if (notice) directory.takeNotice(endpoint, notice, source);
+    if (word === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
+    if (notice) directory.handleNotice(endpoint, notice, source);
     // A refusal or a failure without the word says nothing of its end: the endpoint may be in need all the same.
-    const isServed = word === AnswerWord.Ran && source.status < firstServerError;
-    if (limit !== undefined || isServed) limits.takeAnswer(endpoint, limit, source);
+    const isServed = word === ExecutionStatus.Ran && source.status < firstServerError;
+    if (limit !== undefined || isServed) limits.handleAnswer(endpoint, limit, source);
   }
 
   private async handleNoAnswer(endpoint: Endpoint, result: AttemptResult, beganAt: number): Promise<Next> {
     const { clock, directory } = this.parts;
     const { service } = this.request;
     const time = clock.getTime();
-    const isLost = result.end === AttemptEnd.Lost;
+    const isLost = result.end === AttemptOutcome.Lost;
     const fingerprint = isLost ? this.subject.fingerprint : undefined;
     this.log("attempt.failed", {
       endpoint: endpoint.id,
-      end: AttemptEnd[result.end],
+      end: AttemptOutcome[result.end],
       detail: result.detail,
       fingerprint,
     });
     if (isLost) {
       this.history.noteRun();
       this.countOnce(beganAt);
-      endpoint.noteEnd(false, time);
+      endpoint.noteOutcome(false, time);
       return this.handleCut(endpoint);
     }
-    if (result.end === AttemptEnd.NotSent) endpoint.noteUnreachable(time);
-    if (result.end === AttemptEnd.WrongEndpoint) directory.handleReplaced(endpoint);
-    if (result.end === AttemptEnd.NotRun) endpoint.noteEnd(false, time);
+    if (result.end === AttemptOutcome.NotSent) endpoint.noteUnreachable(time);
+    if (result.end === AttemptOutcome.WrongEndpoint) directory.handleReplaced(endpoint);
+    if (result.end === AttemptOutcome.NotRun) endpoint.noteOutcome(false, time);
     this.history.noteNotRun(createRefusal(FailureCode.Overloaded, service));
     return this.history.isTriedOut ? Next.GiveUp : Next.TryAgain;
   }
@@ -357,7 +367,7 @@
    */
   private async handleCut(endpoint: Endpoint): Promise<Next> {
     this.history.noteRunFailed(Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.id }));
-    const checked = this.parts.suspects.noteCut(endpoint, this);
+    const checked = this.parts.suspects.noteInterruption(endpoint, this);
     if (!this.isRepeatAllowed()) return Next.GiveUp;
     await checked;
     return this.isOver ? Next.Done : Next.TryAgain;
@@ -369,11 +379,11 @@
 
   /** Reads a whole answer, then passes it on; a failure of the endpoint's own may be tried elsewhere first. */
   private async answerWhole(endpoint: Endpoint, response: IncomingMessage, startedAt: number): Promise<Next> {
-    const body: BodyEnd = await readWholeBody(response);
+    const body: ReceivedBody = await readResponseBody(response);
     if (this.isOver) return Next.Done;
     const status = response.statusCode ?? 0;
     const isFailed = !body.isComplete || status >= firstServerError;
-    endpoint.noteEnd(!isFailed, this.parts.clock.getTime());
+    endpoint.noteOutcome(!isFailed, this.parts.clock.getTime());
     if (!isFailed) endpoint.noteLatency(this.parts.clock.getTime() - startedAt);
     if (isFailed && this.isRepeatAllowed()) {
       this.log("attempt.failed", {
@@ -390,7 +400,7 @@
     }
     if (!body.isComplete) return this.handleCut(endpoint);
     this.noteWhole();
-    writeWholeAnswer(
+    writeEndpointResponse(
       this.request.response,
       this.request.message.method,
       response,
@@ -416,12 +426,12 @@
       this.noteFirstEvent(placement, time - startedAt);
       this.endTrialLater();
       this.countOnce(this.parts.getTimeOfDay());
-      this.parts.placer.memory.note(head.parts, endpoint.life);
+      this.parts.placer.memory.noteSent(head.parts, endpoint.incarnation);
     };
     const relayEnd = await this.relay.relay(answer, onFirst);
     if (this.isOver) return Next.Done;
-    endpoint.noteEnd(relayEnd === RelayEnd.Complete, this.parts.clock.getTime());
-    if (relayEnd === RelayEnd.Complete) {
+    endpoint.noteOutcome(relayEnd === RelayOutcome.Complete, this.parts.clock.getTime());
+    if (relayEnd === RelayOutcome.Complete) {
       this.noteWhole();
       return Next.Done;
     }
@@ -434,7 +444,7 @@
   /** An endpoint that has answered it whole was not ended by it. */
   private noteWhole(): void {
     const { suspects } = this.parts;
-    if (suspects.isWatching(this.workspace)) suspects.clear(this.subject);
+    if (suspects.hasSuspects(this.workspace)) suspects.clear(this.subject);
   }
 
   /** An isolated request that has given events for a while lets the next begin: it ends endpoints at once if at all. */
@@ -462,7 +472,7 @@
     const { service } = this.request;
     const failure = this.history.findFailure() ?? createRefusal(FailureCode.Overloaded, service);
     if (failure.retryAfterMs === undefined) return failure;
-    const openingMs = this.parts.directory.getOpeningMs(service.name);
+    const openingMs = this.parts.directory.getShortestWaitMs(service.name);
     return failure.withRetryAfter(Math.max(failure.retryAfterMs, openingMs));
   }
 
@@ -501,10 +511,10 @@
       response.destroy();
       return;
     }
-    writeFailure(
+    writeProblemResponse(
       response,
       failure,
-      this.parts.platform.callers.createOwnHeaders(head.id),
+      this.parts.platform.callers.createGatewayHeaders(head.id),
       this.parts.isLeaving(),
     );
   }
@@ -522,7 +532,7 @@
 }
 
 /** Milliseconds from a request's arrival to its final answer. */
-export function getTimeLimit({ timeoutMs }: Route, { deadlineMs }: CallerHead): number {
+export function getTimeLimit({ timeoutMs }: Route, { deadlineMs }: CallerRequestHead): number {
   return Math.min(timeoutMs, deadlineMs ?? timeoutMs);
 }
 
--- a/packages/gateway/src/exchangeTypes.ts
+++ b/packages/gateway/src/activeRequestTypes.ts
@@ -4,11 +4,11 @@
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Failure } from "@gladewall/kernel";
-import type { Admitted } from "./admission.js";
+import type { AdmittedRequest } from "./admission.js";
 import type { GatewayParts } from "./gatewayParts.js";
 import type { RequestCharge } from "./quotaCharges.js";
 import type { Placement } from "./placement.js";
-import type { CallerHead, Service } from "./types.js";
+import type { CallerRequestHead, Service } from "./types.js";
 
 /** Parts of an instance that exchanges work with. */
 type UsedParts =
@@ -28,20 +28,20 @@
   | "metrics"
   | "connectTimeoutMs"
   | "countRun"
-  | "tellPlaced"
+  | "announcePlacement"
   | "getTimeOfDay";
 
 /** What exchanges work with. */
-export interface ExchangeParts extends Pick<GatewayParts, UsedParts> {
+export interface ActiveRequestParts extends Pick<GatewayParts, UsedParts> {
   /** Whether answers should close their connections. */
   readonly isLeaving: () => boolean;
 }
 
 /** One request. */
-export interface ExchangeRequest {
-  readonly admitted: Admitted;
+export interface ActiveRequestInput {
+  readonly admitted: AdmittedRequest;
   readonly service: Service;
-  readonly head: CallerHead;
+  readonly head: CallerRequestHead;
   readonly message: IncomingMessage;
   readonly response: ServerResponse;
   readonly body: Buffer;
@@ -52,7 +52,7 @@
 }
 
 /** What became of a request, for logs and counts. */
-export interface ExchangeEnd {
+export interface RequestOutcome {
   readonly status: number;
   readonly failure: Failure | undefined;
   /** Where it was sent to last, and by what; undefined where it was sent nowhere. */
--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -4,17 +4,17 @@
  * @module
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
-import { getLife, type PeerIdentity } from "@gladewall/coordination";
+import { getIncarnationKey, type PeerIdentity } from "@gladewall/coordination";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { ConfigurationFollower } from "./configurationFollower.js";
-import { type QuotaAnswer, type QuotaAsk, QuotaUse, QuotaWord } from "./memberMessages.js";
+import { type QuotaReply, type QuotaCall, QuotaUse, GrantDecision } from "./memberMessages.js";
 import { getAllowances, type QuotaAllowances } from "./quotaAllowances.js";
 import { CounterKind, type SharedCounters } from "./sharedCounters.js";
-import { type CallerHead, QuotaUnit, type Route, type Workspace } from "./types.js";
+import { type CallerRequestHead, QuotaUnit, type Route, type Workspace } from "./types.js";
 import type { RouteTable } from "./routeTable.js";
 
 /** A request that was let in. */
-export interface Admitted {
+export interface AdmittedRequest {
   readonly route: Route;
   readonly table: RouteTable;
   /** Undefined where the route is public and no key came. */
@@ -26,8 +26,8 @@
   /** Units taken, with those that are foreseen. */
   readonly level: number;
   /** Units taken, without what is foreseen. */
-  readonly known: number;
-  readonly room: number;
+  readonly knownLevel: number;
+  readonly capacity: number;
   /** Share of the fleet whose counts are known. */
   readonly share: number;
 }
@@ -90,29 +90,29 @@
   }
 
   /** Finds route and workspace. Fails with `NotReady`, `UnknownRoute` or `Unauthorized`. */
-  admit(host: string, target: string, head: CallerHead): Result<Admitted, Failure> {
+  admit(host: string, target: string, head: CallerRequestHead): Result<AdmittedRequest, Failure> {
     const { follower } = this.options;
     const table = follower.getTable();
-    const isProven = follower.isProven();
+    const isProven = follower.hasFreshProof();
     const notReady = Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryMs));
     if (!table) return notReady;
     const route = table.findRoute(host, target);
     // Without a proof, a newer configuration may hold what this one does not.
     if (!route) return isProven ? Err(Failure.create(FailureCode.UnknownRoute)) : notReady;
     if (route.isPublic || !table.hasWorkspaces) {
-      const workspace = head.key === undefined ? undefined : table.findWorkspace(head.key);
+      const workspace = head.key === undefined ? undefined : table.findWorkspaceByKey(head.key);
       return Ok({ route, table, workspace });
     }
     if (!isProven) return notReady;
-    const workspace = head.key === undefined ? undefined : table.findWorkspace(head.key);
+    const workspace = head.key === undefined ? undefined : table.findWorkspaceByKey(head.key);
     if (!workspace) return Err(Failure.create(FailureCode.Unauthorized));
     return Ok({ route, table, workspace });
   }
 
   /** Units that a request counts for. */
-  getCost(workspace: Workspace, head: CallerHead): number {
+  getCost(workspace: Workspace, head: CallerRequestHead): number {
     if (workspace.unit === QuotaUnit.Requests) return 1;
-    if (head.promptTokens === undefined) return workspace.plainTokens;
+    if (head.promptTokens === undefined) return workspace.defaultTokenCost;
     return head.promptTokens + (head.outputTokens ?? 0);
   }
 
@@ -128,7 +128,7 @@
   }
 
   /** Takes units while the arbiter of the limit does not answer: only where little of the limit is taken. */
-  takeUnanswered(workspace: Workspace, cost: number): Result<void, Failure> {
+  takeWithoutArbiter(workspace: Workspace, cost: number): Result<void, Failure> {
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
     const room = this.getRoom(workspace, share, QuotaUse.First) * unansweredShare;
@@ -158,13 +158,13 @@
    * Takes units that nobody is told of before the next report; false where this instance's part of what may be untold is
    * used. With no bound, all instances would take the same room at the onset of a surge.
    */
-  tryTakeUntold(workspace: Workspace, cost: number): boolean {
+  tryTakeUnreported(workspace: Workspace, cost: number): boolean {
     const { counters, getFleetSize } = this.options;
-    const { untold } = this.getAllowances(workspace);
-    const { known, room } = this.getQuotaState(workspace);
+    const { unreported: untold } = this.getAllowances(workspace);
+    const { knownLevel: known, capacity: room } = this.getQuotaState(workspace);
     // Only short requests fit into the part: beside a spent limit they would take what long ones wait for.
     if (known + cost > room * uncheckedShare) return false;
-    if (counters.getUntold(CounterKind.Quota, workspace.name) + cost > untold / (getFleetSize?.() ?? 1))
+    if (counters.getUnreported(CounterKind.Quota, workspace.name) + cost > untold / (getFleetSize?.() ?? 1))
       return false;
     this.addQuota(workspace, cost);
     return true;
@@ -176,14 +176,14 @@
   }
 
   /** Decides as the arbiter of a limit on what a peer has taken in all. */
-  answerAsk(peer: PeerIdentity, { workspace: name, total, uptime, use }: QuotaAsk): QuotaAnswer {
+  decideForPeer(peer: PeerIdentity, { workspace: name, total, uptime, use }: QuotaCall): QuotaReply {
     const { counters, follower } = this.options;
-    const workspace = follower.getTable()?.findWorkspaceNamed(name);
-    if (!workspace) return { word: QuotaWord.Unknown, level: 0 };
+    const workspace = follower.getTable()?.findWorkspaceByName(name);
+    if (!workspace) return { word: GrantDecision.Unknown, level: 0 };
     const share = this.prepareLimit(workspace);
     const room = this.getRoom(workspace, share, use) - this.getTakeoverMargin(workspace);
-    const early = { peer: peer.name, life: getLife(peer), uptime, name, total };
-    const word = counters.takeTotal(CounterKind.Quota, early, (cost) => {
+    const early = { peer: peer.name, life: getIncarnationKey(peer), uptime, name, total };
+    const word = counters.applyTotal(CounterKind.Quota, early, (cost) => {
       const level = counters.getSum(CounterKind.Quota, name);
       const needed = this.getNeeded(workspace, cost, room);
       return workspace.ratePerSecond <= 0 || getExcess({ workspace, cost, needed, level, room, share }) <= 0;
@@ -213,7 +213,7 @@
     const since = term && time - term.askedAt <= arbiterRestMs ? term.since : time;
     this.arbiterTerms.set(name, { since, askedAt: time });
     // What a life that knows nothing before it counts as taken holds this too.
-    if (!this.options.counters.isInformed) return 0;
+    if (!this.options.counters.knowsHistory) return 0;
     return time - since < takeoverMs ? (ratePerSecond * takeoverMs) / millisecondsPerSecond : 0;
   }
 
@@ -248,14 +248,14 @@
     const share = getKnownShare();
     return {
       level: counters.getSum(CounterKind.Quota, workspace.name),
-      known: counters.getKnownSum(CounterKind.Quota, workspace.name),
-      room: this.getRoom(workspace, share, QuotaUse.First),
+      knownLevel: counters.getKnownSum(CounterKind.Quota, workspace.name),
+      capacity: this.getRoom(workspace, share, QuotaUse.First),
       share,
     };
   }
 
   /** Lets the levels of all limits fall as they should, also of those that no request comes for here. */
-  refreshLimits(): void {
+  updateDrainRates(): void {
     for (const workspace of this.options.follower.getTable()?.configuration.workspaces ?? []) {
       if (workspace.ratePerSecond > 0) this.prepareLimit(workspace);
     }
@@ -267,8 +267,8 @@
   }
 
   private getRoom(workspace: Workspace, share: number, use: QuotaUse): number {
-    const { given, repeats } = this.getAllowances(workspace);
-    const more = use === QuotaUse.Repeat ? repeats : 0;
+    const { extraBurst: given, retries: repeats } = this.getAllowances(workspace);
+    const more = use === QuotaUse.Retry ? repeats : 0;
     return (workspace.burst + given + more) * share;
   }
 
@@ -281,8 +281,8 @@
   }
 
   /** Gives units back that were charged at a time, of a request that did not run. */
-  returnQuota(workspace: Workspace, cost: number, chargedAt: number): void {
-    if (workspace.ratePerSecond > 0) this.options.counters.giveBack(workspace.name, cost, chargedAt);
+  refundQuota(workspace: Workspace, cost: number, chargedAt: number): void {
+    if (workspace.ratePerSecond > 0) this.options.counters.refund(workspace.name, cost, chargedAt);
   }
 
   /**
@@ -295,12 +295,12 @@
     if (share <= (this.seededShares.get(name) ?? 0)) return;
     this.seededShares.set(name, share);
     const { counters, quotaWindowMs, isFirstStart } = this.options;
-    if (isFirstStart || counters.isInformed || counters.getUptime() > quotaWindowMs) return;
+    if (isFirstStart || counters.knowsHistory || counters.getUptime() > quotaWindowMs) return;
     const room = this.getRoom(workspace, share, QuotaUse.First);
     const unknown = this.getAllowances(workspace).restart * share;
     const seeded = Math.min(room * mostSeededShare, Math.max(0, room - unknown));
     if (counters.getKnownSum(CounterKind.Quota, name) >= seeded) return;
-    counters.seed(CounterKind.Quota, name, seeded);
+    counters.assumePriorUse(CounterKind.Quota, name, seeded);
   }
 }
 
--- a/packages/gateway/src/namedLimit.ts
+++ b/packages/gateway/src/advertisedLimit.ts
@@ -10,7 +10,7 @@
  * Returns the requests a second that a text names; of a header that is repeated, the lowest. Undefined where a value can't be
  * read, is negative or has no end.
  */
-export function parseNamedLimit(text: string): number | undefined {
+export function parseAdvertisedLimit(text: string): number | undefined {
   const values = text.split(separator).map(parseDecimal);
   const lowest = Math.min(...values.map((value) => value ?? NaN));
   return Number.isFinite(lowest) ? lowest : undefined;
