--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -8,14 +8,14 @@
 import { Err, Ok, type Result } from "ts-results-es";
 
 /** A question that is decided for the whole fleet. */
-export interface ArbiterQuestion<Answer> {
+export interface ArbiterCall<Answer> {
   /** What it is about; each subject has an arbiter of its own. */
   readonly subject: string;
   readonly message: PeerMessage;
   /** Whether an answer says that its giver does not know enough. */
-  readonly isUnclear: (answer: Answer) => boolean;
+  readonly isUndecided: (answer: Answer) => boolean;
   /** Whether an instance knows this kind of question; where it is left out, all do. */
-  readonly isAble?: (name: string) => boolean;
+  readonly supportsCall?: (name: string) => boolean;
 }
 
 /** Options of the choice. */
@@ -70,7 +70,7 @@
   }
 
   /** Whether this instance is the arbiter of a subject. */
-  decidesHere(subject: string): boolean {
+  isOwnSubject(subject: string): boolean {
     return this.find(subject) === this.options.own;
   }
 
@@ -78,16 +78,16 @@
    * Asks the subject's arbiter, and the next where it does not answer; fails with `PeerUnreachable` where none gives a
    * clear answer within `waitMs`. Both may have counted what was asked for.
    */
-  async ask<Answer>(question: ArbiterQuestion<Answer>, waitMs: number): Promise<Result<Answer, Failure>> {
+  async call<Answer>(question: ArbiterCall<Answer>, waitMs: number): Promise<Result<Answer, Failure>> {
     const { clock, own } = this.options;
-    const { subject, isUnclear } = question;
+    const { subject, isUndecided: isUnclear } = question;
     const endsAt = clock.getTime() + waitMs;
     const silent: ArbiterState[] = [];
     for (let tries = 0; tries < mostTries; tries++) {
       const arbiter = await this.waitForArbiter(question, endsAt);
       const leftMs = endsAt - clock.getTime();
       if (arbiter === undefined || arbiter === own || leftMs <= 0) break;
-      const answer = await this.askOne(arbiter, question, leftMs);
+      const answer = await this.callOne(arbiter, question, leftMs);
       if (answer !== undefined && !isUnclear(answer)) {
         for (const state of silent) state.restMs = Math.min(mostRestMs, state.restMs * 2);
         return Ok(answer);
@@ -102,7 +102,7 @@
 
   /** Resolves with the arbiter once it can be asked; with undefined where none can be for a while. */
   private async waitForArbiter(
-    { subject, isAble }: Pick<ArbiterQuestion<unknown>, "subject" | "isAble">,
+    { subject, supportsCall: isAble }: Pick<ArbiterCall<unknown>, "subject" | "supportsCall">,
     latestAt: number,
   ): Promise<string | undefined> {
     const { clock } = this.options;
@@ -138,9 +138,9 @@
     return place < 0 ? ranked.length : place;
   }
 
-  private async askOne<Answer>(
+  private async callOne<Answer>(
     arbiter: string,
-    { message }: ArbiterQuestion<Answer>,
+    { message }: ArbiterCall<Answer>,
     leftMs: number,
   ): Promise<Answer | undefined> {
     const { clock, call } = this.options;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -6,10 +6,10 @@
  */
 import { type ClientRequest, type IncomingMessage, request } from "node:http";
 import type { EndpointPool } from "./endpointConnections.js";
-import { type AnswerHead, AnswerWord, type EndpointProtocol } from "./types.js";
+import { type ResponseHead, ExecutionStatus, type EndpointProtocol } from "./types.js";
 
 /** How a sending ended. */
-export enum AttemptEnd {
+export enum AttemptOutcome {
   /** No byte was sent. */
   NotSent = 1,
   /** The endpoint says that it did not run the request. */
@@ -24,7 +24,7 @@
 
 /** What came of a sending; `response` is set where it was answered. */
 export interface AttemptResult {
-  readonly end: AttemptEnd;
+  readonly end: AttemptOutcome;
   readonly detail: string;
   readonly response: IncomingMessage | undefined;
 }
@@ -41,14 +41,14 @@
   readonly body: Buffer;
   readonly connectTimeoutMs: number;
   /** Called with the head of the answer at once, also where nobody waits for the result any more. */
-  readonly onHead: (head: AnswerHead, status: number) => void;
+  readonly onHead: (head: ResponseHead, status: number) => void;
 }
 
-const endsByWord: Readonly<Record<AnswerWord, AttemptEnd>> = {
-  [AnswerWord.Ran]: AttemptEnd.Answered,
-  [AnswerWord.NotRun]: AttemptEnd.NotRun,
-  [AnswerWord.WrongEndpoint]: AttemptEnd.WrongEndpoint,
-  [AnswerWord.Foreign]: AttemptEnd.Lost,
+const endsByWord: Readonly<Record<ExecutionStatus, AttemptOutcome>> = {
+  [ExecutionStatus.Ran]: AttemptOutcome.Answered,
+  [ExecutionStatus.NotRun]: AttemptOutcome.NotRun,
+  [ExecutionStatus.WrongEndpoint]: AttemptOutcome.WrongEndpoint,
+  [ExecutionStatus.Mismatched]: AttemptOutcome.Lost,
 };
 
 /** A sending under way. */
@@ -108,23 +108,23 @@
   }
 
   private fail(detail: string): void {
-    const end = this.isConnected ? AttemptEnd.Lost : AttemptEnd.NotSent;
+    const end = this.isConnected ? AttemptOutcome.Lost : AttemptOutcome.NotSent;
     this.settle({ end, detail, response: undefined });
   }
 
   private takeResponse(response: IncomingMessage): void {
     const { protocol, requestId, onHead } = this.options;
     const status = response.statusCode ?? 0;
-    const head = protocol.readAnswer(requestId, status, response.headers);
-    const end = endsByWord[head.word];
+    const head = protocol.readResponseHead(requestId, status, response.headers);
+    const end = endsByWord[head.executionStatus];
     onHead(head, status);
     // Errors of the body are seen by whoever reads it; an event without a listener would end the process.
     response.on("error", () => undefined);
-    if (end === AttemptEnd.Answered) {
+    if (end === AttemptOutcome.Answered) {
       this.settle({ end, detail: `status ${status}`, response });
       return;
     }
-    if (end === AttemptEnd.Lost) this.abort("foreign answer");
+    if (end === AttemptOutcome.Lost) this.abort("foreign answer");
     else response.resume();
     this.settle({ end, detail: `status ${status}`, response: undefined });
   }
--- a/packages/gateway/src/front.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -7,7 +7,7 @@
 import type { ClientLimits } from "./types.js";
 
 /** Options of the front. */
-export interface FrontOptions {
+export interface CallerServerOptions {
   readonly listen: string;
   readonly readinessListen: string;
   readonly readinessPath: string;
@@ -22,11 +22,11 @@
 const unavailable = 503;
 
 /** Listens for callers and for the platform's question whether the instance is ready. */
-export class Front implements Closeable {
+export class CallerServer implements Closeable {
   private readonly callers: Server;
   private readonly readiness: Server;
 
-  private constructor(private readonly options: FrontOptions) {
+  private constructor(private readonly options: CallerServerOptions) {
     const bounds = {
       maxHeaderSize: headerBytes,
       connectionsCheckingInterval: checkIntervalMs,
@@ -36,8 +36,8 @@
     this.readiness = createServer((message, response) => this.answerReadiness(message, response));
   }
 
-  static create(options: FrontOptions): Front {
-    return new Front(options);
+  static create(options: CallerServerOptions): CallerServer {
+    return new CallerServer(options);
   }
 
   async open(): Promise<void> {
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -9,7 +9,7 @@
   type CapacityOrder,
   type OrderSender,
   type OrderService,
-  OrderWord,
+  OrderOutcome,
   type ScalingLimits,
   type Service,
 } from "./types.js";
@@ -162,14 +162,14 @@
     const { orders, clock, logger } = this.options;
     const at = clock.getTime();
     const taken = await orders.orderCapacity(order, sender);
-    const outcome = taken.isErr() ? taken.error.name : OrderWord[taken.value];
+    const outcome = taken.isErr() ? taken.error.name : OrderOutcome[taken.value];
     const { service, hall, desired, isReclaimable } = order;
     logger.info("capacity.ordered", { service, hall, desired, isReclaimable, fence: sender.fence, outcome });
     if (taken.isErr()) {
       this.failedAt = clock.getTime();
       return false;
     }
-    if (taken.value === OrderWord.Taken) {
+    if (taken.value === OrderOutcome.Taken) {
       this.last.set(getKey(order), { desired, at });
       if (isReclaimable) this.refusedAt.delete(hall);
       return true;
--- a/packages/gateway/src/fixedWindows.ts
+++ b/packages/gateway/src/committedWindows.ts
@@ -11,7 +11,7 @@
 import type { WorkspaceCounts } from "./usageCounts.js";
 
 /** Options of the windows. */
-export interface FixedWindowsOptions {
+export interface CommittedWindowsOptions {
   readonly store: Pick<MetadataStore, "transact">;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -29,16 +29,16 @@
 const retryMs = 1_000;
 
 /** Remembers fixed windows. */
-export class FixedWindows {
+export class CommittedWindows {
   private readonly counts = new Map<number, WorkspaceCounts>();
   /** Windows that the store had and lost. */
   private readonly lost = new Set<number>();
   private triedAt = -Infinity;
 
-  private constructor(private readonly options: FixedWindowsOptions) {}
+  private constructor(private readonly options: CommittedWindowsOptions) {}
 
-  static create(options: FixedWindowsOptions): FixedWindows {
-    return new FixedWindows(options);
+  static create(options: CommittedWindowsOptions): CommittedWindows {
+    return new CommittedWindows(options);
   }
 
   /** Returns the counts that a window was first fixed with; undefined where none are known. */
@@ -69,7 +69,7 @@
   }
 
   /** Writes lost windows again; called several times a second. */
-  review(): void {
+  restoreLost(): void {
     const { clock, isWriter } = this.options;
     if (this.lost.size === 0 || !isWriter() || clock.getTime() - this.triedAt < retryMs) return;
     this.triedAt = clock.getTime();
--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -12,11 +12,11 @@
 import type { EraSettling } from "./eraSettling.js";
 import { PrefixFollower } from "./prefixFollower.js";
 import { RouteTable } from "./routeTable.js";
-import { type EraRise, isReturn, isSamePosition, type StorePosition, untoldEra } from "./storeEras.js";
+import { type EraChange, isRestore, isSamePosition, type StorePosition, initialEra } from "./storeEras.js";
 import type { PlatformAdapter, ServingConfiguration, StoreItem } from "./types.js";
 
 /** A peer's word on the configuration. */
-export interface Vouch {
+export interface ConfigurationProof {
   /** Age of the peer's own proof, milliseconds, when it answered. */
   readonly proofAgeMs: number;
   /** Revision of the newest configuration that the peer has. */
@@ -39,11 +39,11 @@
 /** How an instance comes by what the store holds. */
 export enum StoreRole {
   /** It asks for itself. */
-  Alone = 1,
+  Direct = 1,
   /** It asks for others, too. */
   Reader = 2,
   /** Others tell it. */
-  Fed = 3,
+  ViaReader = 3,
 }
 
 /** Options of a follower. */
@@ -60,7 +60,7 @@
   /** Time after the start in which the proving reads alone are to bring the configuration; milliseconds. */
   readonly firstWatchPauseMs?: number;
   /** Asks some peers for their word, given what is held here. */
-  readonly askPeers: (held: HeldConfiguration) => Promise<readonly Vouch[]>;
+  readonly askPeers: (held: HeldConfiguration) => Promise<readonly ConfigurationProof[]>;
   readonly settling: EraSettling;
 }
 
@@ -95,7 +95,7 @@
   private withheldEra: number | undefined;
   private isAskingPeers = false;
   private isLost = false;
-  private role = StoreRole.Alone;
+  private role = StoreRole.Direct;
   /** Boot time at which the last read was sent that the store answered. */
   private storeReadAt = -Infinity;
   private lastTroubleAt = -Infinity;
@@ -120,7 +120,7 @@
       },
       isListingNeeded: false,
     });
-    platform.store.eras.onRise((rise) => this.handleRise(rise));
+    platform.store.eras.onEraChange((rise) => this.handleRise(rise));
     options.settling.onSettled(() => void this.tryRead());
     this.watchesFrom = clock.getTime() + (options.firstWatchPauseMs ?? 0);
     this.setFollowing();
@@ -146,7 +146,7 @@
   }
 
   /** Whether the configuration is known to be young enough to decide about keys. */
-  isProven(): boolean {
+  hasFreshProof(): boolean {
     return this.table !== undefined && this.getProofAge() < this.options.proofLifetimeMs;
   }
 
@@ -167,7 +167,7 @@
 
   /** Says how this instance comes by what the store holds; one that is fed reads only where its proof grows old. */
   setRole(role: StoreRole): void {
-    const hasLost = this.isFed && role !== StoreRole.Fed;
+    const hasLost = this.isFed && role !== StoreRole.ViaReader;
     this.role = role;
     this.setFollowing();
     if (hasLost) void this.tryRead();
@@ -179,7 +179,7 @@
   }
 
   private get isFed(): boolean {
-    return this.role === StoreRole.Fed;
+    return this.role === StoreRole.ViaReader;
   }
 
   /** Milliseconds since a call on the store last failed. */
@@ -215,9 +215,9 @@
   private getInterval(): number {
     const { proofIntervalMs, readerIntervalMs } = this.options;
     const intervals: Readonly<Record<StoreRole, number>> = {
-      [StoreRole.Alone]: proofIntervalMs,
+      [StoreRole.Direct]: proofIntervalMs,
       [StoreRole.Reader]: readerIntervalMs,
-      [StoreRole.Fed]: fedIntervalMs,
+      [StoreRole.ViaReader]: fedIntervalMs,
     };
     return intervals[this.role];
   }
@@ -251,7 +251,7 @@
     const isLacking = version !== undefined && inForce !== undefined && version < inForce;
     // In one era, an older version than the one in force is an answer that was passed by another.
     const isAwaited = isLacking && settling.ageMs < longestRewriteMs;
-    const isWhole = settling.isWhole(sentAt) && !isAwaited;
+    const isWhole = settling.isReadComplete(sentAt) && !isAwaited;
     if (!isWhole && this.withheldEra !== era) {
       this.withheldEra = era;
       const cause = isAwaited ? "not written again yet" : "operators may be writing again";
@@ -265,8 +265,8 @@
    * This instance's word for a peer that holds a configuration; undefined where it has no proof itself. A newer
    * configuration goes with it if it has no more bytes than are given.
    */
-  vouch(held: HeldConfiguration, mostBytes = Infinity): Vouch | undefined {
-    if (!this.taken || !this.isProven()) return undefined;
+  createProof(held: HeldConfiguration, mostBytes = Infinity): ConfigurationProof | undefined {
+    if (!this.taken || !this.hasFreshProof()) return undefined;
     const { item, position, version } = this.taken;
     const isNewer = isNewerThan(this.taken, held);
     const value = isNewer && item.value.length <= mostBytes ? item.value : undefined;
@@ -289,14 +289,14 @@
     const vouches = await this.options.askPeers(this.getHeld());
     this.isAskingPeers = false;
     if (this.stop.signal.aborted) return;
-    for (const vouch of vouches) this.takeVouch(vouch, askedAt);
+    for (const vouch of vouches) this.applyProof(vouch, askedAt);
   }
 
   /** Takes a peer's word that was asked for at a boot time. */
-  takeVouch(vouch: Vouch, askedAt: number): void {
+  applyProof(vouch: ConfigurationProof, askedAt: number): void {
     const { logger, platform } = this.options;
-    const { proofAgeMs, revision, era = untoldEra, value } = vouch;
-    platform.store.eras.takePeer(era);
+    const { proofAgeMs, revision, era = initialEra, value } = vouch;
+    platform.store.eras.advanceTo(era);
     if (value) this.take({ key: platform.configurationKey, revision, value }, era);
     if (!this.table || !this.isVouchComparable(vouch)) return;
     if (this.isBehind(vouch)) {
@@ -316,11 +316,11 @@
   }
 
   /** Whether a peer's word says which configuration it proves: of an earlier build it does so in the first era only. */
-  private isVouchComparable({ version }: Vouch): boolean {
-    return version !== undefined || this.options.platform.store.eras.current === untoldEra;
+  private isVouchComparable({ version }: ConfigurationProof): boolean {
+    return version !== undefined || this.options.platform.store.eras.current === initialEra;
   }
 
-  private isBehind({ version, era = untoldEra, revision }: Vouch): boolean {
+  private isBehind({ version, era = initialEra, revision }: ConfigurationProof): boolean {
     const { taken, table } = this;
     if (taken && isSamePosition(taken.position, { era, revision })) return false;
     if (version !== undefined) return version > (table?.version ?? -Infinity);
@@ -377,8 +377,8 @@
   }
 
   /** What was lost with the era before is not proven by reads of this one yet, and its revisions are no order any more. */
-  private handleRise(rise: EraRise): void {
-    if (!isReturn(rise)) return;
+  private handleRise(rise: EraChange): void {
+    if (!isRestore(rise)) return;
     this.lastTroubleAt = this.options.clock.getTime();
     this.follower.restart();
     if (!this.isFed) void this.tryRead();
--- a/packages/gateway/src/connectionEnds.ts
+++ b/packages/gateway/src/connectionEnds.ts
@@ -10,7 +10,7 @@
 const resetSockets = new WeakSet<Socket>();
 
 /** Watches a connection; to be called before anything else listens to it. */
-export function watchEnd(socket: Socket): void {
+export function trackConnectionEnd(socket: Socket): void {
   socket.on("end", () => {
     // Node.js remembers the address from the first time it is asked for; nobody asks before.
     if (socket.remoteAddress === undefined) resetSockets.add(socket);
--- a/packages/gateway/src/countHandover.ts
+++ b/packages/gateway/src/countHandover.ts
@@ -31,7 +31,7 @@
   }
 
   /** Takes note that they have come. */
-  noteTaken(): void {
+  complete(): void {
     this.askingSince = undefined;
   }
 }
--- a/packages/gateway/src/crashWatch.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -6,24 +6,24 @@
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
-import type { CrashRecords, CrashReport, CrashSubject, CrashWords } from "./crashRecords.js";
+import type { CrashRecords, CrashReport, CrashSubject, CrashUpdate } from "./crashRecords.js";
 import { type Endpoint, EndpointState } from "./endpoint.js";
-import { WordSource } from "./endpointWords.js";
-import { ProbeWord } from "./endpointProbe.js";
+import { LeavingSource } from "./endpointAvailability.js";
+import { ProbeResult } from "./endpointProbe.js";
 
 /** A request that is at an endpoint. */
-export interface AboardRequest {
+export interface InFlightRequest {
   /** Costs a digest where it was not needed before. */
   readonly subject: CrashSubject;
 }
 
 /** Options of the watch. */
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly records: CrashRecords;
   /** Asks an address whether anybody listens there. */
-  readonly probe: (address: string) => Promise<ProbeWord>;
+  readonly probe: (address: string) => Promise<ProbeResult>;
   /** Returns an endpoint by its life; undefined once it is forgotten. */
   readonly findEndpoint: (life: string) => Endpoint | undefined;
   /** Time for which an endpoint serves on after its word that it leaves; milliseconds. */
@@ -31,8 +31,8 @@
   /** Milliseconds since the store was last in trouble: until then, records say nothing of their endpoints. */
   readonly getTimeSinceTrouble: () => number;
   /** Tells peers at once: the time until they know decides how many endpoints end. */
-  readonly tell: (words: CrashWords) => void;
-  readonly countEnd: (service: string) => void;
+  readonly broadcast: (words: CrashUpdate) => void;
+  readonly countCrash: (service: string) => void;
 }
 
 /** Part of the drain time after which an end may be the planned one: the word may be as old as the answer before it. */
@@ -48,27 +48,27 @@
 
 /** An attempt to find out whether an endpoint has ended, and who was cut there meanwhile. */
 interface EndCheck {
-  readonly cut: AboardRequest[];
+  readonly cut: InFlightRequest[];
   readonly hasEnded: Promise<boolean>;
 }
 
 /** Watches endpoints for their end. */
-export class CrashWatch {
+export class CrashDetector {
   private readonly checks = new Map<Endpoint, EndCheck>();
   /** When an endpoint last showed that it lives, though a request was cut there. */
   private readonly aliveAt = new WeakMap<Endpoint, number>();
 
-  private constructor(private readonly options: CrashWatchOptions) {}
+  private constructor(private readonly options: CrashDetectorOptions) {}
 
-  static create(options: CrashWatchOptions): CrashWatch {
-    return new CrashWatch(options);
+  static create(options: CrashDetectorOptions): CrashDetector {
+    return new CrashDetector(options);
   }
 
   /** Takes note that a request was cut at an endpoint; resolves with whether the endpoint has ended. */
-  async noteCut(endpoint: Endpoint, request: AboardRequest): Promise<boolean> {
+  async noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
     const { clock, records } = this.options;
     if (this.mayBePlanned(endpoint)) return false;
-    if (records.hasEnded(endpoint.life)) {
+    if (records.hasCrashed(endpoint.incarnation)) {
       this.report(endpoint, [request]);
       return true;
     }
@@ -81,13 +81,13 @@
 
   /** Takes back what a record shows to be wrong; called several times a second. */
   review(): void {
-    const { records, findEndpoint, getTimeSinceTrouble, logger, tell } = this.options;
+    const { records, findEndpoint, getTimeSinceTrouble, logger, broadcast: tell } = this.options;
     if (getTimeSinceTrouble() < recordedMs) return;
-    for (const life of records.getEndedBefore(recordedMs)) {
+    for (const life of records.getCrashedBefore(recordedMs)) {
       if (findEndpoint(life)?.state !== EndpointState.Ready) continue;
       logger.info("endpoint.end-refuted", { life });
       const words = { refuted: [life] };
-      records.take(words);
+      records.apply(words);
       tell(words);
     }
   }
@@ -96,38 +96,39 @@
    * Whether an end now would be one that was announced, so that no request is to blame. One that leaves ends as planned, and one
    * whose record is gone may; but one that has only just begun to say so in answers does not end before its drain time.
    */
-  private mayBePlanned({ state, words, servedAt }: Endpoint): boolean {
+  private mayBePlanned({ state, availability: words, servedAt }: Endpoint): boolean {
     if (state === EndpointState.Ready) return false;
-    const isHeardInAnswers = words.leaving === WordSource.Answer || words.leaving === WordSource.Peer;
+    const isHeardInAnswers =
+      words.leavingSource === LeavingSource.Answer || words.leavingSource === LeavingSource.Peer;
     if (!isHeardInAnswers) return true;
     const { clock, drainMs } = this.options;
     return clock.getTime() - servedAt >= drainMs * plannedShare;
   }
 
   private startCheck(endpoint: Endpoint): EndCheck {
-    const cut: AboardRequest[] = [];
+    const cut: InFlightRequest[] = [];
     const check = { cut, hasEnded: this.check(endpoint, cut) };
     this.checks.set(endpoint, check);
     return check;
   }
 
-  private async check(endpoint: Endpoint, cut: readonly AboardRequest[]): Promise<boolean> {
+  private async check(endpoint: Endpoint, cut: readonly InFlightRequest[]): Promise<boolean> {
     const word = await this.options.probe(endpoint.record.address);
     this.checks.delete(endpoint);
-    if (word === ProbeWord.Listening) this.aliveAt.set(endpoint, this.options.clock.getTime());
-    const hasEnded = word === ProbeWord.NobodyThere && !this.mayBePlanned(endpoint);
-    if (hasEnded) this.report(endpoint, [...new Set([...cut, ...endpoint.aboard])]);
+    if (word === ProbeResult.Listening) this.aliveAt.set(endpoint, this.options.clock.getTime());
+    const hasEnded = word === ProbeResult.Refused && !this.mayBePlanned(endpoint);
+    if (hasEnded) this.report(endpoint, [...new Set([...cut, ...endpoint.inFlight])]);
     return hasEnded;
   }
 
-  private report(endpoint: Endpoint, requests: readonly AboardRequest[]): void {
-    const { clock, logger, records, tell, countEnd } = this.options;
-    const { life, record } = endpoint;
-    const isFirst = !records.hasEnded(life);
+  private report(endpoint: Endpoint, requests: readonly InFlightRequest[]): void {
+    const { clock, logger, records, broadcast: tell, countCrash: countEnd } = this.options;
+    const { incarnation: life, record } = endpoint;
+    const isFirst = !records.hasCrashed(life);
     const aboard = requests.slice(0, mostReported).map(({ subject }) => subject);
     const report: CrashReport = records.createReport(life, aboard);
     const words = { reports: [report] };
-    if (!records.take(words)) return;
+    if (!records.apply(words)) return;
     tell(words);
     logger.info("endpoint.ended", {
       endpoint: record.id,
--- a/packages/gateway/src/crashLinks.ts
+++ b/packages/gateway/src/crashGossip.ts
@@ -4,23 +4,28 @@
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
-import type { CrashRecords, CrashWords } from "./crashRecords.js";
-import { FleetWords, type WordFleet } from "./fleetWords.js";
-import { type TrialAnswer, type TrialGrants, type TrialQuestion, TrialWord } from "./trialGrants.js";
+import type { CrashRecords, CrashUpdate } from "./crashRecords.js";
+import { FleetBroadcast, type FleetTopology } from "./fleetBroadcast.js";
+import {
+  type TrialReply,
+  type TrialScheduler,
+  type TrialCallArguments,
+  TrialDecision,
+} from "./trialScheduler.js";
 
 /** Numbers of the messages; after that of vouching. */
 enum CrashMessageKind {
   Words = 41,
-  TrialAsk = 42,
+  TrialCall = 42,
   TrialEnd = 43,
 }
 
-interface WordsMessage extends PeerMessage, CrashWords {
+interface WordsMessage extends PeerMessage, CrashUpdate {
   readonly kind: CrashMessageKind.Words;
 }
 
-interface TrialAskMessage extends PeerMessage, TrialQuestion {
-  readonly kind: CrashMessageKind.TrialAsk;
+interface TrialCall extends PeerMessage, TrialCallArguments {
+  readonly kind: CrashMessageKind.TrialCall;
 }
 
 interface TrialEndMessage extends PeerMessage {
@@ -30,58 +35,58 @@
 }
 
 /** The fleet, as far as words and questions need it. */
-export interface CrashFleet extends WordFleet {
+export interface CrashFleet extends FleetTopology {
   /** Name of the reader that decides on a service, this instance perhaps; undefined where none can be asked. */
   findArbiter(subject: string): string | undefined;
 }
 
 /** Options of the links. */
-export interface CrashLinksOptions {
+export interface CrashGossipOptions {
   readonly own: string;
   readonly fleet: CrashFleet;
   readonly records: CrashRecords;
-  readonly grants: TrialGrants;
+  readonly grants: TrialScheduler;
   /** Called with each word that told something new. */
-  readonly onWords: (words: CrashWords) => void;
+  readonly onUpdate: (words: CrashUpdate) => void;
 }
 
 /** Time beyond the wait that was asked for: the way to the arbiter and back. */
 const answerMarginMs = 150;
 
 /** Tells and asks. */
-export class CrashLinks {
-  private readonly words: FleetWords;
+export class CrashGossip {
+  private readonly words: FleetBroadcast;
 
-  private constructor(private readonly options: CrashLinksOptions) {
-    this.words = FleetWords.create(options.fleet);
+  private constructor(private readonly options: CrashGossipOptions) {
+    this.words = FleetBroadcast.create(options.fleet);
     const { links } = options.fleet;
     links.setHandler(CrashMessageKind.Words, (message, peer) => this.take(message, peer));
-    links.setHandler(CrashMessageKind.TrialAsk, (message) => this.answer(message as TrialAskMessage));
+    links.setHandler(CrashMessageKind.TrialCall, (message) => this.answer(message as TrialCall));
     links.setHandler(CrashMessageKind.TrialEnd, (message) => {
       const { life, fingerprint } = message as TrialEndMessage;
       options.grants.end(life, fingerprint);
     });
-    links.onUp((peer) => this.tellNewcomer(peer));
+    links.onLinkUp((peer) => this.sendToNewPeer(peer));
   }
 
-  static create(options: CrashLinksOptions): CrashLinks {
-    return new CrashLinks(options);
+  static create(options: CrashGossipOptions): CrashGossip {
+    return new CrashGossip(options);
   }
 
   /** Tells all peers, or in a large fleet the readers. */
-  tell(words: CrashWords): void {
-    this.words.tell(createMessage(words));
+  broadcast(words: CrashUpdate): void {
+    this.words.broadcast(createMessage(words));
   }
 
   /** Asks the arbiter of the service; where none answers, nobody knows where other suspects run. */
-  async ask(question: TrialQuestion): Promise<TrialAnswer> {
+  async callArbiter(question: TrialCallArguments): Promise<TrialReply> {
     const { own, fleet, grants } = this.options;
     const arbiter = fleet.findArbiter(question.service);
-    if (arbiter === own) return grants.ask(question);
-    if (arbiter === undefined) return { word: TrialWord.Unknown };
-    const message: TrialAskMessage = { kind: CrashMessageKind.TrialAsk, ...question };
+    if (arbiter === own) return grants.decideOrWait(question);
+    if (arbiter === undefined) return { word: TrialDecision.Unknown };
+    const message: TrialCall = { kind: CrashMessageKind.TrialCall, ...question };
     const answer = await fleet.links.call(arbiter, message, question.waitMs + answerMarginMs);
-    return answer.isOk() ? (answer.value as TrialAnswer) : { word: TrialWord.Unknown };
+    return answer.isOk() ? (answer.value as TrialReply) : { word: TrialDecision.Unknown };
   }
 
   /** Tells the arbiter that a suspect's run is over, or has lasted long enough. */
@@ -94,37 +99,32 @@
   }
 
   private take(message: WordsMessage, { name }: PeerIdentity): void {
-    const { records, onWords } = this.options;
+    const { records, onUpdate: onWords } = this.options;
     const { reports, acquittals, refuted } = message;
-    const words: CrashWords = {
+    const words: CrashUpdate = {
       ...(reports && { reports }),
       ...(acquittals && { acquittals }),
       ...(refuted && { refuted }),
     };
-    if (!records.take(words)) return;
+    if (!records.apply(words)) return;
     onWords(words);
     this.words.relay(createMessage(words), name);
   }
 
   /** One that does not hear the whole fleet knows too little to decide. */
-  private answer({
-    service,
-    subject,
-    excluded,
-    waitMs,
-  }: TrialAskMessage): Promise<TrialAnswer> | TrialAnswer {
+  private answer({ service, subject, excluded, waitMs }: TrialCall): Promise<TrialReply> | TrialReply {
     const { fleet, grants } = this.options;
-    if (!fleet.isCollector) return { word: TrialWord.Unknown };
-    return grants.ask({ service, subject, excluded, waitMs });
+    if (!fleet.isCollector) return { word: TrialDecision.Unknown };
+    return grants.decideOrWait({ service, subject, excluded, waitMs });
   }
 
-  private tellNewcomer({ name }: PeerIdentity): void {
-    const words = this.options.records.createWords();
+  private sendToNewPeer({ name }: PeerIdentity): void {
+    const words = this.options.records.createSnapshot();
     if (words.reports?.length === 0) return;
     this.options.fleet.links.send(name, createMessage(words));
   }
 }
 
-function createMessage(words: CrashWords): WordsMessage {
+function createMessage(words: CrashUpdate): WordsMessage {
   return { kind: CrashMessageKind.Words, ...words };
 }
--- a/packages/gateway/src/crashes.ts
+++ b/packages/gateway/src/crashProtection.ts
@@ -4,21 +4,21 @@
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
-import { CrashLinks } from "./crashLinks.js";
-import { CrashRecords, type CrashWords } from "./crashRecords.js";
+import { CrashGossip } from "./crashGossip.js";
+import { CrashRecords, type CrashUpdate } from "./crashRecords.js";
 import { CrashStore } from "./crashStore.js";
-import { CrashWatch } from "./crashWatch.js";
+import { CrashDetector } from "./crashDetector.js";
 import type { EndpointDirectory } from "./endpointDirectory.js";
 import { probeEndpoint } from "./endpointProbe.js";
 import type { GatewayMetrics } from "./gatewayMetrics.js";
 import type { Members } from "./members.js";
 import type { Removal } from "./prefixFollower.js";
-import { Suspects } from "./suspects.js";
-import { TrialGrants } from "./trialGrants.js";
+import { SuspectGate } from "./suspectGate.js";
+import { TrialScheduler } from "./trialScheduler.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
 /** What the parts stand on. */
-export interface CrashesOptions {
+export interface CrashProtectionOptions {
   /** Name of this instance. */
   readonly own: string;
   readonly clock: Clock;
@@ -35,36 +35,42 @@
 }
 
 /** All that an instance knows of endpoints that ended. */
-export class Crashes {
+export class CrashProtection {
   readonly records: CrashRecords;
   /** What requests are asked about. */
-  readonly suspects: Suspects;
-  private readonly watch: CrashWatch;
-  private readonly grants: TrialGrants;
+  readonly suspects: SuspectGate;
+  private readonly watch: CrashDetector;
+  private readonly grants: TrialScheduler;
   private readonly kept: CrashStore;
 
-  private constructor(private readonly options: CrashesOptions) {
+  private constructor(private readonly options: CrashProtectionOptions) {
     const { own, clock, logger, store, directory, members, metrics } = options;
     const records = CrashRecords.create(clock);
     this.records = records;
-    const findEndpoint = directory.findLife.bind(directory);
+    const findEndpoint = directory.find.bind(directory);
     const getEndpoints = directory.getOfService.bind(directory);
-    this.grants = TrialGrants.create({
+    this.grants = TrialScheduler.create({
       clock,
       records,
       getEndpoints,
       getPeerWork: (life) => members.getPeerWork(life),
     });
-    const onWords = (words: CrashWords): void => {
+    const onWords = (words: CrashUpdate): void => {
       this.noteUnreachable(words);
       this.kept.review();
     };
-    const links = CrashLinks.create({ own, fleet: members, records, grants: this.grants, onWords });
-    const tell = (words: CrashWords): void => {
-      links.tell(words);
+    const links = CrashGossip.create({
+      own,
+      fleet: members,
+      records,
+      grants: this.grants,
+      onUpdate: onWords,
+    });
+    const tell = (words: CrashUpdate): void => {
+      links.broadcast(words);
       this.kept.review();
     };
-    this.watch = CrashWatch.create({
+    this.watch = CrashDetector.create({
       clock,
       logger,
       records,
@@ -72,8 +78,8 @@
       findEndpoint,
       drainMs: options.drainMs,
       getTimeSinceTrouble: options.getTimeSinceTrouble,
-      tell,
-      countEnd: (service) => metrics.countEndpointEnd(service),
+      broadcast: tell,
+      countCrash: (service) => metrics.countEndpointCrash(service),
     });
     this.kept = CrashStore.create({
       store,
@@ -82,27 +88,27 @@
       records,
       isWriter: (fingerprint) => members.isCollector && members.findArbiter(fingerprint) === own,
     });
-    this.suspects = Suspects.create({
+    this.suspects = SuspectGate.create({
       clock,
       logger,
       records,
-      watch: this.watch,
+      detector: this.watch,
       metrics,
-      tell,
-      ask: (question) => links.ask(question),
+      broadcast: tell,
+      callArbiter: (question) => links.callArbiter(question),
       endTrial: (service, life, fingerprint) => links.endTrial(service, life, fingerprint),
       getEndpoints,
       findEndpoint,
     });
   }
 
-  static create(options: CrashesOptions): Crashes {
-    return new Crashes(options);
+  static create(options: CrashProtectionOptions): CrashProtection {
+    return new CrashProtection(options);
   }
 
   /** Takes an item of the store, or that it is gone and how. */
-  takeItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
-    this.kept.take(key, item, removal);
+  handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
+    this.kept.handleItem(key, item, removal);
   }
 
   /** Looks again at what was held to have ended, and at what the store should hold. */
@@ -116,10 +122,10 @@
   }
 
   /** A peer found that an endpoint has ended: this instance need not find it out by requests of its own. */
-  private noteUnreachable({ reports = [] }: CrashWords): void {
+  private noteUnreachable({ reports = [] }: CrashUpdate): void {
     const { clock, directory } = this.options;
     for (const { life } of reports) {
-      const endpoint = directory.findLife(life);
+      const endpoint = directory.find(life);
       const time = clock.getTime();
       if (endpoint && !endpoint.isUnreachable(time)) endpoint.noteUnreachable(time);
     }
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -27,7 +27,7 @@
 }
 
 /** A request was answered whole: it did not end these endpoints. */
-export interface Acquittal {
+export interface Clearance {
   readonly fingerprint: string;
   readonly lives: readonly string[];
 }
@@ -40,15 +40,15 @@
 }
 
 /** What instances tell each other. */
-export interface CrashWords {
+export interface CrashUpdate {
   readonly reports?: readonly CrashReport[];
-  readonly acquittals?: readonly Acquittal[];
+  readonly acquittals?: readonly Clearance[];
   /** Lives that turned out not to have ended. */
   readonly refuted?: readonly string[];
 }
 
 /** What may be done with a request. */
-export enum Verdict {
+export enum QuarantineState {
   /** It is like any other. */
   Clear = 1,
   /** It was at one endpoint that ended; it runs while enough of the service is left. */
@@ -76,7 +76,7 @@
 const mostFirstBlame = 1.5;
 const restingBlame = 2;
 /** Time without a run: two ends may still be chance, and a caller that asks again after a minute is served by then. */
-export const restMs = 60_000;
+export const cooldownMs = 60_000;
 /** A suspect that never came back is forgotten: endpoints end by themselves, and most suspects are innocent. */
 const suspicionMs = 600_000;
 /**
@@ -89,7 +89,7 @@
 /** Requests in one snapshot for a peer; 60 bytes each, a tenth of a link's outbox. */
 const mostTold = 400;
 
-interface AboardState {
+interface InFlightState {
   readonly workspace: string;
   wasSuspect: boolean;
   isAcquitted: boolean;
@@ -101,7 +101,7 @@
   /** Monotonic time at which it was heard of. */
   readonly notedAt: number;
   /** Requests that were there, by fingerprint. */
-  readonly aboard: Map<string, AboardState>;
+  readonly inFlight: Map<string, InFlightState>;
   isRefuted: boolean;
 }
 
@@ -120,29 +120,29 @@
   }
 
   /** Whether some request of a workspace is watched: only then a request's fingerprint is needed. */
-  isWatched(workspace: string): boolean {
+  hasSuspects(workspace: string): boolean {
     return this.watched.has(workspace);
   }
 
   /** Whether an endpoint's life is held to have ended. */
-  hasEnded(life: string): boolean {
+  hasCrashed(life: string): boolean {
     const end = this.ends.get(life);
     return end !== undefined && !end.isRefuted;
   }
 
   /** Returns what may be done with a request. */
-  getVerdict({ fingerprint }: CrashSubject): Verdict {
+  getQuarantineState({ fingerprint }: CrashSubject): QuarantineState {
     const blame = this.getBlame(fingerprint);
-    if (blame === 0) return Verdict.Clear;
-    if (blame > restingBlame) return Verdict.Convicted;
-    const age = this.getAge(fingerprint);
-    if (blame === restingBlame) return age < restMs ? Verdict.Resting : Verdict.Isolated;
-    if (age >= suspicionMs) return Verdict.Clear;
-    return blame > suspectBlame ? Verdict.Isolated : Verdict.Suspect;
+    if (blame === 0) return QuarantineState.Clear;
+    if (blame > restingBlame) return QuarantineState.Convicted;
+    const age = this.getTimeSinceCrash(fingerprint);
+    if (blame === restingBlame) return age < cooldownMs ? QuarantineState.Resting : QuarantineState.Isolated;
+    if (age >= suspicionMs) return QuarantineState.Clear;
+    return blame > suspectBlame ? QuarantineState.Isolated : QuarantineState.Suspect;
   }
 
   /** Milliseconds since an endpoint last ended under a request, as heard here. */
-  getAge(fingerprint: string): number {
+  getTimeSinceCrash(fingerprint: string): number {
     let notedAt = -Infinity;
     for (const end of this.endsByFingerprint.get(fingerprint) ?? []) {
       if (!end.isRefuted) notedAt = Math.max(notedAt, end.notedAt);
@@ -151,16 +151,16 @@
   }
 
   /** Lives of endpoints that ended while a request was there, and that it is not cleared of. */
-  getLives(fingerprint: string): readonly string[] {
+  getUncleared(fingerprint: string): readonly string[] {
     const ends = [...(this.endsByFingerprint.get(fingerprint) ?? [])];
     return ends.filter((end) => isOpen(end, fingerprint)).map(({ life }) => life);
   }
 
   /** The ends that a verdict rests on: those before which a request was no suspect, and those before which it was. */
   getEvidence(fingerprint: string): CrashEvidence {
-    const lives = this.getLives(fingerprint);
+    const lives = this.getUncleared(fingerprint);
     const wasSuspect = (life: string): boolean =>
-      this.ends.get(life)?.aboard.get(fingerprint)?.wasSuspect === true;
+      this.ends.get(life)?.inFlight.get(fingerprint)?.wasSuspect === true;
     return {
       first: lives.filter((life) => !wasSuspect(life)),
       repeated: lives.filter((life) => wasSuspect(life)),
@@ -168,7 +168,7 @@
   }
 
   /** Requests whose verdict must outlast this instance. */
-  getKept(): readonly CrashSubject[] {
+  getDurable(): readonly CrashSubject[] {
     const kept: CrashSubject[] = [];
     for (const [workspace, fingerprints] of this.watched) {
       for (const fingerprint of fingerprints) {
@@ -205,7 +205,7 @@
   }
 
   /** What is known, for a peer that may know less: the latest ends. */
-  createWords(): CrashWords {
+  createSnapshot(): CrashUpdate {
     const reports: CrashReport[] = [];
     let told = 0;
     for (const end of [...this.ends.values()].reverse()) {
@@ -218,7 +218,7 @@
   }
 
   /** Takes words; returns whether they told anything new. */
-  take({ reports = [], acquittals = [], refuted = [] }: CrashWords): boolean {
+  apply({ reports = [], acquittals = [], refuted = [] }: CrashUpdate): boolean {
     let isNew = false;
     for (const report of reports) isNew = this.takeReport(report) || isNew;
     for (const acquittal of acquittals) isNew = this.takeAcquittal(acquittal) || isNew;
@@ -227,7 +227,7 @@
   }
 
   /** Lives that were noted longer ago than a time and are held to have ended. */
-  getEndedBefore(ageMs: number): readonly string[] {
+  getCrashedBefore(ageMs: number): readonly string[] {
     const latest = this.clock.getTime() - ageMs;
     return [...this.ends.values()]
       .filter((end) => !end.isRefuted && end.notedAt <= latest)
@@ -241,7 +241,7 @@
     for (const end of this.endsByFingerprint.get(fingerprint) ?? []) {
       if (end.life === without || !isOpen(end, fingerprint)) continue;
       const suspects = countSuspects(end);
-      const wasSuspect = end.aboard.get(fingerprint)?.wasSuspect === true;
+      const wasSuspect = end.inFlight.get(fingerprint)?.wasSuspect === true;
       if (wasSuspect) repeated += wholeBlame / suspects;
       else if (suspects === 0) firstEnds += 1;
     }
@@ -252,8 +252,8 @@
     const isKnown = this.ends.has(life);
     const end = this.getEnd(life);
     let isNew = !isKnown;
-    for (const subject of suspects) isNew = this.addAboard(end, subject, true) || isNew;
-    for (const subject of others) isNew = this.addAboard(end, subject, false) || isNew;
+    for (const subject of suspects) isNew = this.addInFlight(end, subject, true) || isNew;
+    for (const subject of others) isNew = this.addInFlight(end, subject, false) || isNew;
     if (isNew) this.watchAll(end);
     // Before its requests are noted a new end is needed by nobody, and would be the one to go.
     this.forgetOldest();
@@ -263,35 +263,35 @@
   private getEnd(life: string): EndpointEnd {
     let end = this.ends.get(life);
     if (!end) {
-      end = { life, notedAt: this.clock.getTime(), aboard: new Map(), isRefuted: false };
+      end = { life, notedAt: this.clock.getTime(), inFlight: new Map(), isRefuted: false };
       this.ends.set(life, end);
     }
     return end;
   }
 
-  private addAboard(
+  private addInFlight(
     end: EndpointEnd,
     { workspace, fingerprint }: CrashSubject,
     wasSuspect: boolean,
   ): boolean {
-    const state = end.aboard.get(fingerprint);
+    const state = end.inFlight.get(fingerprint);
     if (state) {
       if (state.wasSuspect || !wasSuspect) return false;
       state.wasSuspect = true;
       return true;
     }
-    end.aboard.set(fingerprint, { workspace, wasSuspect, isAcquitted: false });
+    end.inFlight.set(fingerprint, { workspace, wasSuspect, isAcquitted: false });
     const ends = this.endsByFingerprint.get(fingerprint) ?? new Set<EndpointEnd>();
     this.endsByFingerprint.set(fingerprint, ends);
     ends.add(end);
     return true;
   }
 
-  private takeAcquittal({ fingerprint, lives }: Acquittal): boolean {
+  private takeAcquittal({ fingerprint, lives }: Clearance): boolean {
     let isNew = false;
     for (const life of lives) {
       const end = this.ends.get(life);
-      const state = end?.aboard.get(fingerprint);
+      const state = end?.inFlight.get(fingerprint);
       if (!end || !state || state.isAcquitted) continue;
       state.isAcquitted = true;
       isNew = true;
@@ -310,7 +310,7 @@
 
   /** Watches those at an endpoint that are to blame, and no others. */
   private watchAll(end: EndpointEnd): void {
-    for (const [fingerprint, { workspace }] of end.aboard) {
+    for (const [fingerprint, { workspace }] of end.inFlight) {
       if (this.getBlame(fingerprint) > 0) this.watch(workspace, fingerprint);
       else this.unwatch(workspace, fingerprint);
     }
@@ -333,20 +333,20 @@
   }
 
   private drop(fingerprint: string): void {
-    for (const end of this.endsByFingerprint.get(fingerprint) ?? []) end.aboard.delete(fingerprint);
+    for (const end of this.endsByFingerprint.get(fingerprint) ?? []) end.inFlight.delete(fingerprint);
     this.endsByFingerprint.delete(fingerprint);
   }
 
   /** Forgets the oldest end that no verdict which must last rests on. */
   private forgetOldest(): void {
     if (this.ends.size <= keptEnds) return;
-    const isNeeded = ({ aboard }: EndpointEnd): boolean =>
+    const isNeeded = ({ inFlight: aboard }: EndpointEnd): boolean =>
       [...aboard.keys()].some((fingerprint) => this.getBlame(fingerprint) >= restingBlame);
     const ends = [...this.ends.values()];
     const oldest = ends.find((end) => !isNeeded(end)) ?? ends[0];
     if (!oldest) return;
     this.ends.delete(oldest.life);
-    for (const [fingerprint, { workspace }] of oldest.aboard) {
+    for (const [fingerprint, { workspace }] of oldest.inFlight) {
       const left = this.endsByFingerprint.get(fingerprint);
       left?.delete(oldest);
       if (left?.size === 0) this.endsByFingerprint.delete(fingerprint);
@@ -356,17 +356,17 @@
 }
 
 /** Whether an end still speaks against a request. */
-function isOpen({ isRefuted, aboard }: EndpointEnd, fingerprint: string): boolean {
+function isOpen({ isRefuted, inFlight: aboard }: EndpointEnd, fingerprint: string): boolean {
   return !isRefuted && aboard.get(fingerprint)?.isAcquitted === false;
 }
 
-function countSuspects({ aboard }: EndpointEnd): number {
+function countSuspects({ inFlight: aboard }: EndpointEnd): number {
   let count = 0;
   for (const { wasSuspect, isAcquitted } of aboard.values()) count += wasSuspect && !isAcquitted ? 1 : 0;
   return count;
 }
 
-function createOpenReport({ life, aboard }: EndpointEnd): CrashReport {
+function createOpenReport({ life, inFlight: aboard }: EndpointEnd): CrashReport {
   const suspects: CrashSubject[] = [];
   const others: CrashSubject[] = [];
   for (const [fingerprint, { workspace, wasSuspect, isAcquitted }] of aboard) {
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -6,9 +6,9 @@
  */
 import type { Clock, Logger } from "@gladewall/kernel";
 import * as v from "valibot";
-import type { CrashRecords, CrashReport, CrashSubject, CrashWords } from "./crashRecords.js";
+import type { CrashRecords, CrashReport, CrashSubject, CrashUpdate } from "./crashRecords.js";
 import { decodeItem } from "./itemCodec.js";
-import { ownPrefix } from "./memberRecords.js";
+import { gatewayPrefix } from "./memberRecords.js";
 import { type Removal, RemovalCause } from "./prefixFollower.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
@@ -22,7 +22,7 @@
   readonly isWriter: (fingerprint: string) => boolean;
 }
 
-const crashPrefix = `${ownPrefix}crashes/`;
+const crashPrefix = `${gatewayPrefix}crashes/`;
 /** Items in all, 200 bytes each: every instance reads them when it starts. */
 const mostItems = 256;
 /** Items of one workspace: one that makes endpoints end on purpose takes no room from others. */
@@ -53,7 +53,7 @@
   }
 
   /** Takes an item of the store, or that it is gone and how; passes over those of others. */
-  take(key: string, item: StoreItem | undefined, removal?: Removal): void {
+  handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     if (!key.startsWith(crashPrefix)) return;
     const fingerprint = key.slice(crashPrefix.length);
     if (!item && removal?.cause === RemovalCause.Lost) return this.handleLost(fingerprint);
@@ -64,14 +64,14 @@
       return;
     }
     this.items.set(fingerprint, decoded);
-    this.options.records.take({ reports: createReports(fingerprint, decoded) });
+    this.options.records.apply({ reports: createReports(fingerprint, decoded) });
   }
 
   /** Writes what is not in the store yet and removes what no longer belongs there; called several times a second. */
   review(): void {
     const { clock } = this.options;
     if (this.isWriting || clock.getTime() - this.failedAt < retryMs) return;
-    const kept = this.options.records.getKept();
+    const kept = this.options.records.getDurable();
     const due = kept.find((subject) => this.isDue(subject));
     if (due) {
       void this.write(due);
@@ -87,7 +87,7 @@
     const item = this.items.get(fingerprint);
     if (!item) return this.hasRoom(workspace);
     const known = getLives(item);
-    return records.getLives(fingerprint).some((life) => !known.includes(life));
+    return records.getUncleared(fingerprint).some((life) => !known.includes(life));
   }
 
   private hasRoom(workspace: string): boolean {
@@ -99,7 +99,7 @@
   /** A removal clears a request on all instances: one that is only blamed for less must stay. */
   private isCleared(fingerprint: string): boolean {
     const { records, isWriter } = this.options;
-    return records.getLives(fingerprint).length === 0 && isWriter(fingerprint);
+    return records.getUncleared(fingerprint).length === 0 && isWriter(fingerprint);
   }
 
   private async write({ workspace, fingerprint }: CrashSubject): Promise<void> {
@@ -141,8 +141,8 @@
     const item = this.items.get(fingerprint);
     if (!this.items.delete(fingerprint) || !item) return;
     const lives = getLives(item);
-    const words: CrashWords = { acquittals: [{ fingerprint, lives }] };
-    this.options.records.take(words);
+    const words: CrashUpdate = { acquittals: [{ fingerprint, lives }] };
+    this.options.records.apply(words);
     this.options.logger.info("crash.item-removed", { fingerprint, lives: lives.length });
   }
 }
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -7,8 +7,8 @@
 import {
   DaemonLogs,
   type Failure,
-  findLogLevel,
-  formatReference,
+  parseLogLevel,
+  formatSettingsReference,
   formatSettings,
   listChangedSettings,
   printFailures,
@@ -29,7 +29,7 @@
 export async function runGatewayDaemon(words: readonly string[]): Promise<void> {
   const options = await readArguments(words);
   if (options.reference) {
-    process.stdout.write(formatReference(gatewaySchema));
+    process.stdout.write(formatSettingsReference(gatewaySchema));
     return;
   }
   const settings = readDaemonSettings(options);
@@ -37,7 +37,7 @@
   if (options.print) process.stdout.write(formatSettings(gatewaySchema, settings.value));
   const { instance, logs: logSettings } = settings.value;
   const clock = SystemClock.create();
-  const logs = DaemonLogs.create(clock, findLogLevel(logSettings.level), { instance: instance.name });
+  const logs = DaemonLogs.create(clock, parseLogLevel(logSettings.level), { instance: instance.name });
   const gateway = Gateway.create(settings.value, logs.logger, clock);
   if (gateway.isErr()) exitWith([gateway.error]);
   if (gateway.isErr() || options.check || options.print) return logs.close();
@@ -88,7 +88,7 @@
       for (const { name, text } of settings.error) logger.error("settings.refused", { failure: name, text });
       return;
     }
-    logger.setLevel(findLogLevel(settings.value.logs.level));
+    logger.setLevel(parseLogLevel(settings.value.logs.level));
     logger.info("settings.reloaded", { file: options.settings });
   };
   process.on("SIGHUP", reload);
--- a/packages/gateway/src/demand.ts
+++ b/packages/gateway/src/demandEstimator.ts
@@ -8,7 +8,7 @@
 import type { Service } from "./types.js";
 
 /** Options of the estimate. */
-export interface DemandOptions {
+export interface DemandEstimatorOptions {
   readonly clock: Clock;
   readonly counters: SharedCounters;
   /** Returns the prompt tokens that a service's engine reads in a millisecond. */
@@ -18,7 +18,7 @@
   /** Share of that rate at which an engine still answers in time. */
   readonly utilization: number;
   /** Endpoints of a data hall that are kept without load. */
-  readonly leastPerHall: number;
+  readonly minEndpointsPerHall: number;
   /** Length of the window that load is counted over. */
   readonly windowMs: number;
   /** Returns the requests of a service that all instances have at its endpoints. */
@@ -39,19 +39,19 @@
 }
 
 /** Estimates the need of every service. */
-export class Demand {
+export class DemandEstimator {
   private readonly peaks = new Map<string, Peak>();
   private readonly loadSince = new Map<string, number>();
 
-  private constructor(private readonly options: DemandOptions) {}
+  private constructor(private readonly options: DemandEstimatorOptions) {}
 
-  static create(options: DemandOptions): Demand {
-    return new Demand(options);
+  static create(options: DemandEstimatorOptions): DemandEstimator {
+    return new DemandEstimator(options);
   }
 
   /** Counts the prompt tokens of a request. */
-  count(service: string, tokens: number): void {
-    this.options.counters.add(CounterKind.Work, service, tokens);
+  countPromptTokens(service: string, tokens: number): void {
+    this.options.counters.add(CounterKind.PromptTokens, service, tokens);
   }
 
   /** Whether any load of a service has been seen. */
@@ -60,11 +60,18 @@
   }
 
   /** Returns the endpoints that a service needs, `present` of which are there over so many data halls. */
-  getNeeded(service: Service, halls: number, present: number): number {
-    const { clock, counters, getReadingRate, isRateLearned, utilization, leastPerHall, windowMs } =
-      this.options;
+  getNeededEndpoints(service: Service, halls: number, present: number): number {
+    const {
+      clock,
+      counters,
+      getReadingRate,
+      isRateLearned,
+      utilization,
+      minEndpointsPerHall: leastPerHall,
+      windowMs,
+    } = this.options;
     const time = clock.getTime();
-    const tokensPerMs = counters.getSum(CounterKind.Work, service.name) / windowMs;
+    const tokensPerMs = counters.getSum(CounterKind.PromptTokens, service.name) / windowMs;
     if (tokensPerMs > 0 && !this.loadSince.has(service.name)) this.loadSince.set(service.name, time);
     const hasLearnt = time - (this.loadSince.get(service.name) ?? time) > learnMs;
     // An assumed rate may be far off: until engines have shown theirs, it is no reason to order any.
--- a/packages/gateway/src/trueTime.ts
+++ b/packages/gateway/src/disciplinedClock.ts
@@ -17,7 +17,7 @@
 const beliefMs = 30_000;
 
 /** Time of day of this instance. */
-export class TrueTime {
+export class DisciplinedClock {
   private offset: number;
   private jumpSince: number | undefined;
 
@@ -25,8 +25,8 @@
     this.offset = clock.getWallTime() - clock.getTime();
   }
 
-  static create(clock: Clock): TrueTime {
-    return new TrueTime(clock);
+  static create(clock: Clock): DisciplinedClock {
+    return new DisciplinedClock(clock);
   }
 
   /** Milliseconds since 1970. */
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -3,9 +3,9 @@
  * @module
  */
 import { hashText } from "@gladewall/kernel";
-import type { AboardRequest } from "./crashWatch.js";
-import { leastUrgent } from "./endpointLimit.js";
-import { EndpointWords } from "./endpointWords.js";
+import type { InFlightRequest } from "./crashDetector.js";
+import { leastUrgentRank } from "./endpointLimit.js";
+import { EndpointAvailability } from "./endpointAvailability.js";
 import type { EndpointLoad, EndpointRecord } from "./types.js";
 
 /** Whether an endpoint takes work. */
@@ -41,7 +41,7 @@
   /** Prompt tokens of this instance's requests that have not given a first event. */
   pendingTokens = 0;
   /** These requests, to tell which it had when it ends. */
-  readonly aboard = new Set<AboardRequest>();
+  readonly inFlight = new Set<InFlightRequest>();
   /** Load it last told. */
   load: EndpointLoad | undefined;
   loadAt = -Infinity;
@@ -58,20 +58,23 @@
    * Names this life, the same on all instances. What is known by id would be held against, or counted for, the next life
    * that has it: a name once told to be leaving was never used again.
    */
-  readonly life: string;
+  readonly incarnation: string;
   /** Hash of the life, the same on all instances. */
   readonly hash: number;
 
   private constructor(
     public record: EndpointRecord,
     /** What this life has said of itself. */
-    readonly words: EndpointWords,
+    readonly availability: EndpointAvailability,
   ) {
-    this.life = getEndpointLife(record);
-    this.hash = hashText(this.life);
+    this.incarnation = getIncarnation(record);
+    this.hash = hashText(this.incarnation);
   }
 
-  static create(record: EndpointRecord, words: EndpointWords = EndpointWords.create()): Endpoint {
+  static create(
+    record: EndpointRecord,
+    words: EndpointAvailability = EndpointAvailability.create(),
+  ): Endpoint {
     return new Endpoint(record, words);
   }
 
@@ -85,13 +88,13 @@
   }
 
   /** Whether this instance may send it a request of a rank now. */
-  takesWork(time: number, rank = leastUrgent): boolean {
-    return this.isUsable() && this.words.mayTake(time, rank);
+  acceptsRequest(time: number, rank = leastUrgentRank): boolean {
+    return this.isUsable() && this.availability.acceptsRequest(time, rank);
   }
 
   /** The same for a request that has a permit. */
-  isOpen(time: number): boolean {
-    return this.isUsable() && this.words.isOpen(time);
+  acceptsPermitted(time: number): boolean {
+    return this.isUsable() && this.availability.acceptsPermitted(time);
   }
 
   /** Whether it could not be reached a moment ago. */
@@ -104,7 +107,7 @@
     this.unreachableTimes += 1;
     const length = Math.min(longestUnreachableMs, unreachableStepMs * 2 ** (this.unreachableTimes - 1));
     this.unreachableUntil = time + length;
-    this.noteEnd(false, time);
+    this.noteOutcome(false, time);
   }
 
   /** Share of late attempts that failed, 0 to 1; fades, or an endpoint that failed would never be tried again. */
@@ -115,7 +118,7 @@
   }
 
   /** Takes note of how an attempt ended; after one that ends well it counts as reachable. */
-  noteEnd(isGood: boolean, time: number): void {
+  noteOutcome(isGood: boolean, time: number): void {
     const share = this.getFailureShare(time);
     this.failureShare = share + ((isGood ? 0 : 1) - share) * failureWeight;
     this.failureShareAt = time;
@@ -145,12 +148,12 @@
 const lifeMark = "@";
 
 /** Returns the name of a life; the id alone where its record does not say when it began. */
-export function getEndpointLife({ id, born }: Pick<EndpointRecord, "id" | "born">): string {
+export function getIncarnation({ id, born }: Pick<EndpointRecord, "id" | "born">): string {
   return born === undefined ? id : `${id}${lifeMark}${born}`;
 }
 
 /** Returns the id that a life goes by. */
-export function getLifeId(life: string): string {
+export function getIncarnationId(life: string): string {
   const end = life.lastIndexOf(lifeMark);
   return end < 0 ? life : life.slice(0, end);
 }
--- a/packages/gateway/src/endpointWords.ts
+++ b/packages/gateway/src/endpointAvailability.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
-import { type AnswerTimes, EndpointLimit, leastUrgent, LimitChange } from "./endpointLimit.js";
+import { type ResponseTimes, EndpointLimit, leastUrgentRank, LimitChange } from "./endpointLimit.js";
 
 /** From whom it is known that an endpoint leaves. */
-export enum WordSource {
+export enum LeavingSource {
   /** Its record. */
   Record = 1,
   /** An answer that it gave this instance. */
@@ -29,8 +29,8 @@
 const fullRoom = 8;
 
 /** Words of one life. */
-export class EndpointWords {
-  private firstSource: WordSource | undefined;
+export class EndpointAvailability {
+  private firstSource: LeavingSource | undefined;
   /** Monotonic time until which it wants no request of this instance. */
   private heldOffUntil = -Infinity;
   /** Requests that may wait for an answer there; bounded from a hold-off on, until it takes what is sent. */
@@ -39,24 +39,24 @@
   /** Grows with each hold-off: what was sent before one neither counts after it nor shows that it is over. */
   private round = 0;
   /** Monotonic time of the last word. */
-  heardAt = -Infinity;
+  updatedAt = -Infinity;
   /** How many requests it takes of all instances together. */
   readonly limit = EndpointLimit.create();
 
   private constructor() {}
 
-  static create(): EndpointWords {
-    return new EndpointWords();
+  static create(): EndpointAvailability {
+    return new EndpointAvailability();
   }
 
   /** From whom it was first known that it leaves; undefined where it does not. Nothing takes it back within a life. */
-  get leaving(): WordSource | undefined {
+  get leavingSource(): LeavingSource | undefined {
     return this.firstSource;
   }
 
   /** Takes note that it leaves; returns whether that is new. */
-  noteLeaving(source: WordSource, time: number): boolean {
-    this.heardAt = time;
+  noteLeaving(source: LeavingSource, time: number): boolean {
+    this.updatedAt = time;
     if (this.firstSource !== undefined) return false;
     this.firstSource = source;
     return true;
@@ -64,20 +64,20 @@
 
   /** Takes note that it wants no request of this instance for a time; the later end holds. */
   noteHoldOff(milliseconds: number, time: number): void {
-    this.heardAt = time;
+    this.updatedAt = time;
     this.heldOffUntil = Math.max(this.heldOffUntil, time + milliseconds);
     this.beginReturn();
   }
 
   /** Takes note of an answer that names a limit. */
-  noteLimit(perSecond: number, times: AnswerTimes, time: number): LimitChange {
-    this.heardAt = time;
-    return this.limit.takeNamed(perSecond, times);
+  noteLimit(perSecond: number, times: ResponseTimes, time: number): LimitChange {
+    this.updatedAt = time;
+    return this.limit.noteAdvertised(perSecond, times);
   }
 
   /** Takes note of an answer that names no limit; what waited for the end comes back as after a hold-off. */
-  endLimit(sentAt: number): LimitChange {
-    const change = this.limit.takeUnnamed(sentAt);
+  clearLimit(sentAt: number): LimitChange {
+    const change = this.limit.noteOmitted(sentAt);
     if (change === LimitChange.Ended) this.beginReturn();
     return change;
   }
@@ -89,12 +89,12 @@
   }
 
   /** Milliseconds until it may be sent a request of this instance. */
-  getOpeningMs(time: number): number {
-    return Math.max(this.getHeldOffMs(time), this.limit.getWaitMs(time));
+  getWaitMs(time: number): number {
+    return Math.max(this.getHoldOffMs(time), this.limit.getWaitMs(time));
   }
 
   /** Milliseconds for which it wants no request of this instance; 0 where it names no time. */
-  getHeldOffMs(time: number): number {
+  getHoldOffMs(time: number): number {
     return Math.max(0, this.heldOffUntil - time);
   }
 
@@ -102,23 +102,23 @@
    * Whether it may be sent a request of a rank, with a permit where it has named a limit. After a hold-off one goes first, then
    * twice as many each time that all were taken, so that the crowd does not meet an endpoint that has taken none yet.
    */
-  mayTake(time: number, rank = leastUrgent): boolean {
-    return this.isOpen(time) && this.limit.mayAsk(time, rank);
+  acceptsRequest(time: number, rank = leastUrgentRank): boolean {
+    return this.acceptsPermitted(time) && this.limit.mayRequestPermits(time, rank);
   }
 
   /** The same where a permit is at hand. */
-  isOpen(time: number): boolean {
+  acceptsPermitted(time: number): boolean {
     return time >= this.heldOffUntil && this.waiting < this.room;
   }
 
   /** Takes note that a request is sent there; returns what its end is told with. */
-  beginTry(): number {
+  beginAttempt(): number {
     this.waiting += 1;
     return this.round;
   }
 
   /** Takes note of what came of a request that was sent there. */
-  endTry(round: number, isTaken: boolean): void {
+  endAttempt(round: number, isTaken: boolean): void {
     if (round !== this.round) return;
     this.waiting -= 1;
     if (isTaken) this.room += 1;
@@ -127,34 +127,37 @@
 }
 
 /** Words of all lives, also of those whose records are gone or not there yet. */
-export class WordMemory {
+export class AvailabilityCache {
   /** Words by life, the latest at the end. */
-  private readonly words = new Map<string, EndpointWords>();
+  private readonly words = new Map<string, EndpointAvailability>();
 
   private constructor(private readonly clock: Clock) {}
 
-  static create(clock: Clock): WordMemory {
-    return new WordMemory(clock);
+  static create(clock: Clock): AvailabilityCache {
+    return new AvailabilityCache(clock);
   }
 
-  find(life: string): EndpointWords | undefined {
+  find(life: string): EndpointAvailability | undefined {
     return this.words.get(life);
   }
 
   /** Keeps the words of a life, to which one was just added. */
-  keep(life: string, words: EndpointWords): void {
+  touch(life: string, words: EndpointAvailability): void {
     this.words.delete(life);
     this.words.set(life, words);
     const limit = this.clock.getTime() - keptMs;
-    for (const [oldest, { heardAt }] of this.words) {
+    for (const [oldest, { updatedAt: heardAt }] of this.words) {
       if (this.words.size <= keptLives && heardAt >= limit) return;
       this.words.delete(oldest);
     }
   }
 
   /** Lives that are known to leave by an answer, the latest first, so many at most. */
-  getAnswered(most: number): readonly string[] {
-    return this.select(most, ({ leaving }) => leaving === WordSource.Answer || leaving === WordSource.Peer);
+  getLeaving(most: number): readonly string[] {
+    return this.select(
+      most,
+      ({ leavingSource: leaving }) => leaving === LeavingSource.Answer || leaving === LeavingSource.Peer,
+    );
   }
 
   /** Lives that name a limit, the latest first, so many at most. */
@@ -162,7 +165,7 @@
     return this.select(most, ({ limit }) => limit.perSecond !== undefined);
   }
 
-  private select(most: number, isMeant: (words: EndpointWords) => boolean): readonly string[] {
+  private select(most: number, isMeant: (words: EndpointAvailability) => boolean): readonly string[] {
     const meant = [...this.words].filter(([, words]) => isMeant(words));
     return meant
       .reverse()
--- a/packages/gateway/src/endpointConnections.ts
+++ b/packages/gateway/src/endpointConnections.ts
@@ -6,9 +6,9 @@
 import { Agent, type ClientRequest, type ClientRequestArgs } from "node:http";
 import { connect, type Socket } from "node:net";
 import type { Duplex } from "node:stream";
-import { dropRestingSockets, parseAddress } from "@gladewall/kernel";
+import { destroyIdleSockets, parseAddress } from "@gladewall/kernel";
 import type { Endpoint } from "./endpoint.js";
-import { watchEnd } from "./connectionEnds.js";
+import { trackConnectionEnd } from "./connectionEnds.js";
 
 const mostIdle = 32;
 /** Idle connections are closed after this long, unless the endpoint names a shorter time. */
@@ -27,7 +27,7 @@
       port: Number(options.port),
       noDelay: true,
     });
-    watchEnd(socket);
+    trackConnectionEnd(socket);
     socket.on("data", () => {
       if (this.idle.has(socket)) socket.destroy();
     });
@@ -65,20 +65,20 @@
   }
 
   get(endpoint: Endpoint): EndpointPool {
-    let pool = this.pools.get(endpoint.life);
+    let pool = this.pools.get(endpoint.incarnation);
     if (!pool) {
       pool = { ...parseAddress(endpoint.record.address), agent: new PoolAgent() };
-      this.pools.set(endpoint.life, pool);
+      this.pools.set(endpoint.incarnation, pool);
     }
     return pool;
   }
 
   /** Closes the idle connections of an endpoint that has ended; those in use end with their requests. */
   remove(endpoint: Endpoint): void {
-    const pool = this.pools.get(endpoint.life);
+    const pool = this.pools.get(endpoint.incarnation);
     if (!pool) return;
-    this.pools.delete(endpoint.life);
-    dropRestingSockets(pool.agent);
+    this.pools.delete(endpoint.incarnation);
+    destroyIdleSockets(pool.agent);
   }
 
   close(): void {
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -7,9 +7,9 @@
  * @module
  */
 import { type Clock, type Closeable, type Logger } from "@gladewall/kernel";
-import { Endpoint, EndpointState, getEndpointLife, getLifeId } from "./endpoint.js";
-import { EndpointWords, WordMemory, WordSource } from "./endpointWords.js";
-import { EndedLives } from "./endedLives.js";
+import { Endpoint, EndpointState, getIncarnation, getIncarnationId } from "./endpoint.js";
+import { EndpointAvailability, AvailabilityCache, LeavingSource } from "./endpointAvailability.js";
+import { RemovedIncarnations } from "./removedIncarnations.js";
 import { PrefixFollower, type Removal, RemovalCause } from "./prefixFollower.js";
 import type { EndpointNotice, EndpointRecord, PlatformAdapter, StoreItem } from "./types.js";
 
@@ -29,7 +29,7 @@
 }
 
 /** The answer that brought a word. */
-export interface NoticeSource {
+export interface AnswerReference {
   readonly requestId: string;
   readonly status: number;
 }
@@ -52,11 +52,11 @@
 /** Fields of a line of the log. */
 export type LogFields = Readonly<Record<string, string | number | undefined>>;
 
-const wordCauses: Readonly<Record<WordSource, string>> = {
-  [WordSource.Record]: "record",
-  [WordSource.Answer]: "said so in an answer",
-  [WordSource.Peer]: "said so to a peer",
-  [WordSource.Successor]: "replaced",
+const wordCauses: Readonly<Record<LeavingSource, string>> = {
+  [LeavingSource.Record]: "record",
+  [LeavingSource.Answer]: "said so in an answer",
+  [LeavingSource.Peer]: "said so to a peer",
+  [LeavingSource.Successor]: "replaced",
 };
 
 /** All endpoints. */
@@ -65,16 +65,16 @@
   private readonly byService = new Map<string, Endpoint[]>();
   readonly follower: PrefixFollower;
   /** What endpoints have said of themselves. */
-  readonly words: WordMemory;
+  readonly availabilities: AvailabilityCache;
   /** Lives whose records went. */
-  private readonly ended: EndedLives;
+  private readonly ended: RemovedIncarnations;
   private readonly removeListeners: ((endpoint: Endpoint) => void)[] = [];
   private readonly saidLeavingListeners: ((life: string) => void)[] = [];
 
   private constructor(private readonly options: EndpointDirectoryOptions) {
     const { platform, clock, logger } = options;
-    this.words = WordMemory.create(clock);
-    this.ended = EndedLives.create(clock);
+    this.availabilities = AvailabilityCache.create(clock);
+    this.ended = RemovedIncarnations.create(clock);
     this.follower = PrefixFollower.create({
       store: platform.store,
       prefix: platform.endpointPrefix,
@@ -114,10 +114,12 @@
   }
 
   /** Milliseconds until some usable endpoint of a service wants requests of this instance; 0 where there is none. */
-  getOpeningMs(service: string): number {
+  getShortestWaitMs(service: string): number {
     const time = this.options.clock.getTime();
     const usable = this.getOfService(service).filter((endpoint) => endpoint.isUsable());
-    return usable.length === 0 ? 0 : Math.min(...usable.map(({ words }) => words.getOpeningMs(time)));
+    return usable.length === 0
+      ? 0
+      : Math.min(...usable.map(({ availability: words }) => words.getWaitMs(time)));
   }
 
   get(id: string): Endpoint | undefined {
@@ -125,9 +127,9 @@
   }
 
   /** Returns an endpoint by its life. */
-  findLife(life: string): Endpoint | undefined {
-    const endpoint = this.endpoints.get(getLifeId(life)) ?? this.endpoints.get(life);
-    return endpoint?.life === life ? endpoint : undefined;
+  find(life: string): Endpoint | undefined {
+    const endpoint = this.endpoints.get(getIncarnationId(life)) ?? this.endpoints.get(life);
+    return endpoint?.incarnation === life ? endpoint : undefined;
   }
 
   getAll(): Iterable<Endpoint> {
@@ -140,65 +142,69 @@
   }
 
   /** Calls back with a life that has said in an answer to this instance that it leaves, once. */
-  onSaidLeaving(listener: (life: string) => void): void {
+  onLeavingAnnounced(listener: (life: string) => void): void {
     this.saidLeavingListeners.push(listener);
   }
 
   /** Takes an answer's word that the endpoint has ended and another has its address. */
-  handleReplaced({ life }: Endpoint): void {
-    this.takeLeaving(life, WordSource.Successor);
+  handleReplaced({ incarnation: life }: Endpoint): void {
+    this.takeLeaving(life, LeavingSource.Successor);
   }
 
   /** Takes a peer's word that a life leaves; returns whether it is new. */
-  takePeerWord(life: string, peer: string): boolean {
-    return this.takeLeaving(life, WordSource.Peer, { peer });
+  handlePeerLeaving(life: string, peer: string): boolean {
+    return this.takeLeaving(life, LeavingSource.Peer, { peer });
   }
 
   /** Takes what an endpoint says of itself with an answer. */
-  takeNotice({ life }: Endpoint, notice: EndpointNotice, { requestId, status }: NoticeSource): void {
+  handleNotice(
+    { incarnation: life }: Endpoint,
+    notice: EndpointNotice,
+    { requestId, status }: AnswerReference,
+  ): void {
     const { isLeaving, holdOffMs, unreadableTime } = notice;
     const heard = { request: requestId, status };
     if (unreadableTime !== undefined) {
       this.options.logger.warn("endpoint.time-unreadable", { life, ...heard, text: unreadableTime });
     }
     if (holdOffMs !== undefined) this.takeHoldOff(life, holdOffMs, heard);
-    if (!isLeaving || !this.takeLeaving(life, WordSource.Answer, heard)) return;
+    if (!isLeaving || !this.takeLeaving(life, LeavingSource.Answer, heard)) return;
     for (const listener of this.saidLeavingListeners) listener(life);
   }
 
   /** Binds this instance alone: told to peers, it would take away what the endpoint still gives them. */
   private takeHoldOff(life: string, holdOffMs: number, heard: LogFields): void {
     const { clock, logger } = this.options;
-    const words = this.getWords(life);
+    const words = this.getAvailability(life);
     words.noteHoldOff(holdOffMs, clock.getTime());
-    this.words.keep(life, words);
+    this.availabilities.touch(life, words);
     logger.info("endpoint.held-off", { life, ...heard, forMs: Math.round(holdOffMs) });
   }
 
   /** Returns the words of a life; they are kept from the first one on. */
-  getWords(life: string): EndpointWords {
-    return this.findLife(life)?.words ?? this.words.find(life) ?? EndpointWords.create();
+  getAvailability(life: string): EndpointAvailability {
+    return this.find(life)?.availability ?? this.availabilities.find(life) ?? EndpointAvailability.create();
   }
 
   /**
    * Takes the word that a life leaves; returns whether it is new. Read for the one request only, it would let
    * requests reach an endpoint long after its word, while it can't write to the store.
    */
-  private takeLeaving(life: string, source: WordSource, fields: LogFields = {}): boolean {
+  private takeLeaving(life: string, source: LeavingSource, fields: LogFields = {}): boolean {
     const { clock, logger } = this.options;
     const time = clock.getTime();
-    const endpoint = this.findLife(life);
-    const words = this.getWords(life);
+    const endpoint = this.find(life);
+    const words = this.getAvailability(life);
     const isNew = words.noteLeaving(source, time);
-    this.words.keep(life, words);
+    this.availabilities.touch(life, words);
     if (!isNew) return false;
     logger.info("endpoint.word", {
       life,
-      source: WordSource[source],
+      source: LeavingSource[source],
       ...fields,
       state: endpoint && EndpointState[endpoint.state],
       recordAgeMs: endpoint && Math.round(time - endpoint.recordAt),
-      unheardMs: Math.round(this.follower.unheardMs),
+      unheardMs: Math.round(this.follower.silenceMs),
     });
     if (endpoint) this.setState(endpoint, EndpointState.Leaving, wordCauses[source]);
     return true;
@@ -217,13 +223,13 @@
       return;
     }
     const record = decoded.value;
-    if (isRestored && this.ended.has(getEndpointLife(record))) return this.holdBack(item);
+    if (isRestored && this.ended.has(getIncarnation(record))) return this.holdBack(item);
     const known = this.endpoints.get(record.id);
     if (known && isBefore(record, known.record)) {
       logger.info("endpoint.refused", { key, text: "the record is of an earlier life" });
       return;
     }
-    if (known && getEndpointLife(record) !== known.life) {
+    if (known && getIncarnation(record) !== known.incarnation) {
       this.setState(known, EndpointState.Leaving, "started again");
       this.forget(known);
     }
@@ -231,11 +237,15 @@
     const wasLeaving = endpoint.record.isLeaving;
     endpoint.record = { ...record, isLeaving: record.isLeaving || wasLeaving };
     endpoint.recordAt = this.options.clock.getTime();
-    if (record.isLeaving) this.takeLeaving(endpoint.life, WordSource.Record);
-    const { leaving } = endpoint.words;
+    if (record.isLeaving) this.takeLeaving(endpoint.incarnation, LeavingSource.Record);
+    const { leavingSource: leaving } = endpoint.availability;
     if (leaving === undefined) return this.setState(endpoint, EndpointState.Ready, "record");
     if (!record.isLeaving) {
-      logger.info("endpoint.overruled", { life: endpoint.life, by: WordSource[leaving], record: "ready" });
+      logger.info("endpoint.overruled", {
+        life: endpoint.incarnation,
+        by: LeavingSource[leaving],
+        record: "ready",
+      });
     }
     this.setState(endpoint, EndpointState.Leaving, wordCauses[leaving]);
   }
@@ -258,7 +268,7 @@
   }
 
   private add(record: EndpointRecord): Endpoint {
-    const endpoint = Endpoint.create(record, this.words.find(getEndpointLife(record)));
+    const endpoint = Endpoint.create(record, this.availabilities.find(getIncarnation(record)));
     this.endpoints.set(record.id, endpoint);
     const group = this.byService.get(record.service) ?? [];
     this.byService.set(record.service, group);
@@ -276,7 +286,8 @@
     const isLost = cause === RemovalCause.Lost;
     // Only trouble of whoever brings the word explains it: another reader that the store turned away says nothing of
     // the store, and by its trouble endpoints that left would be used beyond the drain time.
-    const isExplained = (isLost || troubleAgeMs < troubleWindowMs) && endpoint.words.leaving === undefined;
+    const isExplained =
+      (isLost || troubleAgeMs < troubleWindowMs) && endpoint.availability.leavingSource === undefined;
     if (!isExplained) {
       this.setState(endpoint, EndpointState.Leaving, "record gone", troubleAgeMs);
       this.forgetEnded(endpoint);
@@ -319,7 +330,7 @@
   }
 
   private forgetEnded(endpoint: Endpoint): void {
-    this.ended.add(endpoint.life);
+    this.ended.add(endpoint.incarnation);
     this.forget(endpoint);
   }
 
@@ -342,7 +353,7 @@
       hall: record.hall,
       state: EndpointState[state],
       cause,
-      unheardMs: Math.round(this.follower.unheardMs),
+      unheardMs: Math.round(this.follower.silenceMs),
       troubleAgeMs: troubleAgeMs && Math.round(troubleAgeMs),
     });
   }
--- a/packages/gateway/src/endpointLimit.ts
+++ b/packages/gateway/src/endpointLimit.ts
@@ -13,9 +13,9 @@
 }
 
 /** When what an answer says was true: after its request was sent, and before the answer came. Monotonic times. */
-export interface AnswerTimes {
+export interface ResponseTimes {
   readonly sentAt: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** What an issuer says to this instance. */
@@ -26,7 +26,7 @@
 }
 
 /** Rank of whoever gives way to all others; lower ranks are more urgent. */
-export const leastUrgent = Infinity;
+export const leastUrgentRank = Infinity;
 
 /** Time for which a permit may be used: what is sent later than that is not what the issuer counts with. */
 const permitMs = 250;
@@ -70,7 +70,7 @@
    * Takes an answer that names it. Answers on different connections pass each other: one whose request was sent before the last
    * answer came does not raise it, and one that came before the end does not bring it back.
    */
-  takeNamed(perSecond: number, { sentAt, heardAt }: AnswerTimes): LimitChange {
+  noteAdvertised(perSecond: number, { sentAt, receivedAt: heardAt }: ResponseTimes): LimitChange {
     if (heardAt <= this.endedAt) return LimitChange.None;
     const former = this.named;
     if (former === undefined || sentAt >= this.heardAt || perSecond < former) this.named = perSecond;
@@ -80,7 +80,7 @@
   }
 
   /** Takes an answer that does not name it; it ends it where its request was sent after the last answer that did. */
-  takeUnnamed(sentAt: number): LimitChange {
+  noteOmitted(sentAt: number): LimitChange {
     if (this.named === undefined || sentAt <= this.heardAt) return LimitChange.None;
     this.named = undefined;
     this.endedAt = sentAt;
@@ -90,7 +90,7 @@
   }
 
   /** Whether a request of a rank may be sent, or a permit be asked for it. */
-  mayAsk(time: number, rank: number): boolean {
+  mayRequestPermits(time: number, rank: number): boolean {
     if (this.named === undefined || this.hasHeld(time)) return true;
     if (this.asking >= this.mostAhead) return false;
     return time >= this.refusedUntil || rank < this.refusedRank;
@@ -103,14 +103,14 @@
   }
 
   /** Uses a permit that is held; false where there is none. */
-  tryUse(time: number): boolean {
+  tryUsePermit(time: number): boolean {
     if (!this.hasHeld(time)) return false;
     this.held -= 1;
     return true;
   }
 
   /** Takes note that an issuer is asked; returns for how many permits: twice as many while all are used, half once some lapse. */
-  beginAsk(): number {
+  beginPermitCall(): number {
     this.asking += 1;
     this.batch = this.held > 0 ? this.batch / 2 : this.batch * 2;
     this.batch = Math.min(this.mostAhead, Math.max(1, Math.floor(this.batch)));
@@ -119,7 +119,7 @@
   }
 
   /** Takes the answer to a question for a request of a rank. */
-  endAsk({ permits, waitMs }: PermitGrant, rank: number, time: number): void {
+  endPermitCall({ permits, waitMs }: PermitGrant, rank: number, time: number): void {
     this.asking -= 1;
     if (permits > 0) {
       this.held += permits;
--- a/packages/gateway/src/endpointLimits.ts
+++ b/packages/gateway/src/endpointLimits.ts
@@ -4,13 +4,13 @@
  */
 import type { Clock, Logger } from "@gladewall/kernel";
 import type { Endpoint } from "./endpoint.js";
-import type { EndpointDirectory, LogFields, NoticeSource } from "./endpointDirectory.js";
-import { type AnswerTimes, LimitChange } from "./endpointLimit.js";
-import type { ToldLimit } from "./limitMessages.js";
-import type { NamedLimit } from "./types.js";
+import type { EndpointDirectory, LogFields, AnswerReference } from "./endpointDirectory.js";
+import { type ResponseTimes, LimitChange } from "./endpointLimit.js";
+import type { PeerLimit } from "./limitMessages.js";
+import type { AdvertisedLimit } from "./types.js";
 
 /** An answer, and when its request was sent; monotonic. */
-export interface LimitSource extends NoticeSource {
+export interface LimitSource extends AnswerReference {
   readonly sentAt: number;
 }
 
@@ -32,12 +32,16 @@
   }
 
   /** Calls back with a life whose limit an answer to this instance began or ended. */
-  onHeard(listener: (life: string) => void): void {
+  onLimitChange(listener: (life: string) => void): void {
     this.listeners.push(listener);
   }
 
   /** Takes an answer of an endpoint; `limit` is undefined where it names none. */
-  takeAnswer({ life, words }: Endpoint, limit: NamedLimit | undefined, source: LimitSource): void {
+  handleAnswer(
+    { incarnation: life, availability: words }: Endpoint,
+    limit: AdvertisedLimit | undefined,
+    source: LimitSource,
+  ): void {
     // Nearly all answers end here.
     if (limit === undefined && words.limit.perSecond === undefined) return;
     const { requestId: request, status, sentAt } = source;
@@ -48,21 +52,21 @@
     // A word that can't be read is a word all the same: it does not end the limit.
     if (limit !== undefined && limit.perSecond === undefined) return;
     const heardAt = this.options.clock.getTime();
-    const change = this.note(life, limit?.perSecond, { sentAt, heardAt }, heard);
+    const change = this.note(life, limit?.perSecond, { sentAt, receivedAt: heardAt }, heard);
     if (change !== LimitChange.Begun && change !== LimitChange.Ended) return;
     for (const listener of this.listeners) listener(life);
   }
 
   /** Takes a peer's word; returns whether it began or ended a limit here. */
-  takePeer({ life, perSecond, ageMs }: ToldLimit, peer: string): boolean {
+  mergePeer({ life, perSecond, ageMs }: PeerLimit, peer: string): boolean {
     const at = this.options.clock.getTime() - Math.max(0, ageMs);
-    const change = this.note(life, perSecond, { sentAt: at, heardAt: at }, { peer });
+    const change = this.note(life, perSecond, { sentAt: at, receivedAt: at }, { peer });
     return change === LimitChange.Begun || change === LimitChange.Ended;
   }
 
   /** Returns what is known here of a life's limit. */
-  get(life: string): ToldLimit {
-    const { limit } = this.options.directory.getWords(life);
+  get(life: string): PeerLimit {
+    const { limit } = this.options.directory.getAvailability(life);
     return {
       life,
       perSecond: limit.perSecond,
@@ -73,17 +77,17 @@
   private note(
     life: string,
     perSecond: number | undefined,
-    times: AnswerTimes,
+    times: ResponseTimes,
     heard: LogFields,
   ): LimitChange {
     const { clock, logger, directory } = this.options;
     const time = clock.getTime();
-    const words = directory.getWords(life);
+    const words = directory.getAvailability(life);
     const former = words.limit.perSecond;
     const formerAgeMs = former === undefined ? undefined : Math.round(words.limit.getAge(time));
     const change =
-      perSecond === undefined ? words.endLimit(times.sentAt) : words.noteLimit(perSecond, times, time);
-    if (perSecond !== undefined) directory.words.keep(life, words);
+      perSecond === undefined ? words.clearLimit(times.sentAt) : words.noteLimit(perSecond, times, time);
+    if (perSecond !== undefined) directory.availabilities.touch(life, words);
     if (change === LimitChange.None) return change;
     const said = { change: LimitChange[change], perSecond, former, formerAgeMs };
     logger.info("endpoint.limit", { life, ...said, ...heard });
--- a/packages/gateway/src/endpointProbe.ts
+++ b/packages/gateway/src/endpointProbe.ts
@@ -6,11 +6,11 @@
 import { parseAddress } from "@gladewall/kernel";
 
 /** What an attempt to connect shows. */
-export enum ProbeWord {
+export enum ProbeResult {
   /** The address takes connections. */
   Listening = 1,
   /** Its machine answers that nobody listens: the process has ended. */
-  NobodyThere = 2,
+  Refused = 2,
   /** No answer, or one that says neither: the way there may be cut. */
   Unknown = 3,
 }
@@ -18,17 +18,17 @@
 const refusedCode = "ECONNREFUSED";
 
 /** Opens one connection and closes it again. Never rejects. */
-export function probeEndpoint(address: string, timeoutMs: number): Promise<ProbeWord> {
+export function probeEndpoint(address: string, timeoutMs: number): Promise<ProbeResult> {
   return new Promise((resolve) => {
     const socket = connect(parseAddress(address));
-    const finish = (word: ProbeWord): void => {
+    const finish = (word: ProbeResult): void => {
       socket.destroy();
       resolve(word);
     };
-    socket.setTimeout(timeoutMs, () => finish(ProbeWord.Unknown));
-    socket.once("connect", () => finish(ProbeWord.Listening));
+    socket.setTimeout(timeoutMs, () => finish(ProbeResult.Unknown));
+    socket.once("connect", () => finish(ProbeResult.Listening));
     socket.once("error", ({ code }: NodeJS.ErrnoException) =>
-      finish(code === refusedCode ? ProbeWord.NobodyThere : ProbeWord.Unknown),
+      finish(code === refusedCode ? ProbeResult.Refused : ProbeResult.Unknown),
     );
   });
 }
--- a/packages/gateway/src/eraWatch.ts
+++ b/packages/gateway/src/eraReporting.ts
@@ -4,23 +4,23 @@
  */
 import type { Logger } from "@gladewall/kernel";
 import type { GatewayMetrics } from "./gatewayMetrics.js";
-import { EraSource, PassedOver, type StoreEras } from "./storeEras.js";
+import { EraSource, DiscardCause, type StoreEras } from "./storeEras.js";
 
 /** Answers passed over in one era of which each has a line; the others are counted. */
 const mostLines = 20;
 
 /** Says when a new era is seen, and which answers are passed over. */
-export function watchEras(eras: StoreEras, logger: Logger, metrics: GatewayMetrics): void {
+export function reportEras(eras: StoreEras, logger: Logger, metrics: GatewayMetrics): void {
   let lines = 0;
-  eras.onRise(({ from, to, source, revisionBefore }) => {
+  eras.onEraChange(({ from, to, source, revisionBefore }) => {
     lines = 0;
     logger.warn("store.era", { from, to, source: EraSource[source], revisionBefore });
   });
-  eras.onPassedOver(({ cause, era, unreadable }) => {
-    metrics.countPassedAnswer(PassedOver[cause]);
+  eras.onDiscarded(({ cause, era, unreadable }) => {
+    metrics.countDiscardedResponse(DiscardCause[cause]);
     lines += 1;
     if (lines > mostLines) return;
-    const answer = { cause: PassedOver[cause], era, unreadable, current: eras.current };
+    const answer = { cause: DiscardCause[cause], era, unreadable, current: eras.current };
     logger.warn("store.answer-passed-over", answer);
   });
 }
--- a/packages/gateway/src/eraSettling.ts
+++ b/packages/gateway/src/eraSettling.ts
@@ -7,8 +7,8 @@
 import type { Clock, Logger } from "@gladewall/kernel";
 import * as v from "valibot";
 import { decodeItem } from "./itemCodec.js";
-import { ownPrefix } from "./memberRecords.js";
-import { type EraRise, type StoreEras, untoldEra } from "./storeEras.js";
+import { gatewayPrefix } from "./memberRecords.js";
+import { type EraChange, type StoreEras, initialEra } from "./storeEras.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
 /** Options of the settling. */
@@ -24,7 +24,7 @@
   readonly getTimeOfDay: () => number;
 }
 
-const markKey = `${ownPrefix}store-era`;
+const markKey = `${gatewayPrefix}store-era`;
 /** Operators and endpoints have written again what was lost within this time of the store's return. */
 const rewrittenWithinMs = 2_200;
 /** Time between two attempts to write the mark. */
@@ -51,7 +51,7 @@
   private readonly listeners: (() => void)[] = [];
 
   private constructor(private readonly options: EraSettlingOptions) {
-    options.store.eras.onRise((rise) => this.handleRise(rise));
+    options.store.eras.onEraChange((rise) => this.handleRise(rise));
   }
 
   static create(options: EraSettlingOptions): EraSettling {
@@ -59,7 +59,7 @@
   }
 
   /** Whether a read that was sent at a boot time shows all that was acknowledged before it. */
-  isWhole(sentAt: number): boolean {
+  isReadComplete(sentAt: number): boolean {
     return this.settledAt !== undefined && sentAt >= this.settledAt;
   }
 
@@ -84,7 +84,7 @@
     this.mark = item && decodeItem(markSchema, item.value);
     if (this.mark === undefined) return;
     // Where the store tells no era, the mark is all that an instance which starts later can know it by.
-    this.eras.takePeer(this.mark.era);
+    this.eras.advanceTo(this.mark.era);
     if (this.mark.era === this.eras.current) this.settle("mark");
   }
 
@@ -92,8 +92,8 @@
    * Time of day after which nothing that was written can have been lost by the last return; infinite while that is not
    * known.
    */
-  getKeptSince(): number {
-    if (this.eras.current === untoldEra || this.isSystemsFirst) return -Infinity;
+  getDurableSince(): number {
+    if (this.eras.current === initialEra || this.isSystemsFirst) return -Infinity;
     return this.mark?.era === this.eras.current ? this.mark.at : Infinity;
   }
 
@@ -101,7 +101,7 @@
   review(): void {
     const { clock, isWriter } = this.options;
     const { current } = this.eras;
-    const isDue = current !== untoldEra && this.isSettled && this.mark?.era !== current;
+    const isDue = current !== initialEra && this.isSettled && this.mark?.era !== current;
     if (!isDue || !isWriter() || clock.getTime() - this.writtenAt < retryMs) return;
     this.writtenAt = clock.getTime();
     void this.writeMark(current);
@@ -111,7 +111,7 @@
     return this.options.store.eras;
   }
 
-  private handleRise({ to, revisionBefore }: EraRise): void {
+  private handleRise({ to, revisionBefore }: EraChange): void {
     const { clock, isFirstStart } = this.options;
     this.seenAt = clock.getBootTime();
     this.isSystemsFirst = this.isFirst && isFirstStart && revisionBefore === 0;
--- a/packages/gateway/src/fleetFeed.ts
+++ b/packages/gateway/src/feedReplication.ts
@@ -3,9 +3,9 @@
  * members. Only the readers ask the store, so its calls do not grow with instances times changes.
  * @module
  */
-import { type ConfigurationFollower, StoreRole, type Vouch } from "./configurationFollower.js";
+import { type ConfigurationFollower, StoreRole, type ConfigurationProof } from "./configurationFollower.js";
 import type { PrefixChanges, PrefixFollower } from "./prefixFollower.js";
-import { type StoreEras, untoldEra } from "./storeEras.js";
+import { type StoreEras, initialEra } from "./storeEras.js";
 
 /** What an instance knows already, for the one that it asks. */
 export interface FeedState {
@@ -21,7 +21,7 @@
 /** What an instance has yet to know. */
 export interface FeedMessage {
   /** Left out where the teller has no proof. */
-  readonly vouch?: Vouch | undefined;
+  readonly vouch?: ConfigurationProof | undefined;
   /** Newest era that the teller knows of; earlier builds leave it out. */
   readonly era?: number;
   /** Milliseconds since the teller sent a read that the store answered. */
@@ -40,7 +40,7 @@
 const noTroubleMs = 1_000_000_000;
 
 /** Hands on, and takes what was handed on. */
-export class FleetFeed {
+export class FeedReplication {
   private constructor(
     private readonly eras: StoreEras,
     private readonly configuration: ConfigurationFollower,
@@ -54,8 +54,8 @@
     configuration: ConfigurationFollower,
     followers: Readonly<Record<string, PrefixFollower>>,
     longestStoreAgeMs: number,
-  ): FleetFeed {
-    return new FleetFeed(eras, configuration, followers, longestStoreAgeMs);
+  ): FeedReplication {
+    return new FeedReplication(eras, configuration, followers, longestStoreAgeMs);
   }
 
   getState(): FeedState {
@@ -71,7 +71,7 @@
 
   createMessage(state: FeedState): FeedMessage {
     // Whoever asks may have been served by the store later than this instance.
-    this.eras.takePeer(state.era ?? untoldEra);
+    this.eras.advanceTo(state.era ?? initialEra);
     // An earlier build names no era: its numbers are taken for those of the present one, as it takes them itself.
     const { era = this.eras.current, configuration: revision, version } = state;
     const prefixes: Record<string, PrefixChanges> = {};
@@ -82,7 +82,7 @@
     }
     const { configuration } = this;
     return {
-      vouch: configuration.vouch({ revision, version }, largestPassedBytes),
+      vouch: configuration.createProof({ revision, version }, largestPassedBytes),
       era: this.eras.current,
       storeAgeMs: Math.min(noTroubleMs, configuration.getStoreAge()),
       troubleAgeMs: Math.min(noTroubleMs, configuration.getTimeSinceTrouble()),
@@ -91,15 +91,15 @@
   }
 
   /** Takes what was told in answer to a question asked at a time; returns whether the teller is served by the store. */
-  take(message: FeedMessage, askedAt: number): boolean {
-    const { vouch, era = untoldEra, storeAgeMs, troubleAgeMs, prefixes } = message;
+  apply(message: FeedMessage, askedAt: number): boolean {
+    const { vouch, era = initialEra, storeAgeMs, troubleAgeMs, prefixes } = message;
     if (storeAgeMs > this.longestStoreAgeMs) return false;
-    this.eras.takePeer(era);
-    if (vouch) this.configuration.takeVouch(vouch, askedAt);
+    this.eras.advanceTo(era);
+    if (vouch) this.configuration.applyProof(vouch, askedAt);
     // Of an era that is over, or of an earlier build that knows of none, its numbers are no order here.
     if (era < this.eras.current) return false;
     for (const [prefix, changes] of Object.entries(prefixes)) {
-      this.followers[prefix]?.takeChanges(changes, troubleAgeMs);
+      this.followers[prefix]?.applyChanges(changes, troubleAgeMs);
     }
     return true;
   }
@@ -107,7 +107,7 @@
   /** Says how this instance comes by what the store holds; while the store is lost, nothing is to be had from it. */
   setRole(role: StoreRole): void {
     this.configuration.setRole(role);
-    const isPassive = role === StoreRole.Fed || this.configuration.isStoreLost;
+    const isPassive = role === StoreRole.ViaReader || this.configuration.isStoreLost;
     for (const follower of Object.values(this.followers)) follower.setPassive(isPassive);
   }
 }
--- a/packages/gateway/src/feedTimes.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -7,13 +7,13 @@
  */
 
 /** Times of those who ask the store for others and of those who are told; milliseconds. */
-export interface FeedTimes {
+export interface FeedTimings {
   /** Time between two proving reads of a reader. */
   readonly proofIntervalMs: number;
   /** A reader whose last answered read was sent longer ago is not believed. */
-  readonly longestStoreAgeMs: number;
+  readonly maxStoreAgeMs: number;
   /** An instance that no reader has answered for so long asks the store itself. */
-  readonly lifetimeMs: number;
+  readonly feedLifetimeMs: number;
   /** A reader that has not answered for so long is passed over for the next. */
   readonly patienceMs: number;
   /** Longest time of a watch of endpoints. */
@@ -36,11 +36,11 @@
 const unlistedShare = 0.2;
 
 /** Returns the times for a bound in which a change has to be taken in. */
-export function createFeedTimes(boundMs: number): FeedTimes {
+export function createFeedTimings(boundMs: number): FeedTimings {
   return {
     proofIntervalMs: boundMs * proofShare,
-    longestStoreAgeMs: boundMs * storeAgeShare,
-    lifetimeMs: boundMs * lifetimeShare,
+    maxStoreAgeMs: boundMs * storeAgeShare,
+    feedLifetimeMs: boundMs * lifetimeShare,
     patienceMs: boundMs * patienceShare,
     watchWaitMs: boundMs * watchShare,
     unlistedMs: boundMs * unlistedShare,
--- a/packages/gateway/src/dutyLeases.ts
+++ b/packages/gateway/src/fencedLeases.ts
@@ -12,11 +12,11 @@
 import { Ok, type Result } from "ts-results-es";
 import * as v from "valibot";
 import { decodeItem } from "./itemCodec.js";
-import { isTold, untoldEra } from "./storeEras.js";
+import { isReportedEra, initialEra } from "./storeEras.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
 /** Options of the leases. */
-export interface DutyLeasesOptions {
+export interface FencedLeasesOptions {
   readonly store: MetadataStore;
   readonly logger: Logger;
   /** Key of the offset. */
@@ -35,14 +35,14 @@
 const offsetSchema = v.object({ era: v.number(), offset: v.number() });
 
 /** Takes, renews and gives back leases. */
-export class DutyLeases implements LeaseService {
+export class FencedLeases implements LeaseService {
   /** The latest that was heard of, also where the store has lost it. */
   private heard: FenceOffset | undefined;
 
-  private constructor(private readonly options: DutyLeasesOptions) {}
+  private constructor(private readonly options: FencedLeasesOptions) {}
 
-  static create(options: DutyLeasesOptions): DutyLeases {
-    return new DutyLeases(options);
+  static create(options: FencedLeasesOptions): FencedLeases {
+    return new FencedLeases(options);
   }
 
   /** Takes an item of the store; passes over those of others. */
@@ -68,7 +68,7 @@
       { key: name, revision: 0 },
       { key: offsetKey, revision: item?.revision ?? 0 },
     ];
-    const isKept = current.era === untoldEra || (item !== undefined && this.heard?.era === era);
+    const isKept = current.era === initialEra || (item !== undefined && this.heard?.era === era);
     const kept = isKept ? [] : [{ key: offsetKey, value: Buffer.from(JSON.stringify(current)) }];
     const put = [{ key: name, value: Buffer.from(holder), lease }, ...kept];
     const taken = await store.transact({ expected, put, remove: [] });
@@ -96,9 +96,9 @@
 
 /** Returns the offset of an era, reckoned from that of an earlier one. */
 function createOffset(earlier: FenceOffset | undefined, era: number): FenceOffset {
-  const { era: earlierEra, offset } = earlier ?? { era: untoldEra, offset: 0 };
+  const { era: earlierEra, offset } = earlier ?? { era: initialEra, offset: 0 };
   // A store that begins to tell its era has not come back by that.
-  const isFirstTold = earlierEra === untoldEra && isTold(era);
+  const isFirstTold = earlierEra === initialEra && isReportedEra(era);
   const grownBy = isFirstTold ? 0 : Math.max(0, era - earlierEra);
   return { era, offset: offset + grownBy * offsetPerEra };
 }
--- a/packages/gateway/src/fencedOrders.ts
+++ b/packages/gateway/src/fencedOrders.ts
@@ -5,7 +5,7 @@
  */
 import { Failure, FailureCode, type Logger } from "@gladewall/kernel";
 import { Err, type Result } from "ts-results-es";
-import type { CapacityOrder, OrderSender, OrderService, OrderWord, UsageReport } from "./types.js";
+import type { CapacityOrder, OrderSender, OrderService, OrderOutcome, UsageReport } from "./types.js";
 
 /** An order service that remembers the highest fence that was refused. */
 export class FencedOrders implements OrderService {
@@ -25,11 +25,11 @@
     return fence <= this.refusedFence;
   }
 
-  reportUsage(report: UsageReport, sender: OrderSender): Promise<Result<OrderWord, Failure>> {
+  reportUsage(report: UsageReport, sender: OrderSender): Promise<Result<OrderOutcome, Failure>> {
     return this.send(sender, () => this.orders.reportUsage(report, sender));
   }
 
-  orderCapacity(order: CapacityOrder, sender: OrderSender): Promise<Result<OrderWord, Failure>> {
+  orderCapacity(order: CapacityOrder, sender: OrderSender): Promise<Result<OrderOutcome, Failure>> {
     return this.send(sender, () => this.orders.orderCapacity(order, sender));
   }
 
@@ -39,8 +39,8 @@
 
   private async send(
     { fence }: OrderSender,
-    call: () => Promise<Result<OrderWord, Failure>>,
-  ): Promise<Result<OrderWord, Failure>> {
+    call: () => Promise<Result<OrderOutcome, Failure>>,
+  ): Promise<Result<OrderOutcome, Failure>> {
     if (this.isRefused(fence)) return Err(Failure.create(FailureCode.FenceOutdated, { fence }));
     const answer = await call();
     if (answer.isErr() && answer.error.code === FailureCode.FenceOutdated) {
--- a/packages/gateway/src/fleetWords.ts
+++ b/packages/gateway/src/fleetBroadcast.ts
@@ -5,7 +5,7 @@
 import type { PeerLinks, PeerMessage } from "@gladewall/coordination";
 
 /** The fleet, as far as words need it. */
-export interface WordFleet {
+export interface FleetTopology {
   readonly links: PeerLinks;
   /** Whether this instance hears the whole fleet. */
   readonly isCollector: boolean;
@@ -16,15 +16,15 @@
 }
 
 /** Tells words. */
-export class FleetWords {
-  private constructor(private readonly fleet: WordFleet) {}
+export class FleetBroadcast {
+  private constructor(private readonly fleet: FleetTopology) {}
 
-  static create(fleet: WordFleet): FleetWords {
-    return new FleetWords(fleet);
+  static create(fleet: FleetTopology): FleetBroadcast {
+    return new FleetBroadcast(fleet);
   }
 
   /** Tells all peers, or in a large fleet the readers. */
-  tell(message: PeerMessage): void {
+  broadcast(message: PeerMessage): void {
     const { isCollector, links } = this.fleet;
     if (isCollector) links.broadcast(message);
     else for (const name of this.fleet.getLinkedReaders()) links.send(name, message);
--- a/packages/gateway/src/collectors.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -8,7 +8,7 @@
 import { type Clock, hashText } from "@gladewall/kernel";
 
 /** Options of the choice. */
-export interface CollectorsOptions {
+export interface FleetRolesOptions {
   readonly clock: Clock;
   readonly own: string;
   /** Largest fleet in which every instance hears every other. */
@@ -24,16 +24,16 @@
 const patienceMs = 800;
 
 /** Chooses the readers, and knows who hears the whole fleet. */
-export class Collectors {
+export class FleetRoles {
   private readers: readonly string[] = [];
   private ranking: readonly string[] = [];
   /** Since when each instance that is wanted has had no link. */
   private readonly unlinkedSince = new Map<string, number>();
 
-  private constructor(private readonly options: CollectorsOptions) {}
+  private constructor(private readonly options: FleetRolesOptions) {}
 
-  static create(options: CollectorsOptions): Collectors {
-    return new Collectors(options);
+  static create(options: FleetRolesOptions): FleetRoles {
+    return new FleetRoles(options);
   }
 
   /** Whether the fleet is so small that every instance hears every other. */
@@ -42,7 +42,7 @@
   }
 
   /** Whether this instance hears the whole fleet. */
-  get isOwn(): boolean {
+  get isCollector(): boolean {
     return this.isMesh || this.isReader;
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Instances to be linked with; those that can't be reached now are among them. */
-  getNames(): readonly string[] {
+  getLinkTargets(): readonly string[] {
     return this.isMesh ? this.ranking : this.readers;
   }
 
@@ -73,11 +73,11 @@
     const ranked = [...names].map((name) => ({ name, capacity: getCapacity(name), hash: hashText(name) }));
     ranked.sort((one, other) => other.capacity - one.capacity || other.hash - one.hash);
     this.ranking = ranked.map(({ name }) => name);
-    this.choose();
+    this.chooseReaders();
   }
 
   /** Chooses the readers anew, by the links that are up; returns whether the choice has changed. */
-  choose(): boolean {
+  chooseReaders(): boolean {
     const { own, count } = this.options;
     const chosen: string[] = [];
     let reachable = 0;
--- a/packages/gateway/src/fleetWork.ts
+++ b/packages/gateway/src/fleetWork.ts
@@ -3,14 +3,14 @@
  * else by a reader's view and what was relayed since.
  * @module
  */
-import { getLife, type PeerIdentity } from "@gladewall/coordination";
+import { getIncarnationKey, type PeerIdentity } from "@gladewall/coordination";
 import type { Clock } from "@gladewall/kernel";
 import type { PeerWork } from "./endpoint.js";
 import { type EndpointWork, subtractWork, sumWork } from "./endpointWork.js";
-import type { PlacedEntry, RelayedMessage, ReportMessage } from "./memberMessages.js";
+import type { PlacementEntry, PlacementRelayMessage, ReportMessage } from "./memberMessages.js";
 import { PeerWorkViews } from "./peerWorkViews.js";
 import { PlacementRelay } from "./placementRelay.js";
-import type { ReadReport } from "./prefixMemory.js";
+import type { PrefixReport } from "./prefixIndex.js";
 import { RecentPlacements } from "./recentPlacements.js";
 
 /** Options of the fleet's work. */
@@ -23,7 +23,7 @@
   /** Returns the work of all others by the last view; undefined where this instance goes by reports. */
   readonly findView: () => EndpointWork | undefined;
   /** Sends to an instance that asks this one. */
-  readonly send: (name: string, message: RelayedMessage) => void;
+  readonly send: (name: string, message: PlacementRelayMessage) => void;
 }
 
 const noWork: PeerWork = { active: 0, pendingTokens: 0 };
@@ -86,41 +86,41 @@
     return { work: subtractWork(all, work), placedNumber: this.lastNumber };
   }
 
-  takeReport(peer: string, work: EndpointWork): void {
-    this.reports.take(peer, work);
+  applyReport(peer: string, work: EndpointWork): void {
+    this.reports.setPeer(peer, work);
     this.isStale = true;
   }
 
   /** Takes a placement that a peer told at once. */
-  takePlaced(peer: string, entry: PlacedEntry): void {
+  takePlaced(peer: string, entry: PlacementEntry): void {
     const [endpoint, tokens] = entry;
-    this.reports.add(peer, endpoint, tokens);
+    this.reports.addPlacement(peer, endpoint, tokens);
     this.relay.add(peer, entry);
     this.isStale = true;
   }
 
   /** Takes note of a placement of this instance, for those that ask it. */
-  notePlaced(entry: PlacedEntry): void {
+  notePlaced(entry: PlacementEntry): void {
     this.relay.add(this.options.own, entry);
   }
 
   /** Hands on to those that ask this instance which parts of prompts endpoints have read. */
-  relayRead(read: ReadReport): void {
-    this.relay.addRead(read);
+  relayRead(read: PrefixReport): void {
+    this.relay.addReadParts(read);
   }
 
   /** Takes note that an instance asks this one for views, and is told placements from now on. */
   noteAsked(name: string): void {
-    this.relay.noteAsked(name);
+    this.relay.noteSubscriber(name);
   }
 
-  takeRelayed({ first, entries }: RelayedMessage, peer: PeerIdentity): void {
-    if (this.placements.take(getLife(peer), first, entries)) this.isStale = true;
+  takeRelayed({ first, entries }: PlacementRelayMessage, peer: PeerIdentity): void {
+    if (this.placements.takeRelayed(getIncarnationKey(peer), first, entries)) this.isStale = true;
   }
 
   /** Takes note of a view that includes all placements up to a number. */
   noteView(peer: PeerIdentity, placedNumber: number): void {
-    this.placements.noteView(getLife(peer), placedNumber);
+    this.placements.noteView(getIncarnationKey(peer), placedNumber);
     this.isStale = true;
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -13,12 +13,12 @@
 } from "@gladewall/kernel";
 import type { Result } from "ts-results-es";
 import type { ConnectionTraffic } from "@gladewall/coordination";
-import { Front } from "./front.js";
+import { CallerServer } from "./callerServer.js";
 import { canServe, createGatewayParts, type GatewayParts } from "./gatewayParts.js";
 import type { GatewaySettings } from "./gatewaySettings.js";
 import { RequestServer } from "./requestServer.js";
 import { CounterKind } from "./sharedCounters.js";
-import { isReturn } from "./storeEras.js";
+import { isRestore } from "./storeEras.js";
 import type { PlatformAdapter, PlatformOptions } from "./types.js";
 
 /** Part of the grace that is kept for the end of the process. */
@@ -31,7 +31,7 @@
 
 /** A running instance. */
 export class Gateway {
-  private readonly front: Front;
+  private readonly front: CallerServer;
   private readonly requests: RequestServer;
   private leavingSince: number | undefined;
   private wasReady = false;
@@ -47,7 +47,7 @@
       servedMs: settings.leaving.grace - exitMarginMs,
       getLeavingSince: () => this.leavingSince,
     });
-    this.front = Front.create({
+    this.front = CallerServer.create({
       listen: listen.callers,
       readinessListen: listen.readiness,
       readinessPath: platform.callers.readinessPath,
@@ -56,7 +56,7 @@
     });
     directory.onRemoved((endpoint) => {
       connections.remove(endpoint);
-      placer.memory.removeEndpoint(endpoint.life);
+      placer.memory.removeEndpoint(endpoint.incarnation);
     });
     parts.metrics.setSources({
       isReady: () => this.isReady(),
@@ -70,19 +70,22 @@
       getViewAge: () => parts.members.viewAge ?? noViewAge,
       getUsableEndpoints: () => [...directory.getAll()].filter((endpoint) => endpoint.isUsable()).length,
       countLeaving: (source) =>
-        [...directory.getAll()].filter(({ words }) => words.leaving === source).length,
+        [...directory.getAll()].filter(({ availability: words }) => words.leavingSource === source).length,
       countHeldOff: () => {
         const time = parts.clock.getTime();
-        return [...directory.getAll()].filter(({ words }) => words.getHeldOffMs(time) > 0).length;
+        return [...directory.getAll()].filter(({ availability: words }) => words.getHoldOffMs(time) > 0)
+          .length;
       },
       countLimited: () => {
-        const named = [...directory.getAll()].flatMap(({ words }) => words.limit.perSecond ?? []);
+        const named = [...directory.getAll()].flatMap(
+          ({ availability: words }) => words.limit.perSecond ?? [],
+        );
         return { endpoints: named.length, perSecond: named.reduce((sum, one) => sum + one, 0) };
       },
-      isDutyHolder: () => parts.duties.isActing(),
+      isLeader: () => parts.leaderTasks.isActing(),
       getEra: () => platform.store.eras.current,
       isEraSettled: () => parts.settling.isSettled,
-      countSuspects: () => parts.crashes.records.count(),
+      countSuspects: () => parts.crashProtection.records.count(),
     });
     follower.onChange((table) => this.front.setLimits(table.configuration.limits));
     const listAnew = (): void => {
@@ -90,8 +93,8 @@
       members.restart();
     };
     follower.onRegained(listAnew);
-    platform.store.eras.onRise((rise) => {
-      if (isReturn(rise)) listAnew();
+    platform.store.eras.onEraChange((rise) => {
+      if (isRestore(rise)) listAnew();
     });
   }
 
@@ -120,7 +123,7 @@
     await this.front.open();
     await this.parts.metrics.open();
     await this.parts.members.open();
-    this.parts.duties.start();
+    this.parts.leaderTasks.start();
     this.parts.logger.info("instance.started", {
       instance: instance.name,
       hall: instance.hall,
@@ -152,8 +155,8 @@
   }
 
   /** Instances that have reported their counts to this one. */
-  get heardPeers(): number {
-    return this.parts.counters.heardPeers;
+  get reportingPeers(): number {
+    return this.parts.counters.reportingPeers;
   }
 
   /** Share of the fleet whose counts are known, 0 to 1. */
@@ -182,13 +185,13 @@
   }
 
   /** Boot time before which no newer configuration than this instance's was acknowledged. */
-  get provenAt(): number {
+  get proofSentAt(): number {
     return this.parts.clock.getBootTime() - this.parts.follower.getProofAge();
   }
 
   /** Whether others tell this instance what the store holds. */
-  get isFed(): boolean {
-    return this.parts.members.isFed;
+  get isFeedActive(): boolean {
+    return this.parts.members.isFeedActive;
   }
 
   /** How much of a workspace's limit the fleet has taken, as far as this instance knows. */
@@ -214,7 +217,7 @@
     const endsAt = this.leavingSince + this.settings.leaving.grace - exitMarginMs;
     const { requests } = this;
     logger.info("instance.leaving", { open: requests.open });
-    const dutiesClosed = this.parts.duties.close();
+    const dutiesClosed = this.parts.leaderTasks.close();
     await waitFor(clock, this.settings.leaving.unnoticed);
     this.front.stopAccepting();
     await this.finishRequests(endsAt);
@@ -242,11 +245,11 @@
     await Promise.all([
       this.front.close(),
       this.parts.metrics.close(),
-      this.parts.duties.close(),
+      this.parts.leaderTasks.close(),
       this.parts.follower.close(),
       this.parts.directory.close(),
     ]);
-    this.parts.crashes.close();
+    this.parts.crashProtection.close();
     await this.parts.members.close();
     this.parts.connections.close();
     await Promise.all([this.parts.platform.store.close(), this.parts.platform.orders.close()]);
--- a/packages/gateway/src/ownItems.ts
+++ b/packages/gateway/src/gatewayItems.ts
@@ -3,19 +3,19 @@
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
-import { DutyLeases } from "./dutyLeases.js";
+import { FencedLeases } from "./fencedLeases.js";
 import { EraSettling } from "./eraSettling.js";
-import { FixedWindows } from "./fixedWindows.js";
-import { ownPrefix } from "./memberRecords.js";
+import { CommittedWindows } from "./committedWindows.js";
+import { gatewayPrefix } from "./memberRecords.js";
 import type { Removal } from "./prefixFollower.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
 /** Prefix of the keys that hold fixed usage windows. */
-export const usagePrefix = `${ownPrefix}usage/`;
-const fenceOffsetKey = `${ownPrefix}fence-offset`;
+export const usagePrefix = `${gatewayPrefix}usage/`;
+const fenceOffsetKey = `${gatewayPrefix}fence-offset`;
 
 /** Options of the items. */
-export interface OwnItemsOptions {
+export interface GatewayItemsOptions {
   readonly store: MetadataStore;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -27,31 +27,31 @@
 }
 
 /** Items that are kept beyond the store. */
-export class OwnItems {
+export class GatewayItems {
   readonly settling: EraSettling;
-  readonly leases: DutyLeases;
-  readonly fixed: FixedWindows;
+  readonly leases: FencedLeases;
+  readonly committedWindows: CommittedWindows;
 
-  private constructor(options: OwnItemsOptions) {
+  private constructor(options: GatewayItemsOptions) {
     this.settling = EraSettling.create(options);
-    this.leases = DutyLeases.create({ ...options, offsetKey: fenceOffsetKey });
-    this.fixed = FixedWindows.create({ ...options, prefix: usagePrefix });
+    this.leases = FencedLeases.create({ ...options, offsetKey: fenceOffsetKey });
+    this.committedWindows = CommittedWindows.create({ ...options, prefix: usagePrefix });
   }
 
-  static create(options: OwnItemsOptions): OwnItems {
-    return new OwnItems(options);
+  static create(options: GatewayItemsOptions): GatewayItems {
+    return new GatewayItems(options);
   }
 
   /** Takes an item of the store, or that it is gone and how. */
   takeItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     this.settling.takeItem(key, item);
     this.leases.takeItem(key, item);
-    this.fixed.takeItem(key, item, removal);
+    this.committedWindows.takeItem(key, item, removal);
   }
 
   /** Writes what is due; called several times a second. */
   review(): void {
     this.settling.review();
-    this.fixed.review();
+    this.committedWindows.restoreLost();
   }
 }
--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -5,7 +5,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { ConnectionTraffic } from "@gladewall/coordination";
 import { type Closeable, listen, Metrics } from "@gladewall/kernel";
-import { WordSource } from "./endpointWords.js";
+import { LeavingSource } from "./endpointAvailability.js";
 
 /** Values that are read when the page is. */
 export interface MetricSources {
@@ -19,11 +19,11 @@
   readonly getKnownShare: () => number;
   readonly getViewAge: () => number;
   readonly getUsableEndpoints: () => number;
-  readonly countLeaving: (source: WordSource) => number;
+  readonly countLeaving: (source: LeavingSource) => number;
   readonly countHeldOff: () => number;
   /** Endpoints that name a limit, and what they take together. */
   readonly countLimited: () => { readonly endpoints: number; readonly perSecond: number };
-  readonly isDutyHolder: () => boolean;
+  readonly isLeader: () => boolean;
   /** Era of the store, and whether its reads prove the configuration. */
   readonly getEra: () => number;
   readonly isEraSettled: () => boolean;
@@ -48,7 +48,7 @@
   /** Units that the fleet has taken, as known here. */
   readonly getLevel: () => number;
   /** Units that it may have taken. */
-  readonly getRoom: () => number;
+  readonly getCapacity: () => number;
 }
 
 const metricsPath = "/metrics";
@@ -74,7 +74,9 @@
     const labels = { service, status: String(status), failure };
     this.registry.getCounter("gladewall_requests_total", "Requests by their final answer.", labels).add();
     const help = "Time from a request's arrival to the end of its answer.";
-    this.registry.getLatency("gladewall_request_milliseconds", help, { service }).record(milliseconds);
+    this.registry
+      .getLatencyHistogram("gladewall_request_milliseconds", help, { service })
+      .record(milliseconds);
   }
 
   /** Counts a request that was refused before it had a service. */
@@ -100,7 +102,7 @@
   }
 
   /** Counts a question to the arbiter of a limit, by its answer. */
-  countQuotaAsk(word: string): void {
+  countQuotaCall(word: string): void {
     const labels = { word: word.toLowerCase() };
     this.registry.getCounter("gladewall_quota_asks_total", "Questions to arbiters of limits.", labels).add();
   }
@@ -112,7 +114,7 @@
   }
 
   /** Counts an answer of the store that is not of its present era. */
-  countPassedAnswer(cause: string): void {
+  countDiscardedResponse(cause: string): void {
     const help = "Answers of the store that were passed over, as they are not of its present era.";
     this.registry
       .getCounter("gladewall_store_passed_answers_total", help, { cause: cause.toLowerCase() })
@@ -120,7 +122,7 @@
   }
 
   /** Counts an endpoint that ended with requests of this instance on it. */
-  countEndpointEnd(service: string): void {
+  countEndpointCrash(service: string): void {
     const help = "Endpoints that ended with requests of this instance on them.";
     this.registry.getCounter("gladewall_endpoint_ends_total", help, { service }).add();
   }
@@ -133,15 +135,15 @@
   }
 
   /** Shows a workspace's limit; called again, it changes nothing. */
-  showQuota(workspace: string, { getLevel, getRoom }: QuotaGauges): void {
+  registerQuotaGauges(workspace: string, { getLevel, getCapacity: getRoom }: QuotaGauges): void {
     const labels = { workspace };
-    this.registry.setGauge("gladewall_quota_level", "Units taken, as known here.", getLevel, labels);
-    this.registry.setGauge("gladewall_quota_room", "Units that may be taken.", getRoom, labels);
+    this.registry.registerGauge("gladewall_quota_level", "Units taken, as known here.", getLevel, labels);
+    this.registry.registerGauge("gladewall_quota_room", "Units that may be taken.", getRoom, labels);
   }
 
   setSources(sources: MetricSources): void {
     const set = (name: string, help: string, read: () => number): void =>
-      this.registry.setGauge(name, help, read);
+      this.registry.registerGauge(name, help, read);
     set("gladewall_ready", "1 while requests are taken.", () => Number(sources.isReady()));
     set("gladewall_configuration_version", "Version in force.", sources.getVersion);
     set("gladewall_proof_age_milliseconds", "Age of the proof of that version.", sources.getProofAge);
@@ -177,10 +179,20 @@
       "Of these, such as are not run any more.",
       () => sources.countSuspects().convicted,
     );
-    for (const source of [WordSource.Record, WordSource.Answer, WordSource.Peer, WordSource.Successor]) {
-      const labels = { source: WordSource[source].toLowerCase() };
+    for (const source of [
+      LeavingSource.Record,
+      LeavingSource.Answer,
+      LeavingSource.Peer,
+      LeavingSource.Successor,
+    ]) {
+      const labels = { source: LeavingSource[source].toLowerCase() };
       const help = "Endpoints that leave, by whom that was first known from.";
-      this.registry.setGauge("gladewall_leaving_endpoints", help, () => sources.countLeaving(source), labels);
+      this.registry.registerGauge(
+        "gladewall_leaving_endpoints",
+        help,
+        () => sources.countLeaving(source),
+        labels,
+      );
     }
     set(
       "gladewall_held_off_endpoints",
@@ -201,7 +213,7 @@
     set("gladewall_store_settled", "1 while the store's reads prove the configuration.", () =>
       Number(sources.isEraSettled()),
     );
-    set("gladewall_duty_holder", "1 while this instance gives orders.", () => Number(sources.isDutyHolder()));
+    set("gladewall_duty_holder", "1 while this instance gives orders.", () => Number(sources.isLeader()));
   }
 
   async open(): Promise<void> {
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -2,50 +2,50 @@
  * Puts the parts of an instance together, each from those it stands on.
  * @module
  */
-import { getLife } from "@gladewall/coordination";
+import { getIncarnationKey } from "@gladewall/coordination";
 import type { Clock, Logger } from "@gladewall/kernel";
 import { Admission } from "./admission.js";
 import type { Endpoint, PeerWork } from "./endpoint.js";
 import { EndpointConnections } from "./endpointConnections.js";
 import { EndpointDirectory } from "./endpointDirectory.js";
 import { CapacityOrders } from "./capacityOrders.js";
-import { Crashes } from "./crashes.js";
+import { CrashProtection } from "./crashProtection.js";
 import { ConfigurationFollower, type ConfigurationFollowerOptions } from "./configurationFollower.js";
-import { Demand } from "./demand.js";
-import { Duties } from "./duties.js";
-import type { DutyLeases } from "./dutyLeases.js";
+import { DemandEstimator } from "./demandEstimator.js";
+import { LeaderTasks } from "./leaderTasks.js";
+import type { FencedLeases } from "./fencedLeases.js";
 import type { EraSettling } from "./eraSettling.js";
-import { watchEras } from "./eraWatch.js";
-import { createFeedTimes, type FeedTimes } from "./feedTimes.js";
-import { EndpointWordLinks } from "./endpointWordLinks.js";
+import { reportEras } from "./eraReporting.js";
+import { createFeedTimings, type FeedTimings } from "./feedTimings.js";
+import { LeavingGossip } from "./leavingGossip.js";
 import { EndpointLimits } from "./endpointLimits.js";
 import { FencedOrders } from "./fencedOrders.js";
 import { GatewayMetrics } from "./gatewayMetrics.js";
 import type { GatewaySettings } from "./gatewaySettings.js";
-import { LimitIssuer } from "./limitIssuer.js";
-import { LimitLinks } from "./limitLinks.js";
-import { LimitPermits } from "./limitPermits.js";
-import { ownPrefix } from "./memberRecords.js";
+import { PermitIssuer } from "./permitIssuer.js";
+import { LimitGossip } from "./limitGossip.js";
+import { PermitClient } from "./permitClient.js";
+import { gatewayPrefix } from "./memberRecords.js";
 import { Members, type MembersOptions } from "./members.js";
-import { OwnItems, usagePrefix } from "./ownItems.js";
+import { GatewayItems, usagePrefix } from "./gatewayItems.js";
 import { Placer } from "./placement.js";
-import { PrefixMemory } from "./prefixMemory.js";
-import { ReadingRates } from "./readingRates.js";
-import type { Suspects } from "./suspects.js";
+import { PrefixIndex } from "./prefixIndex.js";
+import { PrefillRates } from "./prefillRates.js";
+import type { SuspectGate } from "./suspectGate.js";
 import { QuotaCharges } from "./quotaCharges.js";
 import { RetryBudget } from "./retryBudget.js";
 import { RetryLinks } from "./retryLinks.js";
 import { CounterKind, SharedCounters } from "./sharedCounters.js";
-import { TrueTime } from "./trueTime.js";
+import { DisciplinedClock } from "./disciplinedClock.js";
 import type { PlatformAdapter } from "./types.js";
 import { UsageCounts } from "./usageCounts.js";
 import { UsageReporter } from "./usageReporter.js";
-import { Vouching } from "./vouching.js";
+import { ProofRequests } from "./proofRequests.js";
 
-const dutyKey = `${ownPrefix}duty`;
-const dutyMarkKey = `${ownPrefix}duties-begun`;
+const dutyKey = `${gatewayPrefix}duty`;
+const leaderMarkerKey = `${gatewayPrefix}duties-begun`;
 // Outside the prefix that all instances watch: each change there costs a call of every instance.
-const usageDraftKey = "gladewall-usage-draft";
+const usageCheckpointKey = "gladewall-usage-draft";
 const demandWindowMs = 4_000;
 /** Longer than a reader takes to tell an instance that has just listed. */
 const firstWatchPauseMs = 800;
@@ -69,16 +69,16 @@
   readonly settling: EraSettling;
   /** Grows with each life of the instance. */
   readonly incarnation: number;
-  readonly time: TrueTime;
-  readonly feedTimes: FeedTimes;
+  readonly time: DisciplinedClock;
+  readonly feedTimes: FeedTimings;
   readonly follower: ConfigurationFollower;
   readonly directory: EndpointDirectory;
   readonly usage: UsageCounts;
   readonly orders: FencedOrders;
   readonly counters: SharedCounters;
-  readonly rates: ReadingRates;
-  readonly memory: PrefixMemory;
-  readonly demand: Demand;
+  readonly rates: PrefillRates;
+  readonly memory: PrefixIndex;
+  readonly demand: DemandEstimator;
 }
 
 /** All parts of an instance. */
@@ -88,27 +88,27 @@
   readonly connections: EndpointConnections;
   readonly members: Members;
   /** What is known of endpoints that ended, and of the requests they had. */
-  readonly crashes: Crashes;
+  readonly crashProtection: CrashProtection;
   /** What may be done with such requests. */
-  readonly suspects: Suspects;
+  readonly suspects: SuspectGate;
   /** What endpoints in need take of all instances together. */
   readonly limits: EndpointLimits;
   /** Permits to send to them. */
-  readonly permits: LimitPermits;
+  readonly permits: PermitClient;
   readonly admission: Admission;
   readonly charges: QuotaCharges;
   readonly placer: Placer;
-  readonly rates: ReadingRates;
+  readonly rates: PrefillRates;
   readonly budget: RetryBudget;
-  readonly demand: Demand;
+  readonly demand: DemandEstimator;
   readonly counters: SharedCounters;
   readonly metrics: GatewayMetrics;
-  readonly duties: Duties;
+  readonly leaderTasks: LeaderTasks;
   /** Whether the store shows all that was acknowledged. */
   readonly settling: EraSettling;
   readonly connectTimeoutMs: number;
   /** Tells the other instances at once of prompt tokens that were sent to an endpoint. */
-  readonly tellPlaced: (endpoint: string, tokens: number) => void;
+  readonly announcePlacement: (endpoint: string, tokens: number) => void;
   /** Called once a request has begun to run, with the time of day at which it did. */
   readonly countRun: (workspace: string, at: number) => void;
   /** Returns the time of day. */
@@ -124,7 +124,7 @@
 ): GatewayParts {
   const base = { settings, platform, clock, logger };
   const { store } = platform;
-  const own: OwnItems = OwnItems.create({
+  const own: GatewayItems = GatewayItems.create({
     ...base,
     store,
     isFirstStart: settings.instance.first_start,
@@ -142,23 +142,23 @@
   const reporter: UsageReporter = createReporter(views, own, (key) => members.items.get(key));
   const admission: Admission = createAdmission(views, () => members);
   const members: Members = createMembers(views, reporter, {
-    answerAsk: (peer, ask) => admission.answerAsk(peer, ask),
+    answerAsk: (peer, ask) => admission.decideForPeer(peer, ask),
     onItem: (key, item, removal) => {
       own.takeItem(key, item, removal);
-      crashes.takeItem(key, item, removal);
+      crashes.handleItem(key, item, removal);
     },
     onTurn: () => {
-      admission.refreshLimits();
+      admission.updateDrainRates();
       crashes.review();
       own.review();
     },
   });
   const metrics = GatewayMetrics.create(settings.listen.metrics);
-  watchEras(store.eras, logger, metrics);
-  const crashes: Crashes = createCrashes(views, members, metrics);
+  reportEras(store.eras, logger, metrics);
+  const crashes: CrashProtection = createCrashes(views, members, metrics);
   const { limits, permits, links } = createLimits(views, members, metrics);
   const budget = createBudget(views, members, links);
-  const vouching: Vouching = Vouching.create(members.links, follower, Math.random);
+  const vouching: ProofRequests = ProofRequests.create(members.links, follower, Math.random);
   return {
     settings,
     platform,
@@ -168,7 +168,7 @@
     directory,
     connections: EndpointConnections.create(),
     members,
-    crashes,
+    crashProtection: crashes,
     suspects: crashes.suspects,
     limits,
     permits,
@@ -188,10 +188,10 @@
     demand: views.demand,
     counters,
     metrics,
-    duties: createDuties(views, members, reporter, own.leases),
+    leaderTasks: createLeaderTasks(views, members, reporter, own.leases),
     settling: own.settling,
     connectTimeoutMs: settings.endpoints.connect_timeout,
-    tellPlaced: (endpoint, tokens) => members.tellPlaced(endpoint, tokens),
+    announcePlacement: (endpoint, tokens) => members.announcePlacement(endpoint, tokens),
     countRun: (workspace, at) => usage.add(reporter.getWindow(at), workspace),
     getTimeOfDay: () => time.get(),
   };
@@ -206,7 +206,7 @@
   directory,
   members,
 }: Pick<GatewayParts, "follower" | "directory" | "members">): boolean {
-  return follower.isProven() && directory.isListed && members.isListed;
+  return follower.hasFreshProof() && directory.isListed && members.isListed;
 }
 
 function createViews(
@@ -215,7 +215,7 @@
 ): GatewayViews {
   const { settings, platform, clock, logger, settling } = base;
   const { configuration, retries, quotas, endpoints } = settings;
-  const feedTimes = createFeedTimes(Math.min(endpoints.drain, configuration.apply_within));
+  const feedTimes = createFeedTimings(Math.min(endpoints.drain, configuration.apply_within));
   const follower = ConfigurationFollower.create({
     platform,
     clock,
@@ -231,8 +231,8 @@
   const windows = {
     [CounterKind.Quota]: quotas.window,
     [CounterKind.Requests]: retries.window,
-    [CounterKind.Repeats]: retries.window,
-    [CounterKind.Work]: demandWindowMs,
+    [CounterKind.Retries]: retries.window,
+    [CounterKind.PromptTokens]: demandWindowMs,
   };
   const counters = SharedCounters.create({ clock, own: settings.instance.name, windows });
   const directory = EndpointDirectory.create({
@@ -244,13 +244,13 @@
     firstWatchPauseMs,
     unlistedMs: feedTimes.unlistedMs,
   });
-  const rates = ReadingRates.create({ clock, logger, startRate: endpoints.prefill_rate });
-  const countActive = (sum: number, { life, active }: Endpoint): number =>
+  const rates = PrefillRates.create({ clock, logger, initialRate: endpoints.prefill_rate });
+  const countActive = (sum: number, { incarnation: life, active }: Endpoint): number =>
     sum + active + getPeerWork(life).active;
   return {
     ...base,
     incarnation: clock.getWallTime(),
-    time: TrueTime.create(clock),
+    time: DisciplinedClock.create(clock),
     feedTimes,
     follower,
     directory,
@@ -258,14 +258,14 @@
     orders: FencedOrders.create(platform.orders, logger),
     counters,
     rates,
-    memory: PrefixMemory.create(),
-    demand: Demand.create({
+    memory: PrefixIndex.create(),
+    demand: DemandEstimator.create({
       clock,
       counters,
       getReadingRate: (service) => rates.get(service),
       isRateLearned: (service) => rates.isLearned(service),
       utilization: settings.orders.utilization,
-      leastPerHall: settings.orders.least_per_hall,
+      minEndpointsPerHall: settings.orders.least_per_hall,
       windowMs: demandWindowMs,
       getActive: (service) => directory.getOfService(service).reduce(countActive, 0),
     }),
@@ -274,7 +274,7 @@
 
 function createReporter(
   views: GatewayViews,
-  { fixed, settling }: OwnItems,
+  { committedWindows: fixed, settling }: GatewayItems,
   getItem: Members["items"]["get"],
 ): UsageReporter {
   const { settings, platform, clock, logger, time, usage } = views;
@@ -286,12 +286,12 @@
     prefix: usagePrefix,
     windowMs: settings.orders.usage_window,
     getTimeOfDay: () => time.get(),
-    draftKey: usageDraftKey,
+    checkpointKey: usageCheckpointKey,
     usage,
-    life: getLife({ name: settings.instance.name, incarnation: views.incarnation }),
+    life: getIncarnationKey({ name: settings.instance.name, incarnation: views.incarnation }),
     getItem,
-    fixed,
-    getKeptSince: () => settling.getKeptSince(),
+    committed: fixed,
+    getDurableSince: () => settling.getDurableSince(),
   });
 }
 
@@ -315,7 +315,7 @@
     capacity: peers.capacity,
     largestMesh: peers.largest_mesh,
     revokeWithinMs: settings.configuration.revoke_within,
-    feedTimes: views.feedTimes,
+    feedTimings: views.feedTimes,
     counters,
     rates,
     memory: views.memory,
@@ -328,7 +328,7 @@
     getWork: () => getWork(directory),
     ...handlers,
   });
-  EndpointWordLinks.create(members, directory);
+  LeavingGossip.create(members, directory);
   return members;
 }
 
@@ -343,10 +343,10 @@
   });
 }
 
-function createCrashes(views: GatewayViews, members: Members, metrics: GatewayMetrics): Crashes {
+function createCrashes(views: GatewayViews, members: Members, metrics: GatewayMetrics): CrashProtection {
   const { settings, platform, clock, logger, directory, follower } = views;
   const { connect_timeout: connectTimeoutMs, drain: drainMs } = settings.endpoints;
-  return Crashes.create({
+  return CrashProtection.create({
     own: settings.instance.name,
     clock,
     logger,
@@ -363,7 +363,7 @@
 function createBudget(
   { settings, counters }: GatewayViews,
   members: Members,
-  links: LimitLinks,
+  links: LimitGossip,
 ): RetryBudget {
   const { instance, retries } = settings;
   const budget = RetryBudget.create({
@@ -374,10 +374,10 @@
     own: instance.name,
     arbiters: members.arbiters,
     // Whoever knows limits of endpoints decides on repeats too.
-    isAble: (name) => links.isAble(name),
+    supportsRetryCalls: (name) => links.isAble(name),
     getFleetSize: () => members.getFleetSize(),
   });
-  RetryLinks.create(members, (peer, ask) => budget.answerAsk(peer, ask));
+  RetryLinks.create(members, (peer, ask) => budget.decideForPeer(peer, ask));
   return budget;
 }
 
@@ -385,20 +385,20 @@
   { settings, clock, logger, directory }: GatewayViews,
   members: Members,
   metrics: GatewayMetrics,
-): Pick<GatewayParts, "limits" | "permits"> & { readonly links: LimitLinks } {
+): Pick<GatewayParts, "limits" | "permits"> & { readonly links: LimitGossip } {
   const limits = EndpointLimits.create({ clock, logger, directory });
-  const permits: LimitPermits = LimitPermits.create({
+  const permits: PermitClient = PermitClient.create({
     own: settings.instance.name,
     clock,
     logger,
     metrics,
     limits,
-    issuer: LimitIssuer.create({ clock, logger, getRandom: Math.random }),
+    issuer: PermitIssuer.create({ clock, logger, getRandom: Math.random }),
     arbiters: members.arbiters,
     isAble: (name) => links.isAble(name),
     getFleetSize: () => members.getFleetSize(),
   });
-  const links: LimitLinks = LimitLinks.create({
+  const links: LimitGossip = LimitGossip.create({
     fleet: members,
     directory,
     limits,
@@ -423,12 +423,12 @@
   });
 }
 
-function createDuties(
+function createLeaderTasks(
   views: GatewayViews,
   members: Members,
   reporter: UsageReporter,
-  leases: DutyLeases,
-): Duties {
+  leases: FencedLeases,
+): LeaderTasks {
   const { settings, platform, clock, logger, directory, follower, demand } = views;
   const { orders, instance } = settings;
   const capacity = CapacityOrders.create({
@@ -436,10 +436,10 @@
     clock,
     logger,
     getEndpoints: (service) => directory.getOfService(service),
-    getNeeded: (service, halls, present) => demand.getNeeded(service, halls, present),
+    getNeeded: (service, halls, present) => demand.getNeededEndpoints(service, halls, present),
     isLoadAwaited: (service) => instance.first_start && !demand.hasSeenLoad(service),
   });
-  return Duties.create({
+  return LeaderTasks.create({
     store: platform.store,
     leases,
     isFirstStart: instance.first_start,
@@ -447,13 +447,14 @@
     logger,
     name: instance.name,
     leaseKey: dutyKey,
-    markKey: dutyMarkKey,
-    turnMs: orders.turn,
+    markerKey: leaderMarkerKey,
+    alternationWindowMs: orders.turn,
     usage: reporter,
     capacity,
     isEligible: () => members.isCollector,
-    isRefused: (fence) => views.orders.isRefused(fence),
-    isFree: () => members.isSettled && members.isListed && directory.isListed && !members.items.has(dutyKey),
+    isFenceRefused: (fence) => views.orders.isRefused(fence),
+    isLeaseFree: () =>
+      members.isFleetStable && members.isListed && directory.isListed && !members.items.has(dutyKey),
     getServices: () => follower.getTable()?.configuration.services.values() ?? [],
   });
 }
@@ -461,7 +462,7 @@
 function getWork(directory: EndpointDirectory): ReadonlyMap<string, PeerWork> {
   const work = new Map<string, PeerWork>();
   for (const endpoint of directory.getAll()) {
-    work.set(endpoint.life, { active: endpoint.active, pendingTokens: endpoint.pendingTokens });
+    work.set(endpoint.incarnation, { active: endpoint.active, pendingTokens: endpoint.pendingTokens });
   }
   return work;
 }
--- a/packages/gateway/src/gatewaySettings.ts
+++ b/packages/gateway/src/gatewaySettings.ts
@@ -9,7 +9,7 @@
   createDuration,
   createFlag,
   createInteger,
-  createReloadable,
+  markReloadable,
   createSecret,
   createText,
   type SettingsOf,
@@ -44,7 +44,7 @@
   },
   peers: {
     secret: createSecret("secret that all instances share"),
-    report_interval: createReloadable(createDuration(150, [20, 10_000], "time between two reports to peers")),
+    report_interval: markReloadable(createDuration(150, [20, 10_000], "time between two reports to peers")),
     largest_mesh: createInteger(
       "instances",
       10,
@@ -125,7 +125,7 @@
     grace: createDuration(8_000, [1_000, 10 * minute], "time between the request to stop and the kill"),
   },
   logs: {
-    level: createReloadable(
+    level: markReloadable(
       createChoice(["error", "warn", "info", "debug"], "info", "least severity that is written"),
     ),
   },
--- a/packages/gateway/src/duties.ts
+++ b/packages/gateway/src/leaderTasks.ts
@@ -9,12 +9,12 @@
 import { LeaseHolder, type LeaseService } from "@gladewall/coordination";
 import { type Clock, type Closeable, type Logger, waitFor } from "@gladewall/kernel";
 import type { CapacityOrders } from "./capacityOrders.js";
-import { isReturn } from "./storeEras.js";
+import { isRestore } from "./storeEras.js";
 import type { MetadataStore, OrderSender, Service } from "./types.js";
 import type { UsageReporter } from "./usageReporter.js";
 
 /** Options of the duties. */
-export interface DutiesOptions {
+export interface LeaderTasksOptions {
   readonly store: MetadataStore;
   readonly leases: LeaseService;
   /** Whether the system starts for the first time; in a later life there may have been a holder, mark or no mark. */
@@ -25,15 +25,15 @@
   /** Key of the lease. */
   readonly leaseKey: string;
   /** Key of the mark that duties have begun. */
-  readonly markKey: string;
+  readonly markerKey: string;
   /** Time in which no two instances may act by turns. */
-  readonly turnMs: number;
+  readonly alternationWindowMs: number;
   readonly usage: UsageReporter;
   readonly capacity: CapacityOrders;
   /** Whether the lease is free, as far as is known. */
-  readonly isFree: () => boolean;
+  readonly isLeaseFree: () => boolean;
   /** Whether the platform has refused a fence, as a higher one has been used. */
-  readonly isRefused: (fence: number) => boolean;
+  readonly isFenceRefused: (fence: number) => boolean;
   /** Whether this instance hears the whole fleet: nobody else knows its usage and its load. */
   readonly isEligible: () => boolean;
   readonly getServices: () => Iterable<Service>;
@@ -48,7 +48,7 @@
 const marginShare = 0.25;
 
 /** Holds the lease and acts on it. */
-export class Duties implements Closeable {
+export class LeaderTasks implements Closeable {
   private readonly holder: LeaseHolder;
   private readonly stop = new AbortController();
   private task: Promise<void> = Promise.resolve();
@@ -59,11 +59,21 @@
   private isMarkSure: boolean;
   private markedFence = 0;
 
-  private constructor(private readonly options: DutiesOptions) {
-    const { store, leases, clock, logger, name, leaseKey, turnMs, isFree, isEligible } = options;
+  private constructor(private readonly options: LeaderTasksOptions) {
+    const {
+      store,
+      leases,
+      clock,
+      logger,
+      name,
+      leaseKey,
+      alternationWindowMs: turnMs,
+      isLeaseFree: isFree,
+      isEligible,
+    } = options;
     this.isMarkSure = options.isFirstStart;
-    store.eras.onRise((rise) => {
-      if (!isReturn(rise)) return;
+    store.eras.onEraChange((rise) => {
+      if (!isRestore(rise)) return;
       this.isMarkSure = false;
       this.isFirstEver = false;
     });
@@ -73,16 +83,16 @@
       logger,
       name: leaseKey,
       holder: name,
-      ttl: turnMs * leaseShare,
-      margin: turnMs * leaseShare * marginShare,
+      ttlMs: turnMs * leaseShare,
+      safetyMarginMs: turnMs * leaseShare * marginShare,
       getRandom: Math.random,
       shouldAcquire: () => isEligible() && isFree(),
       shouldKeep: () => isEligible() && !this.isFenceRefused(),
     });
   }
 
-  static create(options: DutiesOptions): Duties {
-    return new Duties(options);
+  static create(options: LeaderTasksOptions): LeaderTasks {
+    return new LeaderTasks(options);
   }
 
   start(): void {
@@ -94,7 +104,7 @@
   async close(): Promise<void> {
     this.stop.abort();
     await this.task;
-    this.holder.abandon();
+    this.holder.stopWithoutRelease();
   }
 
   /** Whether this instance may act now. */
@@ -103,24 +113,24 @@
   }
 
   private getSender(): OrderSender | undefined {
-    const { name, turnMs } = this.options;
-    const fence = this.holder.getFence();
+    const { name, alternationWindowMs: turnMs } = this.options;
+    const fence = this.holder.getFencingToken();
     if (this.stop.signal.aborted || fence.isErr() || !this.options.isEligible()) return undefined;
-    if (this.options.isRefused(fence.value)) return undefined;
-    if (!this.isFirstEver && this.holder.getTenure() < turnMs * settleShare) return undefined;
+    if (this.options.isFenceRefused(fence.value)) return undefined;
+    if (!this.isFirstEver && this.holder.getHeldMs() < turnMs * settleShare) return undefined;
     return { holder: name, fence: fence.value };
   }
 
   /** A lease whose fence was refused is left: the next one comes with a higher fence. */
   private isFenceRefused(): boolean {
-    const fence = this.holder.getFence();
-    return fence.isOk() && this.options.isRefused(fence.value);
+    const fence = this.holder.getFencingToken();
+    return fence.isOk() && this.options.isFenceRefused(fence.value);
   }
 
   /** Leaves a mark in the store that duties have begun; whoever makes it is the first. */
   private async markFirst(): Promise<void> {
-    const { store, markKey } = this.options;
-    const fence = this.holder.getFence();
+    const { store, markerKey: markKey } = this.options;
+    const fence = this.holder.getFencingToken();
     if (fence.isErr() || fence.value === this.markedFence) return;
     this.markedFence = fence.value;
     this.isFirstEver = false;
@@ -141,12 +151,12 @@
       if (sender.fence !== this.actingFence) {
         this.actingFence = sender.fence;
         capacity.reset();
-        await usage.takeDraft();
+        await usage.restoreCheckpoint();
         logger.info("duties.begun", { fence: sender.fence });
       }
       for (const service of getServices()) await capacity.step(service, getSender);
       await usage.step(getSender);
-      if (this.getSender()) await usage.saveDraft();
+      if (this.getSender()) await usage.saveCheckpoint();
     }
   }
 }
--- a/packages/gateway/src/endpointWordLinks.ts
+++ b/packages/gateway/src/leavingGossip.ts
@@ -5,7 +5,7 @@
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
 import type { EndpointDirectory } from "./endpointDirectory.js";
-import { FleetWords, type WordFleet } from "./fleetWords.js";
+import { FleetBroadcast, type FleetTopology } from "./fleetBroadcast.js";
 
 /** Number of the message; after those of endpoints that ended. */
 const leavingKind = 44;
@@ -19,33 +19,33 @@
 const mostTold = 400;
 
 /** Tells and takes. */
-export class EndpointWordLinks {
-  private readonly words: FleetWords;
+export class LeavingGossip {
+  private readonly words: FleetBroadcast;
 
   private constructor(
-    private readonly fleet: WordFleet,
+    private readonly fleet: FleetTopology,
     private readonly directory: EndpointDirectory,
   ) {
-    this.words = FleetWords.create(fleet);
+    this.words = FleetBroadcast.create(fleet);
     fleet.links.setHandler(leavingKind, (message, peer) => this.take(message, peer));
-    fleet.links.onUp(({ name }) => this.tellNewcomer(name));
-    directory.onSaidLeaving((life) => this.words.tell(createMessage([life])));
+    fleet.links.onLinkUp(({ name }) => this.sendToNewPeer(name));
+    directory.onLeavingAnnounced((life) => this.words.broadcast(createMessage([life])));
   }
 
-  static create(fleet: WordFleet, directory: EndpointDirectory): EndpointWordLinks {
-    return new EndpointWordLinks(fleet, directory);
+  static create(fleet: FleetTopology, directory: EndpointDirectory): LeavingGossip {
+    return new LeavingGossip(fleet, directory);
   }
 
   private take(message: PeerMessage, { name }: PeerIdentity): void {
     const { lives } = message as Partial<LeavingMessage>;
     if (!Array.isArray(lives)) return;
     const named = lives.slice(0, mostTold).filter((life) => typeof life === "string");
-    const fresh = named.filter((life) => this.directory.takePeerWord(life, name));
+    const fresh = named.filter((life) => this.directory.handlePeerLeaving(life, name));
     if (fresh.length > 0) this.words.relay(createMessage(fresh), name);
   }
 
-  private tellNewcomer(name: string): void {
-    const lives = this.directory.words.getAnswered(mostTold);
+  private sendToNewPeer(name: string): void {
+    const lives = this.directory.availabilities.getLeaving(mostTold);
     if (lives.length > 0) this.fleet.links.send(name, createMessage(lives));
   }
 }
--- a/packages/gateway/src/limitMessages.ts
+++ b/packages/gateway/src/limitMessages.ts
@@ -5,7 +5,7 @@
 import type { PeerMessage } from "@gladewall/coordination";
 
 /** A life's limit as one instance tells it to another. */
-export interface ToldLimit {
+export interface PeerLimit {
   readonly life: string;
   /** Requests a second; left out where it names none any more. */
   readonly perSecond?: number | undefined;
@@ -15,18 +15,18 @@
 
 /** Numbers of the messages; after that of endpoints that leave. */
 export enum LimitMessageKind {
-  Words = 45,
-  Ask = 46,
+  Limits = 45,
+  PermitCall = 46,
 }
 
 /** Limits that began or ended, or all that are known. */
-export interface LimitWords extends PeerMessage {
-  readonly kind: LimitMessageKind.Words;
-  readonly limits: readonly ToldLimit[];
+export interface LimitsMessage extends PeerMessage {
+  readonly kind: LimitMessageKind.Limits;
+  readonly limits: readonly PeerLimit[];
 }
 
 /** A call: may this instance send so many requests to an endpoint? */
-export interface PermitAsk extends PeerMessage, ToldLimit {
+export interface PermitCall extends PeerMessage, PeerLimit {
   /** Urgency of the request, 0 first. */
   readonly rank: number;
   /** Permits that can be used at once. */
@@ -34,7 +34,7 @@
 }
 
 /** What an issuer says. */
-export enum PermitWord {
+export enum PermitDecision {
   Granted = 1,
   Refused = 2,
   /** The endpoint names no limit any more. */
@@ -44,8 +44,8 @@
 }
 
 /** Answer to a question. */
-export interface PermitAnswer {
-  readonly word: PermitWord;
+export interface PermitReply {
+  readonly word: PermitDecision;
   readonly permits: number;
   /** Time after which the next is likely to be there; milliseconds. */
   readonly waitMs: number;
@@ -54,15 +54,15 @@
 }
 
 /** Whether a peer's word is one. */
-export function isToldLimit(value: unknown): value is ToldLimit {
+export function isPeerLimit(value: unknown): value is PeerLimit {
   if (typeof value !== "object" || value === null) return false;
-  const { life, perSecond, ageMs } = value as Partial<ToldLimit>;
+  const { life, perSecond, ageMs } = value as Partial<PeerLimit>;
   const isLimit = perSecond === undefined || (isFinite(perSecond) && perSecond >= 0);
   return typeof life === "string" && isFinite(ageMs) && isLimit;
 }
 
 /** Whether a peer's question, its limit aside, is one. */
-export function isPermitAsk({ rank, wanted }: Partial<PermitAsk>): boolean {
+export function isPermitCall({ rank, wanted }: Partial<PermitCall>): boolean {
   return isFinite(rank) && isFinite(wanted);
 }
 
--- a/packages/gateway/src/memberMessages.ts
+++ b/packages/gateway/src/memberMessages.ts
@@ -3,11 +3,11 @@
  * @module
  */
 import type { PeerMessage } from "@gladewall/coordination";
-import type { ArbiterQuestion } from "./arbiters.js";
+import type { ArbiterCall } from "./arbiters.js";
 import type { EndpointWork } from "./endpointWork.js";
-import type { FeedMessage, FeedState } from "./fleetFeed.js";
-import type { ReadReport } from "./prefixMemory.js";
-import type { RateReport } from "./readingRates.js";
+import type { FeedMessage, FeedState } from "./feedReplication.js";
+import type { PrefixReport } from "./prefixIndex.js";
+import type { RateReport } from "./prefillRates.js";
 import type { CounterReport, CounterView } from "./sharedCounters.js";
 import type { WindowCounts } from "./usageCounts.js";
 
@@ -15,11 +15,11 @@
 export enum MemberMessageKind {
   Report = 32,
   View = 33,
-  Placed = 34,
+  Placement = 34,
   Feed = 35,
-  Relayed = 36,
+  PlacementRelay = 36,
   Counts = 37,
-  QuotaAsk = 38,
+  QuotaCall = 38,
 }
 
 /** What an instance tells several times a second. */
@@ -34,7 +34,7 @@
   /** Reading rates that the sender has learned; earlier builds leave them out. */
   readonly rates?: RateReport;
   /** Parts of prompts that endpoints have read since the last report; earlier builds leave them out in large fleets. */
-  readonly read?: ReadReport;
+  readonly read?: PrefixReport;
   /** Left out in some reports. */
   readonly usage?: WindowCounts;
   /** What the sender knows of the store, where it asks what it holds. */
@@ -79,8 +79,8 @@
 }
 
 /** A long prompt was sent to an endpoint; told at once, as the next report may come too late to keep others away. */
-export interface PlacedMessage extends PeerMessage {
-  readonly kind: MemberMessageKind.Placed;
+export interface PlacementMessage extends PeerMessage {
+  readonly kind: MemberMessageKind.Placement;
   /** Earlier builds name it otherwise. */
   readonly endpoint?: string;
   readonly tokens: number;
@@ -92,17 +92,17 @@
 }
 
 /** A long prompt and where it was sent. */
-export type PlacedEntry = readonly [endpoint: string, tokens: number];
+export type PlacementEntry = readonly [endpoint: string, tokens: number];
 
 /** Placements of other instances, handed on by a reader of a large fleet. */
-export interface RelayedMessage extends PeerMessage {
-  readonly kind: MemberMessageKind.Relayed;
+export interface PlacementRelayMessage extends PeerMessage {
+  readonly kind: MemberMessageKind.PlacementRelay;
   /** Number of the first entry within the reader's life; the others follow. */
   readonly first: number;
   /** The receiver's own have an empty endpoint. */
-  readonly entries: readonly PlacedEntry[];
+  readonly entries: readonly PlacementEntry[];
   /** Parts of prompts that endpoints have read. */
-  readonly read: ReadReport;
+  readonly read: PrefixReport;
 }
 
 /** What units of a limit are taken for. */
@@ -110,12 +110,12 @@
   /** A request's first run. */
   First = 1,
   /** A further run of a request that was let in. */
-  Repeat = 2,
+  Retry = 2,
 }
 
 /** A call: may this instance have taken so many units of a workspace's limit in all? */
-export interface QuotaAsk extends PeerMessage {
-  readonly kind: MemberMessageKind.QuotaAsk;
+export interface QuotaCall extends PeerMessage {
+  readonly kind: MemberMessageKind.QuotaCall;
   readonly workspace: string;
   /** Units that this life of the sender has taken, with those it asks for. */
   readonly total: number;
@@ -125,10 +125,10 @@
 }
 
 /** What an instance asks; the message without its kind. */
-export type QuotaQuestion = Omit<QuotaAsk, "kind" | "call">;
+export type QuotaCallArguments = Omit<QuotaCall, "kind" | "call">;
 
 /** What an arbiter says to a question. */
-export enum QuotaWord {
+export enum GrantDecision {
   /** The total is counted. */
   Granted = 1,
   /** It is not, as there is no room. */
@@ -138,17 +138,17 @@
 }
 
 /** Answer to a question. */
-export interface QuotaAnswer {
-  readonly word: QuotaWord;
+export interface QuotaReply {
+  readonly word: GrantDecision;
   /** Units of the limit that the fleet has taken, as the arbiter counts them. */
   readonly level: number;
 }
 
 /** Puts a question so that the arbiter of the workspace's limit can be asked. */
-export function createQuotaQuestion(question: QuotaQuestion): ArbiterQuestion<QuotaAnswer> {
+export function createQuotaCall(question: QuotaCallArguments): ArbiterCall<QuotaReply> {
   return {
     subject: question.workspace,
-    message: { kind: MemberMessageKind.QuotaAsk, ...question },
-    isUnclear: ({ word }) => word === QuotaWord.Unknown,
+    message: { kind: MemberMessageKind.QuotaCall, ...question },
+    isUndecided: ({ word }) => word === GrantDecision.Unknown,
   };
 }
--- a/packages/gateway/src/memberRecords.ts
+++ b/packages/gateway/src/memberRecords.ts
@@ -10,8 +10,8 @@
 import type { MetadataStore, StoreItem } from "./types.js";
 
 /** Keys of the gateway's own items in the store. */
-export const ownPrefix = "gladewall/";
-const memberPrefix = `${ownPrefix}members/`;
+export const gatewayPrefix = "gladewall/";
+const memberPrefix = `${gatewayPrefix}members/`;
 
 /** Options of the records. */
 export interface MemberRecordsOptions {
@@ -73,7 +73,7 @@
     };
     this.follower = PrefixFollower.create({
       store,
-      prefix: ownPrefix,
+      prefix: gatewayPrefix,
       clock,
       logger,
       listener,
@@ -115,7 +115,7 @@
   }
 
   /** Milliseconds since an instance was found that was not known before. */
-  getSettledTime(): number {
+  getTimeSinceGrowth(): number {
     return this.options.clock.getTime() - this.grownAt;
   }
 
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -6,39 +6,39 @@
  * does not grow with the fleet. In a fleet of any size, what the store holds comes from a reader.
  * @module
  */
-import { getLife, LinkMessageKind, type PeerIdentity, PeerLinks } from "@gladewall/coordination";
+import { getIncarnationKey, LinkMessageKind, type PeerIdentity, PeerLinks } from "@gladewall/coordination";
 import { type Closeable, waitFor } from "@gladewall/kernel";
 import { Arbiters } from "./arbiters.js";
 import type { PeerWork } from "./endpoint.js";
 import type { ConfigurationFollower } from "./configurationFollower.js";
-import type { FeedTimes } from "./feedTimes.js";
+import type { FeedTimings } from "./feedTimings.js";
 import { FleetWork } from "./fleetWork.js";
-import type { FeedMessage, FeedState } from "./fleetFeed.js";
-import { PeerTimes } from "./peerTimes.js";
+import type { FeedMessage, FeedState } from "./feedReplication.js";
+import { PeerClocks } from "./peerClocks.js";
 import type { PrefixFollower } from "./prefixFollower.js";
-import { Collectors } from "./collectors.js";
+import { FleetRoles } from "./fleetRoles.js";
 import { CountHandover } from "./countHandover.js";
 import {
   type CountsMessage,
   type FeedAnswer,
   MemberMessageKind,
   type PingMessage,
-  type PlacedMessage,
-  type QuotaAnswer,
-  type QuotaAsk,
-  QuotaWord,
-  type RelayedMessage,
+  type PlacementMessage,
+  type QuotaReply,
+  type QuotaCall,
+  GrantDecision,
+  type PlacementRelayMessage,
   type ReportMessage,
   type ViewMessage,
 } from "./memberMessages.js";
-import { MemberRecords, type MemberRecordsOptions, ownPrefix } from "./memberRecords.js";
-import type { PrefixMemory } from "./prefixMemory.js";
-import type { ReadingRates } from "./readingRates.js";
+import { MemberRecords, type MemberRecordsOptions, gatewayPrefix } from "./memberRecords.js";
+import type { PrefixIndex } from "./prefixIndex.js";
+import type { PrefillRates } from "./prefillRates.js";
 import { ReaderViews } from "./readerViews.js";
 import type { SharedCounters } from "./sharedCounters.js";
 import { SilentPeers } from "./silentPeers.js";
 import { StoreFeed } from "./storeFeed.js";
-import type { TrueTime } from "./trueTime.js";
+import type { DisciplinedClock } from "./disciplinedClock.js";
 import type { StoreItem } from "./types.js";
 import type { UsageCounts } from "./usageCounts.js";
 
@@ -52,12 +52,12 @@
   readonly largestMesh: number;
   /** Time after which a removed key must run nothing. */
   readonly revokeWithinMs: number;
-  readonly feedTimes: FeedTimes;
+  readonly feedTimings: FeedTimings;
   readonly counters: SharedCounters;
-  readonly rates: ReadingRates;
-  readonly memory: PrefixMemory;
+  readonly rates: PrefillRates;
+  readonly memory: PrefixIndex;
   readonly usage: UsageCounts;
-  readonly time: TrueTime;
+  readonly time: DisciplinedClock;
   readonly configuration: ConfigurationFollower;
   /** Follower of the endpoints' records, and their prefix. */
   readonly endpoints: PrefixFollower;
@@ -69,7 +69,7 @@
   /** Called before each report. */
   readonly onTurn: () => void;
   /** Decides as the arbiter of a limit. */
-  readonly answerAsk: (peer: PeerIdentity, ask: QuotaAsk) => QuotaAnswer;
+  readonly answerAsk: (peer: PeerIdentity, ask: QuotaCall) => QuotaReply;
 }
 
 /** Instances that ask the store for all: one may end and another be cut off from the store at the same time. */
@@ -90,10 +90,10 @@
   /** Who decides for the fleet. */
   readonly arbiters: Arbiters;
   private readonly records: MemberRecords;
-  private readonly collectors: Collectors;
+  private readonly collectors: FleetRoles;
   private readonly feed: StoreFeed;
   private readonly work: FleetWork;
-  private readonly peerTimes: PeerTimes;
+  private readonly peerTimes: PeerClocks;
   private readonly silentPeers: SilentPeers;
   private readonly stop = new AbortController();
   private task: Promise<void> = Promise.resolve();
@@ -103,7 +103,7 @@
 
   private constructor(private readonly options: MembersOptions) {
     const { clock, logger, name, incarnation, secret, address, largestMesh } = options;
-    this.peerTimes = PeerTimes.create(clock);
+    this.peerTimes = PeerClocks.create(clock);
     this.silentPeers = SilentPeers.create(options.revokeWithinMs);
     this.links = PeerLinks.create({
       own: { name, incarnation },
@@ -111,18 +111,18 @@
       clock,
       logger,
       listen: address,
-      handshakeTimeout: handshakeTimeoutMs,
-      outboxBytes,
-      pingInterval: pingIntervalMs,
-      lostAfter: lostAfterMs,
-      standingLinks: largestMesh,
+      handshakeTimeoutMs: handshakeTimeoutMs,
+      maxOutboxBytes: outboxBytes,
+      pingIntervalMs: pingIntervalMs,
+      lossTimeoutMs: lostAfterMs,
+      maxPersistentLinks: largestMesh,
       getRandom: Math.random,
-      getPing: () => ({ time: options.time.get() }),
+      getPingFields: () => ({ time: options.time.get() }),
     });
     const isLinked = (peer: string): boolean => this.links.isLinked(peer);
     const onChange = (): void => this.setFleet();
     this.records = MemberRecords.create({ ...options, onChange, isLinked });
-    this.collectors = Collectors.create({
+    this.collectors = FleetRoles.create({
       clock,
       own: name,
       largestMesh,
@@ -143,10 +143,10 @@
       clock,
       logger,
       own: name,
-      times: options.feedTimes,
+      timings: options.feedTimings,
       eras: options.store.eras,
       configuration: options.configuration,
-      followers: { [options.endpointPrefix]: options.endpoints, [ownPrefix]: this.records.follower },
+      followers: { [options.endpointPrefix]: options.endpoints, [gatewayPrefix]: this.records.follower },
     });
     this.views = ReaderViews.create({
       clock,
@@ -159,7 +159,7 @@
       clock,
       own: name,
       getOwn: options.getWork,
-      findView: () => (this.collectors.isOwn ? undefined : this.views.find()?.work),
+      findView: () => (this.collectors.isCollector ? undefined : this.views.find()?.work),
       send: (peer, message) => void this.links.send(peer, message),
     });
     this.listen();
@@ -173,7 +173,7 @@
   async open(): Promise<void> {
     await this.links.open();
     this.records.start();
-    this.task = this.tell();
+    this.task = this.sendReports();
   }
 
   /** The gateway's own items of the store, as last heard of. */
@@ -188,7 +188,7 @@
 
   /** Whether this instance hears the whole fleet, as far as it knows. */
   get isCollector(): boolean {
-    return this.collectors.isOwn;
+    return this.collectors.isCollector;
   }
 
   /** Whether the fleet is so small that every instance is linked with every other. */
@@ -212,8 +212,8 @@
   }
 
   /** Whether no instance was found for a moment: while a fleet starts, it looks smaller than it is. */
-  get isSettled(): boolean {
-    return this.records.getSettledTime() > settledMs;
+  get isFleetStable(): boolean {
+    return this.records.getTimeSinceGrowth() > settledMs;
   }
 
   /** Instances that are listed, this one included. */
@@ -227,11 +227,11 @@
    */
   getKnownShare(): number {
     const fleet = this.getFleetSize();
-    if (!this.collectors.isOwn) return this.views.find()?.knownShare ?? 1 / fleet;
+    if (!this.collectors.isCollector) return this.views.find()?.knownShare ?? 1 / fleet;
     const time = this.options.clock.getTime();
     let silent = 0;
     for (const name of this.records.getNames()) {
-      if (name !== this.options.name && this.silentPeers.isSilent(name, time, this.links.isLinked(name)))
+      if (name !== this.options.name && this.silentPeers.mayBeServing(name, time, this.links.isLinked(name)))
         silent += 1;
     }
     return Math.max(1, fleet - silent) / fleet;
@@ -243,8 +243,12 @@
   }
 
   /** Tells peers at once of a long prompt; in a large fleet the readers, which hand it on. */
-  tellPlaced(endpoint: string, tokens: number): void {
-    const message: PlacedMessage = { kind: MemberMessageKind.Placed, endpoint, tokens: Math.round(tokens) };
+  announcePlacement(endpoint: string, tokens: number): void {
+    const message: PlacementMessage = {
+      kind: MemberMessageKind.Placement,
+      endpoint,
+      tokens: Math.round(tokens),
+    };
     if (this.collectors.isMesh) {
       this.links.broadcast(message);
       return;
@@ -277,10 +281,10 @@
     this.links.setHandler(MemberMessageKind.View, (message, peer) =>
       this.takeView(message as ViewMessage, peer),
     );
-    this.links.setHandler(MemberMessageKind.Relayed, (message, peer) => {
-      const relayed = message as RelayedMessage;
+    this.links.setHandler(MemberMessageKind.PlacementRelay, (message, peer) => {
+      const relayed = message as PlacementRelayMessage;
       this.work.takeRelayed(relayed, peer);
-      this.options.memory.takePeer(relayed.read);
+      this.options.memory.mergePeer(relayed.read);
     });
     this.links.setHandler(MemberMessageKind.Feed, (message) => {
       const { sequence, feed } = message as FeedAnswer;
@@ -289,37 +293,37 @@
     this.links.setHandler(MemberMessageKind.Counts, (message, peer) =>
       this.takeCounts(message as CountsMessage, peer),
     );
-    this.links.setHandler(MemberMessageKind.QuotaAsk, (message, peer) =>
-      this.answerAsk(message as QuotaAsk, peer),
+    this.links.setHandler(MemberMessageKind.QuotaCall, (message, peer) =>
+      this.answerAsk(message as QuotaCall, peer),
     );
-    this.links.setHandler(MemberMessageKind.Placed, (message, peer) =>
-      this.takePlaced(message as PlacedMessage, peer),
+    this.links.setHandler(MemberMessageKind.Placement, (message, peer) =>
+      this.takePlaced(message as PlacementMessage, peer),
     );
     this.links.setHandler(LinkMessageKind.Ping, ({ time }: PingMessage, peer) => {
-      if (time !== undefined) this.peerTimes.take(peer.name, time);
+      if (time !== undefined) this.peerTimes.record(peer.name, time);
     });
-    this.links.onUp((peer) => logger.info("peer.linked", { peer: peer.name }));
-    this.links.onDown((peer) => {
+    this.links.onLinkUp((peer) => logger.info("peer.linked", { peer: peer.name }));
+    this.links.onLinkDown((peer) => {
       logger.info("peer.lost", { peer: peer.name });
-      this.silentPeers.noteDown(peer.name, this.options.clock.getTime());
+      this.silentPeers.recordDisconnect(peer.name, this.options.clock.getTime());
     });
   }
 
   private setFleet(): void {
     this.collectors.setFleet();
-    this.links.setPeers(this.records.getAddresses(), this.collectors.getNames());
+    this.links.setPeers(this.records.getAddresses(), this.collectors.getLinkTargets());
   }
 
-  private async tell(): Promise<void> {
+  private async sendReports(): Promise<void> {
     const { clock, time, reportIntervalMs, largeFleetIntervalMs, onTurn } = this.options;
     const { signal } = this.stop;
     while (!signal.aborted) {
       await waitFor(clock, this.collectors.isMesh ? reportIntervalMs : largeFleetIntervalMs, signal);
-      time.adjust(this.peerTimes.getDifferences(time.get()));
-      if (this.collectors.choose()) this.setFleet();
+      time.adjust(this.peerTimes.getOffsets(time.get()));
+      if (this.collectors.chooseReaders()) this.setFleet();
       this.work.refresh();
       this.feed.setRole(this.collectors.isReader);
-      this.handover.setRole(this.collectors.isOwn, clock.getTime());
+      this.handover.setRole(this.collectors.isCollector, clock.getTime());
       onTurn();
       this.report();
     }
@@ -341,18 +345,18 @@
   }
 
   /** Whether a reader tells this instance what the store holds. */
-  get isFed(): boolean {
-    return !this.collectors.isReader && this.feed.isFed;
+  get isFeedActive(): boolean {
+    return !this.collectors.isReader && this.feed.isActive;
   }
 
   private createReport(): ReportMessage {
     const { counters, rates, usage, time, getWindow } = this.options;
     this.sequence += 1;
-    const { isMesh, isOwn } = this.collectors;
-    const isHistoryWanted = this.views.takeHistoryWanted();
+    const { isMesh, isCollector: isOwn } = this.collectors;
+    const isHistoryWanted = this.views.takeHistoryRequest();
     const report = counters.createReport(isOwn || isHistoryWanted);
-    this.views.noteTold(this.sequence, report.totals);
-    const read = this.options.memory.takeUntold();
+    this.views.recordReport(this.sequence, report.totals);
+    const read = this.options.memory.takeUnreported();
     this.work.relayRead(read);
     const hasUsage = isMesh || this.sequence % usageEvery === 0;
     return {
@@ -364,23 +368,23 @@
       rates: rates.createReport(),
       hearsAll: isOwn,
       read,
-      ...(hasUsage ? { usage: usage.getOwn(getWindow(), toldWindows) } : {}),
+      ...(hasUsage ? { usage: usage.getOwnCounts(getWindow(), toldWindows) } : {}),
     };
   }
 
   private takeReport(message: ReportMessage, peer: PeerIdentity): void {
     const { counters, rates, usage, clock } = this.options;
-    const life = getLife(peer);
-    counters.takeReport(peer.name, life, message.counters);
-    if (message.usage) usage.takePeer(life, message.usage);
-    if (message.rates) rates.takePeer(peer.name, message.rates);
+    const life = getIncarnationKey(peer);
+    counters.applyReport(peer.name, life, message.counters);
+    if (message.usage) usage.mergePeerCounts(life, message.usage);
+    if (message.rates) rates.mergePeer(peer.name, message.rates);
     if (message.read) {
-      this.options.memory.takePeer(message.read);
+      this.options.memory.mergePeer(message.read);
       this.work.relayRead(message.read);
     }
-    this.silentPeers.noteHeard(peer.name, clock.getTime());
-    this.peerTimes.take(peer.name, message.time);
-    this.work.takeReport(peer.name, message.work);
+    this.silentPeers.recordReport(peer.name, clock.getTime());
+    this.peerTimes.record(peer.name, message.time);
+    this.work.applyReport(peer.name, message.work);
     if (message.wantsCounts) this.handOver(message, peer);
     if (!message.feed) return;
     if (!message.hearsAll) this.work.noteAsked(peer.name);
@@ -389,7 +393,7 @@
 
   private handOver({ sequence }: ReportMessage, peer: PeerIdentity): void {
     const { counters, clock } = this.options;
-    if (!this.collectors.isOwn || this.handover.isAsking(clock.getTime())) return;
+    if (!this.collectors.isCollector || this.handover.isAsking(clock.getTime())) return;
     const message: CountsMessage = {
       kind: MemberMessageKind.Counts,
       sequence,
@@ -399,16 +403,18 @@
   }
 
   /** One that does not hear the whole fleet knows too little to decide. */
-  private answerAsk(ask: QuotaAsk, peer: PeerIdentity): QuotaAnswer {
-    return this.collectors.isOwn ? this.options.answerAsk(peer, ask) : { word: QuotaWord.Unknown, level: 0 };
+  private answerAsk(ask: QuotaCall, peer: PeerIdentity): QuotaReply {
+    return this.collectors.isCollector
+      ? this.options.answerAsk(peer, ask)
+      : { word: GrantDecision.Unknown, level: 0 };
   }
 
   private takeCounts({ sequence, counters: told }: CountsMessage, peer: PeerIdentity): void {
     const { counters, clock, logger } = this.options;
     const knowsMore = told.isInformed || told.uptime > counters.getUptime();
     if (!this.handover.isAsking(clock.getTime()) || !knowsMore) return;
-    if (!this.views.takeCounts(sequence, told)) return;
-    this.handover.noteTaken();
+    if (!this.views.applyCounts(sequence, told)) return;
+    this.handover.complete();
     const peers = Object.keys(told.included ?? {}).length;
     logger.info("counts.taken", { peer: peer.name, uptimeMs: told.uptime, informed: told.isInformed, peers });
   }
@@ -419,7 +425,7 @@
     return { kind: MemberMessageKind.Feed, sequence: report.sequence, feed };
   }
 
-  private takePlaced({ endpoint, tokens }: PlacedMessage, peer: PeerIdentity): void {
+  private takePlaced({ endpoint, tokens }: PlacementMessage, peer: PeerIdentity): void {
     if (endpoint !== undefined) this.work.takePlaced(peer.name, [endpoint, tokens]);
   }
 
@@ -436,15 +442,15 @@
   }
 
   private takeView(view: ViewMessage, peer: PeerIdentity): void {
-    if (this.collectors.isOwn || this.views.findToldAt(view.sequence) === undefined) return;
+    if (this.collectors.isCollector || this.views.findSentAt(view.sequence) === undefined) return;
     this.takeFeed(view.sequence, view.feed);
-    if (view.rates) this.options.rates.takePeer(peer.name, view.rates);
-    if (this.views.take(view, peer)) this.work.noteView(peer, view.placedNumber ?? 0);
+    if (view.rates) this.options.rates.mergePeer(peer.name, view.rates);
+    if (this.views.applyView(view, peer)) this.work.noteView(peer, view.placedNumber ?? 0);
   }
 
   private takeFeed(sequence: number, feed: FeedMessage): void {
-    const toldAt = this.views.findToldAt(sequence);
+    const toldAt = this.views.findSentAt(sequence);
     if (toldAt === undefined || !this.feed.isAsking(this.collectors.isReader)) return;
-    this.feed.take(feed, toldAt);
+    this.feed.apply(feed, toldAt);
   }
 }
--- a/packages/gateway/src/peerTimes.ts
+++ b/packages/gateway/src/peerClocks.ts
@@ -14,17 +14,17 @@
 }
 
 /** Peers' times of day. */
-export class PeerTimes {
+export class PeerClocks {
   private readonly told = new Map<string, ToldTime>();
 
   private constructor(private readonly clock: Clock) {}
 
-  static create(clock: Clock): PeerTimes {
-    return new PeerTimes(clock);
+  static create(clock: Clock): PeerClocks {
+    return new PeerClocks(clock);
   }
 
   /** Takes what a peer says that its time of day is now. */
-  take(peer: string, time: number): void {
+  record(peer: string, time: number): void {
     this.told.set(peer, { time, at: this.clock.getTime() });
   }
 
@@ -32,7 +32,7 @@
    * Returns how far the peers are ahead of a time of day. Reckoned from what is given, so a difference that was
    * corrected is gone, also where no new word has come since.
    */
-  getDifferences(timeOfDay: number): readonly number[] {
+  getOffsets(timeOfDay: number): readonly number[] {
     const now = this.clock.getTime();
     const fresh = [...this.told.values()].filter(({ at }) => now - at <= lifetimeMs);
     return fresh.map(({ time, at }) => time + (now - at) - timeOfDay);
--- a/packages/gateway/src/peerWorkViews.ts
+++ b/packages/gateway/src/peerWorkViews.ts
@@ -22,12 +22,12 @@
   }
 
   /** Takes all of a peer's work, in place of what it told before. */
-  take(peer: string, work: EndpointWork): void {
+  setPeer(peer: string, work: EndpointWork): void {
     this.views.set(peer, { work, heardAt: this.clock.getTime() });
   }
 
   /** Adds a prompt that a peer has just sent to an endpoint; its next report includes it. */
-  add(peer: string, endpoint: string, tokens: number): void {
+  addPlacement(peer: string, endpoint: string, tokens: number): void {
     const view = this.views.get(peer) ?? { work: {}, heardAt: this.clock.getTime() };
     const [active, pendingTokens] = view.work[endpoint] ?? [0, 0];
     const work = { ...view.work, [endpoint]: [active + 1, pendingTokens + tokens] as const };
--- a/packages/gateway/src/limitPermits.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -10,13 +10,13 @@
 import type { EndpointLimits } from "./endpointLimits.js";
 import type { GatewayMetrics } from "./gatewayMetrics.js";
 import { LeakyBucket } from "./leakyBucket.js";
-import type { LimitIssuer } from "./limitIssuer.js";
+import type { PermitIssuer } from "./permitIssuer.js";
 import {
   LimitMessageKind,
-  type PermitAnswer,
-  type PermitAsk,
-  PermitWord,
-  type ToldLimit,
+  type PermitReply,
+  type PermitCall,
+  PermitDecision,
+  type PeerLimit,
 } from "./limitMessages.js";
 
 /** Request for which a permit is wanted. */
@@ -29,15 +29,15 @@
 }
 
 /** Options of the permits. */
-export interface LimitPermitsOptions {
+export interface PermitClientOptions {
   /** Name of this instance. */
   readonly own: string;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Pick<GatewayMetrics, "countPermit">;
   readonly limits: EndpointLimits;
-  readonly issuer: LimitIssuer;
-  readonly arbiters: Pick<Arbiters, "find" | "countBefore" | "ask">;
+  readonly issuer: PermitIssuer;
+  readonly arbiters: Pick<Arbiters, "find" | "countBefore" | "call">;
   /** Whether an instance gives permits out. */
   readonly isAble: (name: string) => boolean;
   readonly getFleetSize: () => number;
@@ -59,7 +59,7 @@
 /** An issuer's answer, and who gave it. */
 interface SourcedAnswer extends PermitGrant {
   readonly source: PermitSource;
-  readonly word: PermitWord;
+  readonly word: PermitDecision;
 }
 
 /** Of the time that a request has left, an issuer is waited for this share at most, and no longer than `longestWaitMs`. */
@@ -76,33 +76,36 @@
 const mostLives = 2_048;
 
 /** Permits at hand. */
-export class LimitPermits {
+export class PermitClient {
   /** What this instance used of its own share while nobody gave permits out, by life. */
   private readonly alone = new Map<string, LeakyBucket>();
 
-  private constructor(private readonly options: LimitPermitsOptions) {}
+  private constructor(private readonly options: PermitClientOptions) {}
 
-  static create(options: LimitPermitsOptions): LimitPermits {
-    return new LimitPermits(options);
+  static create(options: PermitClientOptions): PermitClient {
+    return new PermitClient(options);
   }
 
   /** Whether an endpoint needs no permit. */
-  isFree({ words }: Endpoint): boolean {
+  isUnlimited({ availability: words }: Endpoint): boolean {
     return words.limit.perSecond === undefined;
   }
 
   /** Takes a permit for one request to an endpoint that has named a limit; false where none is to be had now. */
-  async take({ life, words }: Endpoint, request: PermitRequest): Promise<boolean> {
+  async acquire(
+    { incarnation: life, availability: words }: Endpoint,
+    request: PermitRequest,
+  ): Promise<boolean> {
     const { clock } = this.options;
     const { limit } = words;
-    if (limit.perSecond === undefined || limit.tryUse(clock.getTime())) return true;
-    if (!limit.mayAsk(clock.getTime(), request.rank)) return false;
-    const wanted = limit.beginAsk();
+    if (limit.perSecond === undefined || limit.tryUsePermit(clock.getTime())) return true;
+    if (!limit.mayRequestPermits(clock.getTime(), request.rank)) return false;
+    const wanted = limit.beginPermitCall();
     const answer = await this.ask(life, limit.perSecond, { ...request, wanted });
     const time = clock.getTime();
-    limit.endAsk(answer, request.rank, time);
+    limit.endPermitCall(answer, request.rank, time);
     this.note(life, request, answer);
-    return limit.tryUse(time) || words.limit.perSecond === undefined;
+    return limit.tryUsePermit(time) || words.limit.perSecond === undefined;
   }
 
   private async ask(life: string, perSecond: number, request: WantedPermits): Promise<SourcedAnswer> {
@@ -111,32 +114,35 @@
     if (issuer === undefined) return this.takeAlone(life, perSecond);
     const ask = { ...limits.get(life), rank: request.rank, wanted: request.wanted };
     if (issuer === own) return { source: PermitSource.Own, ...this.decide(ask, own) };
-    const message: PermitAsk = { kind: LimitMessageKind.Ask, ...ask };
+    const message: PermitCall = { kind: LimitMessageKind.PermitCall, ...ask };
     const waitMs = Math.min(longestWaitMs, request.leftMs * waitedShare);
-    const isUnclear = ({ word }: PermitAnswer): boolean => word === PermitWord.Unknown;
-    const answer = await arbiters.ask<PermitAnswer>({ subject: life, message, isUnclear, isAble }, waitMs);
+    const isUnclear = ({ word }: PermitReply): boolean => word === PermitDecision.Unknown;
+    const answer = await arbiters.call<PermitReply>(
+      { subject: life, message, isUndecided: isUnclear, supportsCall: isAble },
+      waitMs,
+    );
     if (answer.isErr()) {
-      const silent = { word: PermitWord.Unknown, permits: 0, waitMs: silentMs };
+      const silent = { word: PermitDecision.Unknown, permits: 0, waitMs: silentMs };
       return { source: PermitSource.Issuer, ...silent };
     }
     const { word, permits, waitMs: nextMs, endedMs } = answer.value;
-    if (word === PermitWord.Free) limits.takePeer({ life, ageMs: endedMs ?? 0 }, issuer);
+    if (word === PermitDecision.Free) limits.mergePeer({ life, ageMs: endedMs ?? 0 }, issuer);
     return { source: PermitSource.Issuer, word, permits, waitMs: nextMs };
   }
 
   /** Decides as the issuer. */
   decide(
-    { rank, wanted, ...told }: ToldLimit & Pick<PermitAsk, "rank" | "wanted">,
+    { rank, wanted, ...told }: PeerLimit & Pick<PermitCall, "rank" | "wanted">,
     asker: string,
-  ): PermitAnswer {
+  ): PermitReply {
     const { own, arbiters, isAble, issuer, limits } = this.options;
     const { life } = told;
-    if (asker !== own) limits.takePeer(told, asker);
+    if (asker !== own) limits.mergePeer(told, asker);
     const { perSecond, ageMs } = limits.get(life);
-    if (perSecond === undefined) return { word: PermitWord.Free, permits: 0, waitMs: 0, endedMs: ageMs };
+    if (perSecond === undefined) return { word: PermitDecision.Free, permits: 0, waitMs: 0, endedMs: ageMs };
     const place = arbiters.countBefore(life, isAble);
-    const grant = issuer.decide({ life, perSecond, asker, rank, wanted, place });
-    return { word: grant.permits > 0 ? PermitWord.Granted : PermitWord.Refused, ...grant };
+    const grant = issuer.issue({ life, perSecond, requester: asker, rank, wanted, place });
+    return { word: grant.permits > 0 ? PermitDecision.Granted : PermitDecision.Refused, ...grant };
   }
 
   /** The share of one instance, which adds up to half of the limit over the fleet; nothing where one saved by each is too much. */
@@ -144,7 +150,7 @@
     const { clock, getFleetSize } = this.options;
     const time = clock.getTime();
     const fleet = getFleetSize();
-    const none = { source: PermitSource.Alone, word: PermitWord.Refused, permits: 0 };
+    const none = { source: PermitSource.Alone, word: PermitDecision.Refused, permits: 0 };
     if (fleet > aloneFleetPerLimit * perSecond + aloneFleetLeast) return { ...none, waitMs: silentMs };
     const bucket = this.alone.get(life) ?? createSpentBucket(time);
     if (this.alone.size >= mostLives) this.alone.clear();
@@ -153,14 +159,14 @@
     const missing = bucket.getSum(time);
     if (missing > 0) return { ...none, waitMs: bucket.getTimeUntilFreed(time, missing) };
     bucket.add(time, 1);
-    return { source: PermitSource.Alone, word: PermitWord.Granted, permits: 1, waitMs: 0 };
+    return { source: PermitSource.Alone, word: PermitDecision.Granted, permits: 1, waitMs: 0 };
   }
 
   private note(life: string, { id, rank }: PermitRequest, answer: SourcedAnswer): void {
     const { logger, metrics } = this.options;
     const { source, word, permits, waitMs } = answer;
-    metrics.countPermit(PermitWord[word]);
-    const fields = { request: id, life, rank, source: PermitSource[source], word: PermitWord[word] };
+    metrics.countPermit(PermitDecision[word]);
+    const fields = { request: id, life, rank, source: PermitSource[source], word: PermitDecision[word] };
     logger.debug("permit.asked", { ...fields, permits, waitMs: Math.round(waitMs) });
   }
 }
--- a/packages/gateway/src/limitIssuer.ts
+++ b/packages/gateway/src/permitIssuer.ts
@@ -7,12 +7,12 @@
 import { LeakyBucket } from "./leakyBucket.js";
 
 /** A question for permits. */
-export interface PermitQuestion {
+export interface PermitCallArguments {
   readonly life: string;
   /** Requests a second that the endpoint takes of all instances together. */
   readonly perSecond: number;
   /** Instance that asks. */
-  readonly asker: string;
+  readonly requester: string;
   /** Urgency of its request, 0 first. */
   readonly rank: number;
   /** Permits that it can use at once. */
@@ -22,7 +22,7 @@
 }
 
 /** Options of the issuer. */
-export interface LimitIssuerOptions {
+export interface PermitIssuerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   /** Returns a number from 0 to 1, to spread those who ask again. */
@@ -36,7 +36,7 @@
   place: number;
   depth: number;
   /** Until when each instance that has asked is counted with. */
-  readonly askers: Map<string, number>;
+  readonly requesters: Map<string, number>;
   /** When a request of each rank was asked for last. */
   readonly ranks: Map<number, number>;
   askedAt: number;
@@ -69,19 +69,19 @@
 const millisecondsPerSecond = 1_000;
 
 /** Gives permits out. */
-export class LimitIssuer {
+export class PermitIssuer {
   /** Terms by life, the one that was asked about last at the end. */
   private readonly terms = new Map<string, IssuerTerm>();
 
-  private constructor(private readonly options: LimitIssuerOptions) {}
+  private constructor(private readonly options: PermitIssuerOptions) {}
 
-  static create(options: LimitIssuerOptions): LimitIssuer {
-    return new LimitIssuer(options);
+  static create(options: PermitIssuerOptions): PermitIssuer {
+    return new PermitIssuer(options);
   }
 
   /** Decides on a question. */
-  decide(question: PermitQuestion): PermitGrant {
-    const { wanted, rank, asker } = question;
+  issue(question: PermitCallArguments): PermitGrant {
+    const { wanted, rank, requester: asker } = question;
     const time = this.options.clock.getTime();
     const perSecond = Math.max(leastPerSecond, question.perSecond);
     const term = this.getTerm(question, perSecond, time);
@@ -93,11 +93,11 @@
     if (permits > 0) term.bucket.add(time, permits);
     const missing = Math.max(0, 1 + kept - free);
     const waitMs = permits > 0 ? 0 : this.getWaitMs(term, missing, perSecond, time);
-    term.askers.set(asker, time + waitMs + askerMs);
+    term.requesters.set(asker, time + waitMs + askerMs);
     return { permits, waitMs };
   }
 
-  private getTerm({ life, place }: PermitQuestion, perSecond: number, time: number): IssuerTerm {
+  private getTerm({ life, place }: PermitCallArguments, perSecond: number, time: number): IssuerTerm {
     const known = this.terms.get(life);
     const isStanding = known !== undefined && time - known.askedAt < idleMs;
     const term = isStanding ? known : this.createTerm(life, perSecond, place);
@@ -121,7 +121,7 @@
     const depthNow = getDepth(perSecond, place);
     bucket.set(time, depthNow);
     this.log("limit.issuer-begun", life, perSecond, place);
-    return { bucket, place, depth: depthNow, askers: new Map(), ranks: new Map(), askedAt: time };
+    return { bucket, place, depth: depthNow, requesters: new Map(), ranks: new Map(), askedAt: time };
   }
 
   private forgetOldest(): void {
@@ -141,7 +141,7 @@
 
   /** Time until the permit is there, and no shorter than keeps all who ask within the questions that are borne. */
   private getWaitMs(
-    { askers, bucket, place }: IssuerTerm,
+    { requesters: askers, bucket, place }: IssuerTerm,
     missing: number,
     perSecond: number,
     time: number,
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -6,7 +6,7 @@
 import { type Clock, hashText, mixHashes } from "@gladewall/kernel";
 import type { Endpoint, PeerWork } from "./endpoint.js";
 import { EndpointState } from "./endpoint.js";
-import type { PrefixMemory } from "./prefixMemory.js";
+import type { PrefixIndex } from "./prefixIndex.js";
 import type { PromptPart, Service } from "./types.js";
 
 /** A request as placement sees it. */
@@ -37,7 +37,7 @@
 /** Options of placement. */
 export interface PlacementOptions {
   readonly clock: Clock;
-  readonly memory: PrefixMemory;
+  readonly memory: PrefixIndex;
   /** Returns the prompt tokens that a service's engine reads in a millisecond. */
   readonly getReadingRate: (service: string) => number;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
@@ -59,7 +59,7 @@
 
 /** Chooses endpoints. */
 export class Placer {
-  readonly memory: PrefixMemory;
+  readonly memory: PrefixIndex;
 
   private constructor(private readonly options: PlacementOptions) {
     this.memory = options.memory;
@@ -77,7 +77,7 @@
     let best: Placement | undefined;
     let bestScore = Infinity;
     for (const endpoint of candidates) {
-      const peers = this.options.getPeerWork(endpoint.life);
+      const peers = this.options.getPeerWork(endpoint.incarnation);
       const uncachedTokens = this.getUncachedTokens(request, endpoint, endpoint === home);
       const expectedMs = this.getExpectedMs(request.service, endpoint, peers, uncachedTokens);
       const score = expectedMs + getPenalty(endpoint, time) + this.options.getRandom() * spreadMs;
@@ -91,7 +91,7 @@
 
   /** Describes what a request meets at an endpoint that was chosen for it otherwise. */
   describe(request: PlacementRequest, endpoint: Endpoint): Placement {
-    const peers = this.options.getPeerWork(endpoint.life);
+    const peers = this.options.getPeerWork(endpoint.incarnation);
     const uncachedTokens = this.getUncachedTokens(request, endpoint, false);
     const expectedMs = this.getExpectedMs(request.service, endpoint, peers, uncachedTokens);
     const tokensAhead = endpoint.pendingTokens + peers.pendingTokens;
@@ -105,8 +105,8 @@
     const fresh: Endpoint[] = [];
     const sound: Endpoint[] = [];
     for (const endpoint of this.options.getEndpoints(service.name)) {
-      if (!endpoint.takesWork(time, rank) || excluded.has(endpoint.life)) continue;
-      if (avoidsLimited && endpoint.words.limit.perSecond !== undefined) continue;
+      if (!endpoint.acceptsRequest(time, rank) || excluded.has(endpoint.incarnation)) continue;
+      if (avoidsLimited && endpoint.availability.limit.perSecond !== undefined) continue;
       fresh.push(endpoint);
       if (!endpoint.isUnreachable(time)) sound.push(endpoint);
     }
@@ -123,7 +123,7 @@
     for (let index = 0; index < parts.length; index++) {
       const part = parts[index];
       if (!part) break;
-      const isHeld = this.memory.holds(part.id, endpoint.life) || (isHome && index < shared);
+      const isHeld = this.memory.holds(part.id, endpoint.incarnation) || (isHome && index < shared);
       if (!isHeld) break;
       cached += part.tokens;
     }
--- a/packages/gateway/src/placementRelay.ts
+++ b/packages/gateway/src/placementRelay.ts
@@ -8,18 +8,18 @@
  * @module
  */
 import { type Clock, type Timer } from "@gladewall/kernel";
-import { MemberMessageKind, type PlacedEntry, type RelayedMessage } from "./memberMessages.js";
-import type { ReadReport } from "./prefixMemory.js";
+import { MemberMessageKind, type PlacementEntry, type PlacementRelayMessage } from "./memberMessages.js";
+import type { PrefixReport } from "./prefixIndex.js";
 
 /** Options of the relay. */
 export interface PlacementRelayOptions {
   readonly clock: Clock;
-  readonly send: (name: string, message: RelayedMessage) => void;
+  readonly send: (name: string, message: PlacementRelayMessage) => void;
 }
 
 interface Queued {
   readonly sender: string;
-  readonly entry: PlacedEntry;
+  readonly entry: PlacementEntry;
 }
 
 /**
@@ -36,7 +36,7 @@
 /** An instance that has not asked for this long is told nothing more: it asks another reader. */
 const audienceLifetimeMs = 1_500;
 /** What stands in place of an instance's own placements, so that all instances are told the same numbers. */
-const none: PlacedEntry = ["", 0];
+const none: PlacementEntry = ["", 0];
 
 /** A reader's part. */
 export class PlacementRelay {
@@ -62,12 +62,12 @@
   }
 
   /** Takes note that an instance asks this one. */
-  noteAsked(name: string): void {
+  noteSubscriber(name: string): void {
     this.audience.set(name, this.options.clock.getTime());
   }
 
   /** Takes a placement of this or another instance. */
-  add(sender: string, entry: PlacedEntry): void {
+  add(sender: string, entry: PlacementEntry): void {
     if (this.audience.size === 0) {
       this.first += 1;
       return;
@@ -77,7 +77,7 @@
   }
 
   /** Takes what an instance tells of parts that endpoints have read. */
-  addRead(report: ReadReport): void {
+  addReadParts(report: PrefixReport): void {
     if (this.audience.size === 0) return;
     for (const [endpoint, parts] of Object.entries(report)) {
       const room = Math.max(0, mostParts - this.partCount);
@@ -111,10 +111,10 @@
   receiver: string,
   first: number,
   queue: readonly Queued[],
-  read: ReadReport,
-): RelayedMessage {
+  read: PrefixReport,
+): PlacementRelayMessage {
   // The latest are told: an older one is nearer to the next view.
   const told = queue.slice(-mostEntries);
   const entries = told.map(({ sender, entry }) => (sender === receiver ? none : entry));
-  return { kind: MemberMessageKind.Relayed, first: first + queue.length - told.length, entries, read };
+  return { kind: MemberMessageKind.PlacementRelay, first: first + queue.length - told.length, entries, read };
 }
