--- a/packages/gateway/src/readingRates.ts
+++ b/packages/gateway/src/prefillRates.ts
@@ -6,17 +6,17 @@
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
-import { estimateReadingRate, getMedian, type ReadingObservation } from "@gladewall/policy";
+import { estimatePrefillRate, getMedian, type PrefillObservation } from "@gladewall/policy";
 
 /** Learned rates by service, tokens a millisecond. */
 export type RateReport = Readonly<Record<string, number>>;
 
 /** Options of the rates. */
-export interface ReadingRatesOptions {
+export interface PrefillRatesOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   /** Rate that is assumed until one has been learned, tokens a millisecond. */
-  readonly startRate: number;
+  readonly initialRate: number;
 }
 
 /** Observations kept of a service: 64 make 2,016 pairs, some 0.3 ms of sorting. */
@@ -31,7 +31,7 @@
 const loggedChange = 0.1;
 
 interface Learned {
-  readonly observations: ReadingObservation[];
+  readonly observations: PrefillObservation[];
   sinceEstimate: number;
   rate: number | undefined;
   loggedRate: number;
@@ -43,22 +43,22 @@
 }
 
 /** Learns and merges rates. */
-export class ReadingRates {
+export class PrefillRates {
   private readonly learned = new Map<string, Learned>();
   private readonly peers = new Map<string, PeerRates>();
   /** Rates in use by service; undefined where none has been learned. */
   private readonly merged = new Map<string, number | undefined>();
   private mergedAt = -Infinity;
 
-  private constructor(private readonly options: ReadingRatesOptions) {}
+  private constructor(private readonly options: PrefillRatesOptions) {}
 
-  static create(options: ReadingRatesOptions): ReadingRates {
-    return new ReadingRates(options);
+  static create(options: PrefillRatesOptions): PrefillRates {
+    return new PrefillRates(options);
   }
 
   /** Rate of a service's engines, tokens a millisecond. */
   get(service: string): number {
-    return this.find(service) ?? this.options.startRate;
+    return this.find(service) ?? this.options.initialRate;
   }
 
   /** Whether this instance or a peer has learned the rate of a service's engines. */
@@ -67,14 +67,14 @@
   }
 
   /** Takes note of a first event whose prompt had the engine's reading to itself, as far as this instance knows. */
-  note(service: string, observation: ReadingObservation): void {
+  note(service: string, observation: PrefillObservation): void {
     const learned = this.learned.get(service) ?? this.add(service);
     learned.observations.push(observation);
     if (learned.observations.length > keptObservations) learned.observations.shift();
     learned.sinceEstimate += 1;
     if (learned.sinceEstimate < estimateEvery) return;
     learned.sinceEstimate = 0;
-    learned.rate = estimateReadingRate(learned.observations) ?? learned.rate;
+    learned.rate = estimatePrefillRate(learned.observations) ?? learned.rate;
     this.merged.clear();
     this.logChange(service, learned);
   }
@@ -100,7 +100,7 @@
   }
 
   /** Takes what a peer has learned. */
-  takePeer(peer: string, rates: RateReport): void {
+  mergePeer(peer: string, rates: RateReport): void {
     // The first word of a peer counts at once; later ones change little.
     if (!this.peers.has(peer)) this.merged.clear();
     this.peers.set(peer, { rates, heardAt: this.options.clock.getTime() });
@@ -129,7 +129,7 @@
   }
 
   private add(service: string): Learned {
-    const { startRate } = this.options;
+    const { initialRate: startRate } = this.options;
     const learned: Learned = {
       observations: [],
       sinceEstimate: 0,
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import { type Clock, type Closeable, Failure, FailureCode, type Logger, waitFor } from "@gladewall/kernel";
-import { type StorePosition, untoldEra } from "./storeEras.js";
+import { type StorePosition, initialEra } from "./storeEras.js";
 import type { MetadataStore, StoreEvent, StoreItem } from "./types.js";
 
 /** Why an item is no longer there. */
@@ -82,10 +82,10 @@
    * For how long nothing had been heard, of whoever tells, when the last word came; milliseconds. What that word brought
    * may have been acknowledged so long before.
    */
-  unheardMs = Infinity;
+  silenceMs = Infinity;
   private heardAt = -Infinity;
   /** Era of all revisions that are kept here. */
-  private era = untoldEra;
+  private era = initialEra;
   /** Revision up to which everything is known. */
   private revision = 0;
   private readonly items = new Map<string, StoreItem>();
@@ -151,8 +151,8 @@
    * Takes what another follower handed on, whom the store last failed so many milliseconds ago. Of another era than the
    * present one it is passed over, and so are changes of an era of which no listing is known here.
    */
-  takeChanges(changes: PrefixChanges, troubleAgeMs: number): void {
-    const { era = untoldEra, revision, items, removed, isListing } = changes;
+  applyChanges(changes: PrefixChanges, troubleAgeMs: number): void {
+    const { era = initialEra, revision, items, removed, isListing } = changes;
     const isOwnEra = era === this.era;
     if (era !== this.options.store.eras.current || (!isListing && !isOwnEra)) return;
     if (isListing && isOwnEra && revision < this.revision) return;
@@ -239,7 +239,7 @@
 
   private noteHeard(): void {
     const time = this.options.clock.getTime();
-    this.unheardMs = time - this.heardAt;
+    this.silenceMs = time - this.heardAt;
     this.heardAt = time;
   }
 
--- a/packages/gateway/src/prefixMemory.ts
+++ b/packages/gateway/src/prefixIndex.ts
@@ -15,10 +15,10 @@
 const keptEnded = 256;
 
 /** Parts of prompts that an instance's requests made endpoints read, by endpoint. */
-export type ReadReport = Readonly<Record<string, readonly string[]>>;
+export type PrefixReport = Readonly<Record<string, readonly string[]>>;
 
 /** Remembers parts by endpoint. */
-export class PrefixMemory {
+export class PrefixIndex {
   /** Lives of endpoints by part, the part used last at the end. */
   private readonly holders = new Map<string, Set<string>>();
   /** What peers have not been told yet. */
@@ -29,8 +29,8 @@
 
   private constructor() {}
 
-  static create(): PrefixMemory {
-    return new PrefixMemory();
+  static create(): PrefixIndex {
+    return new PrefixIndex();
   }
 
   /** Whether an endpoint was sent a part. */
@@ -39,7 +39,7 @@
   }
 
   /** Takes note that a request of this instance made an endpoint read its prompt. */
-  note(parts: readonly PromptPart[], endpoint: string): void {
+  noteSent(parts: readonly PromptPart[], endpoint: string): void {
     // The last part is the request's own: no other will bring it, but for its session's next one, which comes here.
     for (const { id, tokens } of parts.slice(0, -1)) {
       if (tokens < leastToldTokens || this.holds(id, endpoint) || this.untoldCount >= mostTold) continue;
@@ -53,7 +53,7 @@
   }
 
   /** Returns what peers have not been told yet; they count as told from then on. */
-  takeUntold(): ReadReport {
+  takeUnreported(): PrefixReport {
     const { untold } = this;
     this.untold = {};
     this.untoldCount = 0;
@@ -61,7 +61,7 @@
   }
 
   /** Takes what a peer tells. */
-  takePeer(report: ReadReport): void {
+  mergePeer(report: PrefixReport): void {
     for (const [endpoint, parts] of Object.entries(report)) this.add(parts, endpoint);
   }
 
--- a/packages/gateway/src/vouching.ts
+++ b/packages/gateway/src/proofRequests.ts
@@ -4,7 +4,11 @@
  * @module
  */
 import type { PeerLinks, PeerMessage } from "@gladewall/coordination";
-import type { ConfigurationFollower, HeldConfiguration, Vouch } from "./configurationFollower.js";
+import type {
+  ConfigurationFollower,
+  HeldConfiguration,
+  ConfigurationProof,
+} from "./configurationFollower.js";
 
 /** Numbers of the messages; after those of members. */
 enum VouchMessageKind {
@@ -19,20 +23,20 @@
 const askTimeoutMs = 400;
 
 /** Asks and answers. */
-export class Vouching {
+export class ProofRequests {
   private constructor(
     private readonly links: PeerLinks,
     private readonly getRandom: () => number,
   ) {}
 
   /** Answers peers from now on with what the follower knows. */
-  static create(links: PeerLinks, follower: ConfigurationFollower, getRandom: () => number): Vouching {
-    links.setHandler(VouchMessageKind.Ask, (message) => follower.vouch(message as AskMessage));
-    return new Vouching(links, getRandom);
+  static create(links: PeerLinks, follower: ConfigurationFollower, getRandom: () => number): ProofRequests {
+    links.setHandler(VouchMessageKind.Ask, (message) => follower.createProof(message as AskMessage));
+    return new ProofRequests(links, getRandom);
   }
 
   /** Asks some linked peers; returns the words of those that have a proof. */
-  async ask(held: HeldConfiguration): Promise<readonly Vouch[]> {
+  async ask(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
     const message: AskMessage = { kind: VouchMessageKind.Ask, ...held };
     const answers = await Promise.all(
       this.choosePeers().map((name) => this.links.call(name, message, askTimeoutMs)),
@@ -47,8 +51,8 @@
   }
 }
 
-function isVouch(value: unknown): value is Vouch {
+function isVouch(value: unknown): value is ConfigurationProof {
   if (typeof value !== "object" || value === null) return false;
-  const { proofAgeMs, revision } = value as Partial<Vouch>;
+  const { proofAgeMs, revision } = value as Partial<ConfigurationProof>;
   return Number.isFinite(proofAgeMs) && proofAgeMs! >= 0 && Number.isInteger(revision);
 }
--- a/packages/gateway/src/quotaAllowances.ts
+++ b/packages/gateway/src/quotaAllowances.ts
@@ -26,12 +26,12 @@
 
 /** Units that each source of error may add to a workspace's limit, over the whole fleet. */
 export interface QuotaAllowances {
-  readonly given: number;
+  readonly extraBurst: number;
   /** Of one restart of the whole fleet. */
   readonly restart: number;
-  readonly repeats: number;
-  readonly untold: number;
-  readonly late: number;
+  readonly retries: number;
+  readonly unreported: number;
+  readonly arbiterOverlap: number;
 }
 
 /** Restarts of the whole fleet in one window that the allowances are dealt out for. */
@@ -56,10 +56,10 @@
 ): QuotaAllowances {
   const borne = overshoot * ((ratePerSecond * windowMs) / millisecondsPerSecond + burst);
   return {
-    given: slack * givenShare,
+    extraBurst: slack * givenShare,
     restart: slack * restartShare + borne * restartLimitShare,
-    repeats: slack * repeatShare,
-    untold: borne * untoldShare,
-    late: borne * lateShare,
+    retries: slack * repeatShare,
+    unreported: borne * untoldShare,
+    arbiterOverlap: borne * lateShare,
   };
 }
--- a/packages/gateway/src/quotaCharges.ts
+++ b/packages/gateway/src/quotaCharges.ts
@@ -8,7 +8,7 @@
 import type { Admission, QuotaState } from "./admission.js";
 import type { Arbiters } from "./arbiters.js";
 import { type GatewayMetrics, QuotaEvent } from "./gatewayMetrics.js";
-import { createQuotaQuestion, QuotaUse, QuotaWord } from "./memberMessages.js";
+import { createQuotaCall, QuotaUse, GrantDecision } from "./memberMessages.js";
 import { CounterKind, type SharedCounters } from "./sharedCounters.js";
 import type { Workspace } from "./types.js";
 
@@ -73,8 +73,8 @@
    * Charges a request for one more run; fails with `QuotaSpent`. Uncharged, runs whose answers are lost would go beyond the
    * limit.
    */
-  takeRepeat(charge: RequestCharge, leftMs: number): Promise<Result<void, Failure>> {
-    return this.charge(charge, QuotaUse.Repeat, leftMs);
+  takeRetry(charge: RequestCharge, leftMs: number): Promise<Result<void, Failure>> {
+    return this.charge(charge, QuotaUse.Retry, leftMs);
   }
 
   /** Ends a charge: what ran stays taken, what was charged and did not run is given back. */
@@ -84,7 +84,7 @@
     if (charged <= runs) return;
     const unused = units * (charged - runs);
     metrics.countQuota(workspace.name, QuotaEvent.Returned, unused);
-    admission.returnQuota(workspace, unused, chargedAt);
+    admission.refundQuota(workspace, unused, chargedAt);
   }
 
   private async charge(charge: RequestCharge, use: QuotaUse, leftMs: number): Promise<Result<void, Failure>> {
@@ -104,10 +104,10 @@
     const { admission, arbiters } = this.options;
     const { workspace, units } = charge;
     if (workspace.ratePerSecond <= 0) return Ok(undefined);
-    if (arbiters.decidesHere(workspace.name)) return admission.takeQuota(workspace, units, use);
+    if (arbiters.isOwnSubject(workspace.name)) return admission.takeQuota(workspace, units, use);
     const refusal = admission.findRefusal(workspace, units, use);
     if (refusal) return Err(refusal);
-    if (admission.tryTakeUntold(workspace, units)) return Ok(undefined);
+    if (admission.tryTakeUnreported(workspace, units)) return Ok(undefined);
     return this.ask(charge, use, leftMs * waitedShare);
   }
 
@@ -122,21 +122,21 @@
     admission.addQuota(workspace, units);
     const total = counters.getOwnTotal(CounterKind.Quota, name);
     const uptime = Math.round(counters.getUptime());
-    const answer = await arbiters.ask(createQuotaQuestion({ workspace: name, total, uptime, use }), waitMs);
-    const word = answer.isOk() ? answer.value.word : QuotaWord.Unknown;
-    metrics.countQuotaAsk(QuotaWord[word]);
+    const answer = await arbiters.call(createQuotaCall({ workspace: name, total, uptime, use }), waitMs);
+    const word = answer.isOk() ? answer.value.word : GrantDecision.Unknown;
+    metrics.countQuotaCall(GrantDecision[word]);
     this.options.logger.debug("quota.asked", {
       request,
       workspace: name,
       units,
       total,
-      word: QuotaWord[word],
+      word: GrantDecision[word],
       level: answer.isOk() ? answer.value.level : undefined,
     });
-    const isGranted = word === QuotaWord.Granted;
+    const isGranted = word === GrantDecision.Granted;
     if (!isGranted) admission.addQuota(workspace, -units);
-    if (answer.isErr()) return admission.takeUnanswered(workspace, units);
-    counters.takeLevel(name, answer.value.level, total, isGranted);
+    if (answer.isErr()) return admission.takeWithoutArbiter(workspace, units);
+    counters.applyLevel(name, answer.value.level, total, isGranted);
     return isGranted ? Ok(undefined) : Err(admission.createRefusal(workspace, units, use));
   }
 
@@ -148,12 +148,20 @@
     if (isShown) return;
     const { admission, metrics } = this.options;
     const getState = (): QuotaState => admission.getQuotaState(this.shown.get(name) ?? workspace);
-    metrics.showQuota(name, { getLevel: () => getState().level, getRoom: () => getState().room });
+    metrics.registerQuotaGauges(name, {
+      getLevel: () => getState().level,
+      getCapacity: () => getState().capacity,
+    });
   }
 
   private logTaken({ request, workspace, units }: RequestCharge): void {
     if (workspace.ratePerSecond <= 0) return;
-    const { level, known, room, share } = this.options.admission.getQuotaState(workspace);
+    const {
+      level,
+      knownLevel: known,
+      capacity: room,
+      share,
+    } = this.options.admission.getQuotaState(workspace);
     if (level < room * loggedShare) return;
     const viewAge = this.options.getViewAge();
     this.options.logger.debug("quota.taken", {
--- a/packages/gateway/src/askedReader.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -6,7 +6,7 @@
 import { hashText } from "@gladewall/kernel";
 
 /** Which reader is asked, and when it last answered. */
-export class AskedReader {
+export class ReaderSelection {
   /** How often the reader that is asked was passed over for the next. */
   private turns = 0;
   private askedSince = 0;
@@ -18,8 +18,8 @@
   ) {}
 
   /** `patienceMs`: time without an answer after which a reader is passed over. */
-  static create(own: string, patienceMs: number): AskedReader {
-    return new AskedReader(own, patienceMs);
+  static create(own: string, patienceMs: number): ReaderSelection {
+    return new ReaderSelection(own, patienceMs);
   }
 
   /** Chooses the reader to be asked now; undefined where none is linked. */
@@ -28,7 +28,7 @@
     return linked[(hashText(this.own) + this.turns) % Math.max(1, linked.length)];
   }
 
-  noteAnswered(time: number): void {
+  recordAnswer(time: number): void {
     this.answeredAt = time;
   }
 
--- a/packages/gateway/src/readerViews.ts
+++ b/packages/gateway/src/readerViews.ts
@@ -23,7 +23,7 @@
 export interface FleetView {
   readonly work: EndpointWork;
   readonly knownShare: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** What this instance told in one report, and the boot time at which it did. */
@@ -53,18 +53,18 @@
   }
 
   /** Remembers what was told in a report. */
-  noteTold(sequence: number, totals: CounterTotals): void {
+  recordReport(sequence: number, totals: CounterTotals): void {
     this.told.set(sequence, { totals, at: this.options.clock.getBootTime() });
     this.told.delete(sequence - keptReports);
   }
 
   /** Boot time at which a report was told; undefined where it is no longer remembered. */
-  findToldAt(sequence: number): number | undefined {
+  findSentAt(sequence: number): number | undefined {
     return this.told.get(sequence)?.at;
   }
 
   /** Whether the next report should tell what was counted before the reader's life; asked once. */
-  takeHistoryWanted(): boolean {
+  takeHistoryRequest(): boolean {
     const isWanted = this.isHistoryWanted;
     this.isHistoryWanted = false;
     return isWanted;
@@ -72,28 +72,28 @@
 
   /** Milliseconds since the last view was heard; undefined before the first, and once it is given up. */
   get age(): number | undefined {
-    return this.view && this.options.clock.getTime() - this.view.heardAt;
+    return this.view && this.options.clock.getTime() - this.view.receivedAt;
   }
 
   /** Takes a view; returns whether it counts: not where its reader knows less than this instance. */
-  take({ sequence, counters, work, knownShare }: ViewMessage, peer: PeerIdentity): boolean {
+  applyView({ sequence, counters, work, knownShare }: ViewMessage, peer: PeerIdentity): boolean {
     const told = this.told.get(sequence);
     if (!told) return false;
     const { clock, logger, counters: own } = this.options;
-    if (!counters.isInformed && own.getUptime() > counters.uptime + youngerByMs && own.isInformed) {
+    if (!counters.isInformed && own.getUptime() > counters.uptime + youngerByMs && own.knowsHistory) {
       this.isHistoryWanted = true;
       logger.debug("view.passed-over", { peer: peer.name, uptimeMs: counters.uptime });
       return false;
     }
-    own.takeView(counters, told.totals);
-    this.view = { work, knownShare, heardAt: clock.getTime() };
+    own.applyView(counters, told.totals);
+    this.view = { work, knownShare, receivedAt: clock.getTime() };
     return true;
   }
 
   /** Takes another instance's counts as of one of this instance's reports; false where that is no longer remembered. */
-  takeCounts(sequence: number, counters: CounterView): boolean {
+  applyCounts(sequence: number, counters: CounterView): boolean {
     const told = this.told.get(sequence);
-    if (told) this.options.counters.takeView(counters, told.totals);
+    if (told) this.options.counters.applyView(counters, told.totals);
     return told !== undefined;
   }
 
@@ -101,7 +101,7 @@
   find(): FleetView | undefined {
     const { view } = this;
     if (!view) return undefined;
-    const age = this.options.clock.getTime() - view.heardAt;
+    const age = this.options.clock.getTime() - view.receivedAt;
     if (age <= viewLifetimeMs) return view;
     this.view = undefined;
     this.options.counters.scaleLevels(1 / this.options.getFleetSize());
--- a/packages/gateway/src/recentPlacements.ts
+++ b/packages/gateway/src/recentPlacements.ts
@@ -3,11 +3,11 @@
  * @module
  */
 import type { EndpointWork } from "./endpointWork.js";
-import type { PlacedEntry } from "./memberMessages.js";
+import type { PlacementEntry } from "./memberMessages.js";
 
 interface Numbered {
   readonly number: number;
-  readonly entry: PlacedEntry;
+  readonly entry: PlacementEntry;
 }
 
 /** An instance's part: what came after the view that it goes by. */
@@ -32,7 +32,7 @@
   }
 
   /** Takes what a reader hands on; returns whether anything is new beside the view. */
-  take(reader: string, first: number, entries: readonly PlacedEntry[]): boolean {
+  takeRelayed(reader: string, first: number, entries: readonly PlacementEntry[]): boolean {
     if (reader !== this.reader) return false;
     const numbered = entries.map((entry, index) => ({ number: first + index, entry }));
     const fresh = numbered.filter(({ number }) => number > this.viewedNumber);
--- a/packages/gateway/src/endedLives.ts
+++ b/packages/gateway/src/removedIncarnations.ts
@@ -10,14 +10,14 @@
 const keptLives = 2_048;
 
 /** Lives that have ended. */
-export class EndedLives {
+export class RemovedIncarnations {
   /** When a record went, by life; the latest at the end. */
   private readonly endedAt = new Map<string, number>();
 
   private constructor(private readonly clock: Clock) {}
 
-  static create(clock: Clock): EndedLives {
-    return new EndedLives(clock);
+  static create(clock: Clock): RemovedIncarnations {
+    return new RemovedIncarnations(clock);
   }
 
   has(life: string): boolean {
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -6,15 +6,15 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { Failure, FailureCode, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
-import type { Admitted } from "./admission.js";
-import { writeFailure } from "./answerWriter.js";
-import { Exchange, getTimeLimit } from "./exchange.js";
-import type { ExchangeEnd, ExchangeParts } from "./exchangeTypes.js";
+import type { AdmittedRequest } from "./admission.js";
+import { writeProblemResponse } from "./responseWriter.js";
+import { ActiveRequest, getTimeLimit } from "./activeRequest.js";
+import type { RequestOutcome, ActiveRequestParts } from "./activeRequestTypes.js";
 import { canServe, type GatewayParts } from "./gatewayParts.js";
 import type { RequestCharge } from "./quotaCharges.js";
 import { readRequestBody } from "./requestBody.js";
-import { drawTarget } from "./routeTable.js";
-import { type CallerHead, RouteKind, type Service } from "./types.js";
+import { pickWeightedTarget } from "./routeTable.js";
+import { type CallerRequestHead, RouteKind, type Service } from "./types.js";
 
 /** Options of a server. */
 export interface RequestServerOptions {
@@ -32,8 +32,8 @@
 
 /** Serves requests. */
 export class RequestServer {
-  private readonly exchangeParts: ExchangeParts;
-  private readonly exchanges = new Set<Exchange>();
+  private readonly exchangeParts: ActiveRequestParts;
+  private readonly exchanges = new Set<ActiveRequest>();
   private openCount = 0;
   private isStopped = false;
   private readonly startedAt: number;
@@ -81,7 +81,7 @@
   private async serve(
     message: IncomingMessage,
     response: ServerResponse,
-    head: CallerHead,
+    head: CallerRequestHead,
     arrivedAt: number,
   ): Promise<Failure | undefined> {
     if (this.isStopped) return createLeavingRefusal();
@@ -94,7 +94,7 @@
     if (body.isErr()) return body.error;
     // The body may have come late.
     if (this.isStopped) return createLeavingRefusal();
-    const service = table.findService(drawTarget(route.targets, Math.random()));
+    const service = table.findService(pickWeightedTarget(route.targets, Math.random()));
     if (!service) return Failure.create(FailureCode.NoEndpoint, { service: route.name }, leavingRetryMs);
     const charge = await this.charge(admitted.value, head, response, arrivedAt);
     if (charge.isErr()) return charge.error;
@@ -108,7 +108,7 @@
       arrivedAt,
       charge: charge.value,
     };
-    const exchange = Exchange.create(this.exchangeParts, request);
+    const exchange = ActiveRequest.create(this.exchangeParts, request);
     this.exchanges.add(exchange);
     const end = await exchange.run();
     this.exchanges.delete(exchange);
@@ -131,8 +131,8 @@
 
   /** Charges a request; fails with `QuotaSpent`, or where it can't be served any more when the answer comes. */
   private async charge(
-    { workspace, route }: Admitted,
-    head: CallerHead,
+    { workspace, route }: AdmittedRequest,
+    head: CallerRequestHead,
     response: ServerResponse,
     arrivedAt: number,
   ): Promise<Result<RequestCharge | undefined, Failure>> {
@@ -148,10 +148,10 @@
   }
 
   private finish(
-    { workspace, route }: Admitted,
-    head: CallerHead,
+    { workspace, route }: AdmittedRequest,
+    head: CallerRequestHead,
     service: Service,
-    { status, failure, placement, arrivals, runs, firstEventMs }: ExchangeEnd,
+    { status, failure, placement, arrivals, runs, firstEventMs }: RequestOutcome,
     arrivedAt: number,
   ): void {
     const fields = {
@@ -178,7 +178,7 @@
   }
 
   /** Whether a request could outlast the time that a leaving instance has. */
-  private isTooLateFor({ route }: Admitted): boolean {
+  private isTooLateFor({ route }: AdmittedRequest): boolean {
     const { parts, servedMs, getLeavingSince } = this.options;
     const leavingSince = getLeavingSince();
     if (leavingSince === undefined) return false;
@@ -205,10 +205,10 @@
     });
     this.options.parts.metrics.countRefusal(failure.name, failure.status);
     if (failure.code === FailureCode.CallerGone || response.headersSent) return;
-    const own = this.options.parts.platform.callers.createOwnHeaders(request);
+    const own = this.options.parts.platform.callers.createGatewayHeaders(request);
     // What is left of a body that was not read would be taken for the next request.
     const closes = this.options.getLeavingSince() !== undefined || failure.code === FailureCode.BodyTooLarge;
-    writeFailure(response, failure, own, closes);
+    writeProblemResponse(response, failure, own, closes);
     message.resume();
   }
 }
--- a/packages/gateway/src/answerHeaders.ts
+++ b/packages/gateway/src/responseHeaders.ts
@@ -2,18 +2,18 @@
  * Headers of answers on their way back to callers.
  * @module
  */
-import { connectionHeaders } from "@gladewall/kernel";
+import { hopByHopHeaders } from "@gladewall/kernel";
 
 /** Set anew with the body's length. */
 const lengthHeader = "content-length";
 
 /** Copies an endpoint's headers, without those of its connection. Both are name, value, name, value, … */
-export function copyAnswerHeaders(rawHeaders: readonly string[]): string[] {
+export function copyResponseHeaders(rawHeaders: readonly string[]): string[] {
   const headers: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? "";
     const lowerCase = name.toLowerCase();
-    if (connectionHeaders.has(lowerCase) || lowerCase === lengthHeader) continue;
+    if (hopByHopHeaders.has(lowerCase) || lowerCase === lengthHeader) continue;
     headers.push(name, rawHeaders[index + 1] ?? "");
   }
   return headers;
--- a/packages/gateway/src/answerWriter.ts
+++ b/packages/gateway/src/responseWriter.ts
@@ -4,10 +4,10 @@
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Failure } from "@gladewall/kernel";
-import { copyAnswerHeaders } from "./answerHeaders.js";
+import { copyResponseHeaders } from "./responseHeaders.js";
 
 /** Writes an endpoint's answer whose body has been read as a whole. */
-export function writeWholeAnswer(
+export function writeEndpointResponse(
   response: ServerResponse,
   method: string | undefined,
   answer: IncomingMessage,
@@ -19,7 +19,7 @@
     response.destroy();
     return;
   }
-  const headers = copyAnswerHeaders(answer.rawHeaders);
+  const headers = copyResponseHeaders(answer.rawHeaders);
   if (method === "HEAD") {
     const length = answer.headers["content-length"];
     if (length !== undefined) headers.push("Content-Length", length);
@@ -34,7 +34,7 @@
 const millisecondsPerSecond = 1_000;
 
 /** Writes an answer of our own: status, when to come back, and the failure as a problem document. */
-export function writeFailure(
+export function writeProblemResponse(
   response: ServerResponse,
   failure: Failure,
   ownHeaders: readonly string[],
--- a/packages/gateway/src/retryBudget.ts
+++ b/packages/gateway/src/retryBudget.ts
@@ -3,10 +3,10 @@
  * decided by one arbiter for each service.
  * @module
  */
-import { getLife, type PeerIdentity } from "@gladewall/coordination";
+import { getIncarnationKey, type PeerIdentity } from "@gladewall/coordination";
 import type { Arbiters } from "./arbiters.js";
-import { QuotaWord } from "./memberMessages.js";
-import { createRetryQuestion, type RetryAnswer, type RetryAsk } from "./retryLinks.js";
+import { GrantDecision } from "./memberMessages.js";
+import { createRetryCall, type RetryReply, type RetryCallArguments } from "./retryLinks.js";
 import { CounterKind, type SharedCounters } from "./sharedCounters.js";
 
 /** Options of the budget. */
@@ -19,9 +19,9 @@
   /** Returns the share of the fleet whose counts are known. */
   readonly getKnownShare: () => number;
   /** Who decides for the fleet; left out where there is one instance only. */
-  readonly arbiters?: Pick<Arbiters, "find" | "ask">;
+  readonly arbiters?: Pick<Arbiters, "find" | "call">;
   /** Whether an instance decides on repeats. */
-  readonly isAble?: (name: string) => boolean;
+  readonly supportsRetryCalls?: (name: string) => boolean;
   /** Name of this instance. */
   readonly own?: string;
   /** Returns the number of instances; one where it is left out. */
@@ -53,7 +53,7 @@
   /** Takes one repeat by what is known here; false where the budget is spent. */
   tryTake(service: string): boolean {
     if (!this.hasRoom(service, 1)) return false;
-    this.options.counters.add(CounterKind.Repeats, service, 1);
+    this.options.counters.add(CounterKind.Retries, service, 1);
     return true;
   }
 
@@ -62,41 +62,38 @@
    * would take the same room when endpoints end under many requests at once.
    */
   async take(service: string, leftMs: number): Promise<boolean> {
-    const { arbiters, isAble, own, counters } = this.options;
+    const { arbiters, supportsRetryCalls: isAble, own, counters } = this.options;
     const arbiter = arbiters?.find(service, isAble);
-    const isUntold = counters.getUntold(CounterKind.Repeats, service) + 1 <= this.getUntoldPart(service);
+    const isUntold = counters.getUnreported(CounterKind.Retries, service) + 1 <= this.getUntoldPart(service);
     if (!arbiters || arbiter === undefined || arbiter === own || isUntold) return this.tryTake(service);
     if (!this.hasRoom(service, 1)) return false;
-    counters.add(CounterKind.Repeats, service, 1);
-    const total = counters.getOwnTotal(CounterKind.Repeats, service);
-    const question = createRetryQuestion(
-      { service, total, uptime: Math.round(counters.getUptime()) },
-      isAble,
-    );
-    const answer = await arbiters.ask(question, Math.min(longestWaitMs, leftMs * waitedShare));
-    if (answer.isOk() && answer.value.word === QuotaWord.Granted) {
-      counters.confirm(CounterKind.Repeats, service, total);
+    counters.add(CounterKind.Retries, service, 1);
+    const total = counters.getOwnTotal(CounterKind.Retries, service);
+    const question = createRetryCall({ service, total, uptime: Math.round(counters.getUptime()) }, isAble);
+    const answer = await arbiters.call(question, Math.min(longestWaitMs, leftMs * waitedShare));
+    if (answer.isOk() && answer.value.word === GrantDecision.Granted) {
+      counters.confirm(CounterKind.Retries, service, total);
       return true;
     }
     // Without a clear answer others may have taken the rest: only while little of the budget is taken it is enough.
     if (answer.isErr() && this.hasRoom(service, 0, unansweredShare)) return true;
-    counters.add(CounterKind.Repeats, service, -1);
+    counters.add(CounterKind.Retries, service, -1);
     return false;
   }
 
   /** Decides as the arbiter of a service on what a peer has taken in all. */
-  answerAsk(peer: PeerIdentity, { service, total, uptime }: RetryAsk): RetryAnswer {
-    const early = { peer: peer.name, life: getLife(peer), uptime, name: service, total };
+  decideForPeer(peer: PeerIdentity, { service, total, uptime }: RetryCallArguments): RetryReply {
+    const early = { peer: peer.name, life: getIncarnationKey(peer), uptime, name: service, total };
     const { counters } = this.options;
     return {
-      word: counters.takeTotal(CounterKind.Repeats, early, (amount) => this.hasRoom(service, amount)),
+      word: counters.applyTotal(CounterKind.Retries, early, (amount) => this.hasRoom(service, amount)),
     };
   }
 
   private hasRoom(service: string, amount: number, share = usedShare): boolean {
     const { counters, getKnownShare } = this.options;
     const allowed = this.getBorne(service) * share * getKnownShare();
-    return counters.getSum(CounterKind.Repeats, service) + amount <= allowed;
+    return counters.getSum(CounterKind.Retries, service) + amount <= allowed;
   }
 
   /** Repeats that this instance may have taken without anybody having been told. */
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -3,15 +3,15 @@
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
-import type { ArbiterQuestion } from "./arbiters.js";
-import type { WordFleet } from "./fleetWords.js";
-import { QuotaWord } from "./memberMessages.js";
+import type { ArbiterCall } from "./arbiters.js";
+import type { FleetTopology } from "./fleetBroadcast.js";
+import { GrantDecision } from "./memberMessages.js";
 
 /** Number of the message; after those of limits that endpoints name. */
-export const retryAskKind = 47;
+export const retryCallKind = 47;
 
 /** What an instance has taken of a service's repeats. */
-export interface RetryAsk {
+export interface RetryCallArguments {
   readonly service: string;
   /** Repeats that this life of the sender has taken, with the one it asks for. */
   readonly total: number;
@@ -20,42 +20,45 @@
 }
 
 /** Answer to a question. */
-export interface RetryAnswer {
-  readonly word: QuotaWord;
+export interface RetryReply {
+  readonly word: GrantDecision;
 }
 
-type AskMessage = PeerMessage & RetryAsk;
+type AskMessage = PeerMessage & RetryCallArguments;
 
 /** Answers questions about repeats. */
 export class RetryLinks {
   private constructor(
-    private readonly fleet: WordFleet,
-    private readonly decide: (peer: PeerIdentity, ask: RetryAsk) => RetryAnswer,
+    private readonly fleet: FleetTopology,
+    private readonly decide: (peer: PeerIdentity, ask: RetryCallArguments) => RetryReply,
   ) {
-    fleet.links.setHandler(retryAskKind, (message, peer) => this.answer(message as AskMessage, peer));
+    fleet.links.setHandler(retryCallKind, (message, peer) => this.answer(message as AskMessage, peer));
   }
 
-  static create(fleet: WordFleet, decide: (peer: PeerIdentity, ask: RetryAsk) => RetryAnswer): RetryLinks {
+  static create(
+    fleet: FleetTopology,
+    decide: (peer: PeerIdentity, ask: RetryCallArguments) => RetryReply,
+  ): RetryLinks {
     return new RetryLinks(fleet, decide);
   }
 
   /** One that does not hear the whole fleet knows too little to decide. */
-  private answer({ service, total, uptime }: AskMessage, peer: PeerIdentity): RetryAnswer {
+  private answer({ service, total, uptime }: AskMessage, peer: PeerIdentity): RetryReply {
     const isGood = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
-    if (!this.fleet.isCollector || !isGood) return { word: QuotaWord.Unknown };
+    if (!this.fleet.isCollector || !isGood) return { word: GrantDecision.Unknown };
     return this.decide(peer, { service, total, uptime });
   }
 }
 
 /** Puts a question so that the arbiter of the service's repeats can be asked. */
-export function createRetryQuestion(
-  ask: RetryAsk,
+export function createRetryCall(
+  ask: RetryCallArguments,
   isAble: ((name: string) => boolean) | undefined,
-): ArbiterQuestion<RetryAnswer> {
+): ArbiterCall<RetryReply> {
   return {
     subject: ask.service,
-    message: { kind: retryAskKind, ...ask },
-    isUnclear: ({ word }) => word === QuotaWord.Unknown,
-    ...(isAble && { isAble }),
+    message: { kind: retryCallKind, ...ask },
+    isUndecided: ({ word }) => word === GrantDecision.Unknown,
+    ...(isAble && { supportsCall: isAble }),
   };
 }
--- a/packages/gateway/src/routeTable.ts
+++ b/packages/gateway/src/routeTable.ts
@@ -44,11 +44,11 @@
     return undefined;
   }
 
-  findWorkspace(key: string): Workspace | undefined {
+  findWorkspaceByKey(key: string): Workspace | undefined {
     return this.workspacesByKey.get(key);
   }
 
-  findWorkspaceNamed(name: string): Workspace | undefined {
+  findWorkspaceByName(name: string): Workspace | undefined {
     return this.workspacesByName.get(name);
   }
 
@@ -64,7 +64,7 @@
 }
 
 /** Draws a target by weight; `random` lies from 0 to 1. */
-export function drawTarget(targets: readonly RouteTarget[], random: number): string {
+export function pickWeightedTarget(targets: readonly RouteTarget[], random: number): string {
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
   let left = random * total;
   for (const target of targets) {
--- a/packages/gateway/src/sharedCounters.ts
+++ b/packages/gateway/src/sharedCounters.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
-import { QuotaWord } from "./memberMessages.js";
+import { GrantDecision } from "./memberMessages.js";
 import { LeakyBucket } from "./leakyBucket.js";
 import { SlidingWindow } from "./slidingWindow.js";
 
@@ -15,9 +15,9 @@
   /** Requests by service. */
   Requests = 2,
   /** Arrivals at endpoints past the first of each request, by service. */
-  Repeats = 3,
+  Retries = 3,
   /** Prompt tokens by service. */
-  Work = 4,
+  PromptTokens = 4,
 }
 
 /** Running totals of one life of an instance, by `kind:name`. */
@@ -95,7 +95,7 @@
   /** Whether the last view said what it includes of each peer. */
   private hasIncluded = false;
   /** Whether the sums from before this life were taken over from a peer. */
-  private hasAdopted = false;
+  private hasHistory = false;
 
   private constructor(private readonly options: SharedCountersOptions) {
     this.startedAt = options.clock.getTime();
@@ -118,7 +118,7 @@
    * Takes back units of a limit that were added at a time. What has lapsed since can't be given back: of 100 units taken,
    * lapsed and taken again, the first 100 given back let 100 more run.
    */
-  giveBack(name: string, amount: number, addedAt: number): void {
+  refund(name: string, amount: number, addedAt: number): void {
     const lowest = this.getBucket(createKey(CounterKind.Quota, name)).getLowestSince(
       this.options.clock.getTime(),
       addedAt,
@@ -132,7 +132,7 @@
   }
 
   /** What was counted here and nobody else is known to have counted. */
-  getUntold(kind: CounterKind, name: string): number {
+  getUnreported(kind: CounterKind, name: string): number {
     return Math.max(0, this.getOwnTotal(kind, name) - (this.confirmed[createKey(kind, name)] ?? 0));
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Takes the level of a limit as another instance counts it, which includes this life's total up to `told`. */
-  takeLevel(name: string, level: number, told: number, isCounted: boolean): void {
+  applyLevel(name: string, level: number, told: number, isCounted: boolean): void {
     const key = createKey(CounterKind.Quota, name);
     if (isCounted) this.confirm(CounterKind.Quota, name, told);
     const since = Math.max(0, this.getOwnTotal(CounterKind.Quota, name) - told);
@@ -151,24 +151,24 @@
   }
 
   /** Counts a peer's new total, where `mayTake` allows what it adds. */
-  takeTotal(
-    kind: CounterKind.Quota | CounterKind.Repeats,
+  applyTotal(
+    kind: CounterKind.Quota | CounterKind.Retries,
     { peer, life, uptime, name, total }: EarlyTotal,
     mayTake: (amount: number) => boolean,
-  ): QuotaWord {
+  ): GrantDecision {
     const time = this.options.clock.getTime();
     const known = this.peers.get(peer);
     const isSameLife = known?.life === life;
-    if (!isSameLife && uptime >= this.longestWindow) return QuotaWord.Unknown;
+    if (!isSameLife && uptime >= this.longestWindow) return GrantDecision.Unknown;
     const key = createKey(kind, name);
     const before: CounterTotals = isSameLife ? known.totals : {};
     const amount = total - (before[key] ?? 0);
-    if (amount <= 0) return QuotaWord.Granted;
-    if (!mayTake(amount)) return QuotaWord.Refused;
+    if (amount <= 0) return GrantDecision.Granted;
+    if (!mayTake(amount)) return GrantDecision.Refused;
     this.addToTotal(kind, key, time, amount);
     const heardAt = isSameLife ? known.heardAt : time;
     this.peers.set(peer, { life, totals: { ...before, [key]: total }, heardAt });
-    return QuotaWord.Granted;
+    return GrantDecision.Granted;
   }
 
   /** Returns the fleet's sum over the window that ends now; of limits, the level of their bucket. */
@@ -203,17 +203,17 @@
   }
 
   /** Peers that have reported to this instance. */
-  get heardPeers(): number {
+  get reportingPeers(): number {
     return this.peers.size;
   }
 
   /** Whether what was counted before this life is known. */
-  get isInformed(): boolean {
-    return this.hasAdopted || this.getUptime() > this.longestWindow;
+  get knowsHistory(): boolean {
+    return this.hasHistory || this.getUptime() > this.longestWindow;
   }
 
   /** Sets a sum to what it may have been before this life; for what a new life cannot know. */
-  seed(kind: CounterKind, name: string, amount: number): void {
+  assumePriorUse(kind: CounterKind, name: string, amount: number): void {
     this.getTotal(kind, createKey(kind, name)).set(this.options.clock.getTime(), amount);
   }
 
@@ -237,7 +237,7 @@
     const inflows: Record<string, number> = {};
     for (const [key, inflow] of this.inflows) inflows[key] = Math.max(0, Math.round(inflow.getSum(time)));
     const uptime = Math.round(this.getUptime());
-    const view = { uptime, isInformed: this.isInformed, sums: this.getSums(), inflows };
+    const view = { uptime, isInformed: this.knowsHistory, sums: this.getSums(), inflows };
     return hasIncluded ? { ...view, included: this.getIncluded() } : view;
   }
 
@@ -245,9 +245,9 @@
    * Takes a view in place of what was known; `told` are this life's totals that the view includes. A view by a life
    * that cannot know what was counted before it only raises what is known.
    */
-  takeView({ sums, inflows, isInformed, included }: CounterView, told: CounterTotals): void {
+  applyView({ sums, inflows, isInformed, included }: CounterView, told: CounterTotals): void {
     const time = this.options.clock.getTime();
-    this.hasAdopted ||= isInformed;
+    this.hasHistory ||= isInformed;
     this.viewedAt = time;
     this.viewedInflows = inflows;
     this.setIncluded(included);
@@ -306,9 +306,9 @@
   }
 
   /** Takes what a peer tells of one of its lives. */
-  takeReport(peer: string, life: string, { uptime, totals, sums }: CounterReport): void {
+  applyReport(peer: string, life: string, { uptime, totals, sums }: CounterReport): void {
     const time = this.options.clock.getTime();
-    this.adopt(uptime, sums);
+    this.adoptHistory(uptime, sums);
     const known = this.peers.get(peer);
     const isSameLife = known?.life === life;
     // Of a life that is longer than every window, the adopted sums hold what counts; only what it adds is new. The
@@ -323,10 +323,10 @@
   }
 
   /** Takes over what was counted before this life from the first peer that has seen a whole window. */
-  private adopt(uptime: number, sums: CounterTotals): void {
-    if (this.isInformed || uptime < this.longestWindow) return;
+  private adoptHistory(uptime: number, sums: CounterTotals): void {
+    if (this.knowsHistory || uptime < this.longestWindow) return;
     if (Object.keys(sums).length === 0) return;
-    this.hasAdopted = true;
+    this.hasHistory = true;
     const time = this.options.clock.getTime();
     this.sums.clear();
     for (const [key, sum] of Object.entries(sums)) {
--- a/packages/gateway/src/silentPeers.ts
+++ b/packages/gateway/src/silentPeers.ts
@@ -27,20 +27,20 @@
     return new SilentPeers(revokeWithinMs + servingMarginMs);
   }
 
-  noteHeard(name: string, time: number): void {
+  recordReport(name: string, time: number): void {
     this.heardAt.set(name, time);
     this.servingUntil.delete(name);
   }
 
   /** Takes note that the link to a peer is gone. One that was heard until then has ended, and serves nothing. */
-  noteDown(name: string, time: number): void {
+  recordDisconnect(name: string, time: number): void {
     const heardAt = this.heardAt.get(name);
     if (heardAt === undefined || time - heardAt <= reportLifetimeMs) return;
     this.servingUntil.set(name, heardAt + this.servingMs);
   }
 
   /** Whether a peer may be serving unheard. One that never reported has served nothing that could have been missed. */
-  isSilent(name: string, time: number, isLinked: boolean): boolean {
+  mayBeServing(name: string, time: number, isLinked: boolean): boolean {
     if ((this.servingUntil.get(name) ?? -Infinity) > time) return true;
     const heardAt = this.heardAt.get(name);
     return heardAt !== undefined && isLinked && time - heardAt > reportLifetimeMs;
--- a/packages/gateway/src/storeEras.ts
+++ b/packages/gateway/src/storeEras.ts
@@ -18,19 +18,19 @@
 }
 
 /** Era of a store that has told none and was not seen to go back. */
-export const untoldEra = 0;
+export const initialEra = 0;
 /** Each return that only revisions show counts so much: told eras are whole numbers, and above all of these. */
 const untoldStep = 1 / 1_024;
 
 const leastTold = 1;
 
 /** Whether an era is one that the store told; others are counted from revisions that fell. */
-export function isTold(era: number): boolean {
+export function isReportedEra(era: number): boolean {
   return era >= leastTold;
 }
 
 /** What an answer tells of its era. */
-export interface EraWord {
+export interface ReportedEra {
   /** Undefined where it tells none that can be read. */
   readonly era: number | undefined;
   /** Text of a word that could not be read. */
@@ -54,7 +54,7 @@
 }
 
 /** The beginning of an era, as seen here. */
-export interface EraRise {
+export interface EraChange {
   readonly from: number;
   readonly to: number;
   readonly source: EraSource;
@@ -63,17 +63,17 @@
 }
 
 /** Whether the store came back from a copy, and did not only tell its era to this instance for the first time. */
-export function isReturn({ from, revisionBefore }: Pick<EraRise, "from" | "revisionBefore">): boolean {
-  return from !== untoldEra || revisionBefore > 0;
+export function isRestore({ from, revisionBefore }: Pick<EraChange, "from" | "revisionBefore">): boolean {
+  return from !== initialEra || revisionBefore > 0;
 }
 
 /** Whether a call that was sent in one era was answered in another one. */
-export function hasCrossed(start: CallStart, { era }: StorePosition): boolean {
-  return start.era !== era && isReturn({ from: start.era, revisionBefore: start.revision });
+export function isAnsweredAfterRestore(start: CallStart, { era }: StorePosition): boolean {
+  return start.era !== era && isRestore({ from: start.era, revisionBefore: start.revision });
 }
 
 /** Why an answer is passed over. */
-export enum PassedOver {
+export enum DiscardCause {
   /** It is of an era that was over when it came. */
   Late = 1,
   /** It was asked for in an era that was known, and is of one before. */
@@ -83,8 +83,8 @@
 }
 
 /** An answer that is passed over. */
-export interface PassedAnswer {
-  readonly cause: PassedOver;
+export interface DiscardedResponse {
+  readonly cause: DiscardCause;
   /** Era of the answer, where it has one. */
   readonly era: number | undefined;
   readonly unreadable?: string | undefined;
@@ -92,12 +92,12 @@
 
 /** The era that the store is in, as this instance knows. */
 export class StoreEras {
-  private known = untoldEra;
+  private known = initialEra;
   private isTold = false;
   /** Highest revision that an answer of this era showed. */
   private revision = 0;
-  private readonly riseListeners: ((rise: EraRise) => void)[] = [];
-  private readonly passedListeners: ((answer: PassedAnswer) => void)[] = [];
+  private readonly riseListeners: ((rise: EraChange) => void)[] = [];
+  private readonly passedListeners: ((answer: DiscardedResponse) => void)[] = [];
 
   private constructor() {}
 
@@ -111,12 +111,12 @@
   }
 
   /** Calls back when a new era is known, before anything of it is passed on; the first that is told is one, too. */
-  onRise(listener: (rise: EraRise) => void): void {
+  onEraChange(listener: (rise: EraChange) => void): void {
     this.riseListeners.push(listener);
   }
 
   /** Calls back with each answer that is passed over. */
-  onPassedOver(listener: (answer: PassedAnswer) => void): void {
+  onDiscarded(listener: (answer: DiscardedResponse) => void): void {
     this.passedListeners.push(listener);
   }
 
@@ -126,18 +126,18 @@
   }
 
   /** Takes what the head of an answer tells, a refusal's too; returns the answer's era, undefined where it counts for nothing. */
-  takeWord(start: CallStart, { era, unreadable }: EraWord): number | undefined {
+  acceptEra(start: CallStart, { era, unreadable }: ReportedEra): number | undefined {
     if (era === undefined) {
       if (!this.isTold) return start.era;
-      this.passOver({ cause: PassedOver.Untold, era, unreadable });
+      this.passOver({ cause: DiscardCause.Untold, era, unreadable });
       return undefined;
     }
     // A first told era takes the place of what was counted here, whichever number is higher.
-    const isFirst = !this.isTold && !isTold(this.known);
+    const isFirst = !this.isTold && !isReportedEra(this.known);
     this.isTold = true;
     if (isFirst || era > this.known) this.rise(era, EraSource.Answer);
     if (era === this.known) return era;
-    this.passOver({ cause: start.era > era ? PassedOver.Fallen : PassedOver.Late, era });
+    this.passOver({ cause: start.era > era ? DiscardCause.Fallen : DiscardCause.Late, era });
     return undefined;
   }
 
@@ -145,9 +145,9 @@
    * Takes the revision that a whole answer shows, where it shows one; returns the answer's position, undefined where its
    * era is over.
    */
-  place(start: CallStart, era: number, revision = this.revision): StorePosition | undefined {
+  acceptRevision(start: CallStart, era: number, revision = this.revision): StorePosition | undefined {
     if (era !== this.known) {
-      this.passOver({ cause: PassedOver.Late, era });
+      this.passOver({ cause: DiscardCause.Late, era });
       return undefined;
     }
     if (!this.isTold && revision < start.revision) this.rise(this.known + untoldStep, EraSource.Revision);
@@ -156,7 +156,7 @@
   }
 
   /** Takes an era that another instance knows of: what is known of an earlier one is not gone on with. */
-  takePeer(era: number): void {
+  advanceTo(era: number): void {
     if (Number.isFinite(era) && era > this.known) this.rise(era, EraSource.Peer);
   }
 
@@ -168,7 +168,7 @@
     for (const listener of this.riseListeners) listener(rise);
   }
 
-  private passOver(answer: PassedAnswer): void {
+  private passOver(answer: DiscardedResponse): void {
     for (const listener of this.passedListeners) listener(answer);
   }
 }
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
-import { AskedReader } from "./askedReader.js";
+import { ReaderSelection } from "./readerSelection.js";
 import { type ConfigurationFollower, StoreRole } from "./configurationFollower.js";
-import type { FeedTimes } from "./feedTimes.js";
-import { type FeedMessage, type FeedState, FleetFeed } from "./fleetFeed.js";
+import type { FeedTimings } from "./feedTimings.js";
+import { type FeedMessage, type FeedState, FeedReplication } from "./feedReplication.js";
 import type { PrefixFollower } from "./prefixFollower.js";
 import type { StoreEras } from "./storeEras.js";
 
@@ -17,7 +17,7 @@
   readonly logger: Logger;
   /** Name of this instance. */
   readonly own: string;
-  readonly times: FeedTimes;
+  readonly timings: FeedTimings;
   readonly eras: StoreEras;
   readonly configuration: ConfigurationFollower;
   /** Followers of what is handed on, by prefix. */
@@ -26,15 +26,15 @@
 
 /** What the store holds, as readers tell it and are told. */
 export class StoreFeed {
-  private readonly feed: FleetFeed;
-  private readonly asked: AskedReader;
+  private readonly feed: FeedReplication;
+  private readonly asked: ReaderSelection;
   /** When a reader that the store serves last answered. */
-  private fedAt = -Infinity;
+  private lastFedAt = -Infinity;
 
   private constructor(private readonly options: StoreFeedOptions) {
-    const { own, times, configuration, followers } = options;
-    this.feed = FleetFeed.create(options.eras, configuration, followers, times.longestStoreAgeMs);
-    this.asked = AskedReader.create(own, times.patienceMs);
+    const { own, timings: times, configuration, followers } = options;
+    this.feed = FeedReplication.create(options.eras, configuration, followers, times.maxStoreAgeMs);
+    this.asked = ReaderSelection.create(own, times.patienceMs);
   }
 
   static create(options: StoreFeedOptions): StoreFeed {
@@ -42,8 +42,8 @@
   }
 
   /** Whether a reader told this instance a moment ago what the store holds. */
-  get isFed(): boolean {
-    return this.options.clock.getTime() - this.fedAt < this.options.times.lifetimeMs;
+  get isActive(): boolean {
+    return this.options.clock.getTime() - this.lastFedAt < this.options.timings.feedLifetimeMs;
   }
 
   /**
@@ -71,15 +71,15 @@
   }
 
   /** Takes a reader's answer to a question asked at a time; one that the store does not serve is passed over. */
-  take(message: FeedMessage, askedAt: number): void {
+  apply(message: FeedMessage, askedAt: number): void {
     const time = this.options.clock.getTime();
-    this.asked.noteAnswered(time);
-    if (this.feed.take(message, askedAt)) {
-      this.fedAt = time;
+    this.asked.recordAnswer(time);
+    if (this.feed.apply(message, askedAt)) {
+      this.lastFedAt = time;
       return;
     }
     // The store may have turned away more readers than this one: this instance asks it itself until another tells more.
-    this.fedAt = -Infinity;
+    this.lastFedAt = -Infinity;
     this.asked.passOver(time);
     const { era, storeAgeMs } = message;
     this.options.logger.info("feed.passed-over", { era, storeAgeMs: Math.round(storeAgeMs) });
@@ -87,7 +87,7 @@
 
   /** Takes up the role that follows from whether this instance is a reader, and from what it was told. */
   setRole(isReader: boolean): void {
-    const ownRole = this.isFed ? StoreRole.Fed : StoreRole.Alone;
+    const ownRole = this.isActive ? StoreRole.ViaReader : StoreRole.Direct;
     this.feed.setRole(isReader ? StoreRole.Reader : ownRole);
   }
 }
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { isWholeAnswer } from "./answerBody.js";
-import { copyAnswerHeaders } from "./answerHeaders.js";
+import { isCompleteResponse } from "./responseBody.js";
+import { copyResponseHeaders } from "./responseHeaders.js";
 import { EventSplitter } from "./eventSplitter.js";
 
 /** How an endpoint's stream ended. */
-export enum RelayEnd {
+export enum RelayOutcome {
   Complete = 1,
-  Cut = 2,
+  Interrupted = 2,
 }
 
 /** The answer of one request. */
@@ -37,7 +37,7 @@
   }
 
   /** Passes one endpoint's stream on to its end. `onFirst` is called with the first event. */
-  relay(answer: IncomingMessage, onFirst: () => void): Promise<RelayEnd> {
+  relay(answer: IncomingMessage, onFirst: () => void): Promise<RelayOutcome> {
     this.lastId = this.lastEventId;
     this.splitter = EventSplitter.create(this.isResumable);
     let isFirst = true;
@@ -50,12 +50,12 @@
         this.write(answer, whole);
       });
       answer.on("end", () => {
-        if (!isWholeAnswer(answer)) return resolve(RelayEnd.Cut);
+        if (!isCompleteResponse(answer)) return resolve(RelayOutcome.Interrupted);
         this.finish(answer);
-        resolve(RelayEnd.Complete);
+        resolve(RelayOutcome.Complete);
       });
       // After "end" this changes nothing; a promise settles once.
-      answer.on("close", () => resolve(RelayEnd.Cut));
+      answer.on("close", () => resolve(RelayOutcome.Interrupted));
     });
   }
 
@@ -74,7 +74,7 @@
   /** The head goes with the first event, so that a stream cut before it can still be answered otherwise. */
   private writeHead(answer: IncomingMessage): void {
     if (this.response.headersSent) return;
-    const headers = copyAnswerHeaders(answer.rawHeaders);
+    const headers = copyResponseHeaders(answer.rawHeaders);
     if (this.isLeaving()) headers.push("Connection", "close");
     this.response.writeHead(answer.statusCode ?? 0, answer.statusMessage, headers);
   }
--- a/packages/gateway/src/suspects.ts
+++ b/packages/gateway/src/suspectGate.ts
@@ -5,21 +5,27 @@
  */
 import { type Clock, Failure, FailureCode, type Logger, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
-import { type CrashRecords, type CrashSubject, type CrashWords, restMs, Verdict } from "./crashRecords.js";
-import type { AboardRequest, CrashWatch } from "./crashWatch.js";
+import {
+  type CrashRecords,
+  type CrashSubject,
+  type CrashUpdate,
+  cooldownMs,
+  QuarantineState,
+} from "./crashRecords.js";
+import type { InFlightRequest, CrashDetector } from "./crashDetector.js";
 import type { Endpoint } from "./endpoint.js";
 import type { GatewayMetrics } from "./gatewayMetrics.js";
-import { isLost, type TrialAnswer, type TrialQuestion, TrialWord } from "./trialGrants.js";
+import { isDown, type TrialReply, type TrialCallArguments, TrialDecision } from "./trialScheduler.js";
 
 /** Options of the suspects. */
-export interface SuspectsOptions {
+export interface SuspectGateOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly records: CrashRecords;
-  readonly watch: CrashWatch;
+  readonly detector: CrashDetector;
   readonly metrics: GatewayMetrics;
-  readonly tell: (words: CrashWords) => void;
-  readonly ask: (question: TrialQuestion) => Promise<TrialAnswer>;
+  readonly broadcast: (words: CrashUpdate) => void;
+  readonly callArbiter: (question: TrialCallArguments) => Promise<TrialReply>;
   readonly endTrial: (service: string, life: string, fingerprint: string) => void;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
   readonly findEndpoint: (life: string) => Endpoint | undefined;
@@ -55,21 +61,21 @@
 const busyRetryMs = 500;
 
 /** Decides about requests under which endpoints ended. */
-export class Suspects {
-  private constructor(private readonly options: SuspectsOptions) {}
+export class SuspectGate {
+  private constructor(private readonly options: SuspectGateOptions) {}
 
-  static create(options: SuspectsOptions): Suspects {
-    return new Suspects(options);
+  static create(options: SuspectGateOptions): SuspectGate {
+    return new SuspectGate(options);
   }
 
   /** Whether a request of a workspace may be a suspect at all; without any, no request is looked at. */
-  isWatching(workspace: string): boolean {
-    return this.options.records.isWatched(workspace);
+  hasSuspects(workspace: string): boolean {
+    return this.options.records.hasSuspects(workspace);
   }
 
   /** Takes note that a request was cut at an endpoint; resolves with whether the endpoint has ended. */
-  noteCut(endpoint: Endpoint, request: AboardRequest): Promise<boolean> {
-    return this.options.watch.noteCut(endpoint, request);
+  noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
+    return this.options.detector.noteInterruption(endpoint, request);
   }
 
   /**
@@ -77,23 +83,23 @@
    * `CrashSuspect` where no endpoint is free for it, and with `CrashesEndpoints` where it is not run any more, or not
    * for a time.
    */
-  async seek(request: SuspectRequest): Promise<Result<Trial | undefined, Failure>> {
-    const { records, ask } = this.options;
+  async findTrial(request: SuspectRequest): Promise<Result<Trial | undefined, Failure>> {
+    const { records, callArbiter: ask } = this.options;
     const { subject, service, leftMs } = request;
     await this.awaitWords(subject);
-    const verdict = records.getVerdict(subject);
-    if (verdict === Verdict.Clear) return Ok(undefined);
-    if (verdict === Verdict.Suspect && !this.isShort(service)) return Ok(undefined);
-    if (verdict !== Verdict.Isolated) return Err(this.refuse(request, verdict));
+    const verdict = records.getQuarantineState(subject);
+    if (verdict === QuarantineState.Clear) return Ok(undefined);
+    if (verdict === QuarantineState.Suspect && !this.isShort(service)) return Ok(undefined);
+    if (verdict !== QuarantineState.Isolated) return Err(this.refuse(request, verdict));
     const waitMs = Math.min(mostWaitMs, leftMs * waitedShare);
     const answer = await ask({ service, subject, excluded: this.getBarred(request), waitMs });
-    this.log(request, "suspect.asked", { word: TrialWord[answer.word], life: answer.life });
+    this.log(request, "suspect.asked", { word: TrialDecision[answer.word], life: answer.life });
     // It may have been cleared, or convicted, while it waited.
-    const current = records.getVerdict(subject);
-    if (answer.word === TrialWord.Granted && answer.life !== undefined) {
+    const current = records.getQuarantineState(subject);
+    if (answer.word === TrialDecision.Granted && answer.life !== undefined) {
       return this.begin(request, answer.life, current);
     }
-    if (current === Verdict.Clear) return Ok(undefined);
+    if (current === QuarantineState.Clear) return Ok(undefined);
     return Err(this.refuse(request, current));
   }
 
@@ -101,14 +107,14 @@
   private getBarred({ service, excluded }: SuspectRequest): readonly string[] {
     const { clock, getEndpoints } = this.options;
     const time = clock.getTime();
-    const heldOff = getEndpoints(service).filter(({ words }) => !words.mayTake(time));
-    return [...excluded, ...heldOff.map(({ life }) => life)];
+    const heldOff = getEndpoints(service).filter(({ availability: words }) => !words.acceptsRequest(time));
+    return [...excluded, ...heldOff.map(({ incarnation: life }) => life)];
   }
 
   /** Leaves peers time to tell of ends at the same moment. */
   private async awaitWords({ fingerprint }: CrashSubject): Promise<void> {
     const { clock, records } = this.options;
-    const leftMs = wordsMs - records.getAge(fingerprint);
+    const leftMs = wordsMs - records.getTimeSinceCrash(fingerprint);
     if (leftMs > 0) await waitFor(clock, leftMs);
   }
 
@@ -117,17 +123,17 @@
     const { clock, records, getEndpoints } = this.options;
     const time = clock.getTime();
     const usable = getEndpoints(service).filter((endpoint) => endpoint.isUsable());
-    const lost = usable.filter((endpoint) => isLost(endpoint, records, time));
+    const lost = usable.filter((endpoint) => isDown(endpoint, records, time));
     return lost.length > usable.length * shortShare;
   }
 
   /** Takes note that a request was answered whole. */
   clear({ workspace, fingerprint }: CrashSubject): void {
-    const { records, tell, logger } = this.options;
-    const lives = records.getLives(fingerprint);
+    const { records, broadcast: tell, logger } = this.options;
+    const lives = records.getUncleared(fingerprint);
     if (lives.length === 0) return;
     const words = { acquittals: [{ fingerprint, lives }] };
-    records.take(words);
+    records.apply(words);
     tell(words);
     logger.info("suspect.cleared", { workspace, fingerprint, lives: lives.length });
   }
@@ -135,7 +141,7 @@
   private begin(
     { subject, service }: SuspectRequest,
     life: string,
-    verdict: Verdict,
+    verdict: QuarantineState,
   ): Result<Trial | undefined, Failure> {
     const { clock, endTrial, findEndpoint } = this.options;
     const endpoint = findEndpoint(life);
@@ -145,19 +151,19 @@
       isOver = true;
     };
     // Its endpoint may have said meanwhile that it leaves, or that it wants nothing.
-    if (endpoint?.takesWork(clock.getTime()) && isRunnable(verdict)) return Ok({ endpoint, end });
+    if (endpoint?.acceptsRequest(clock.getTime()) && isRunnable(verdict)) return Ok({ endpoint, end });
     end();
     return Err(createBusyRefusal(service));
   }
 
-  private refuse(request: SuspectRequest, verdict: Verdict): Failure {
+  private refuse(request: SuspectRequest, verdict: QuarantineState): Failure {
     const { records, metrics } = this.options;
     const { subject, service } = request;
-    const lives = records.getLives(subject.fingerprint);
-    this.log(request, "suspect.refused", { verdict: Verdict[verdict], lives: lives.join() });
-    metrics.countSuspectRefusal(service, Verdict[verdict]);
+    const lives = records.getUncleared(subject.fingerprint);
+    this.log(request, "suspect.refused", { verdict: QuarantineState[verdict], lives: lives.join() });
+    metrics.countSuspectRefusal(service, QuarantineState[verdict]);
     if (isRunnable(verdict)) return createBusyRefusal(service);
-    return Failure.create(FailureCode.CrashesEndpoints, { service, count: lives.length }, restMs);
+    return Failure.create(FailureCode.CrashesEndpoints, { service, count: lives.length }, cooldownMs);
   }
 
   private log(
@@ -166,14 +172,14 @@
     fields: Record<string, string | undefined>,
   ): void {
     const { workspace, fingerprint } = subject;
-    const ageMs = Math.round(this.options.records.getAge(fingerprint));
+    const ageMs = Math.round(this.options.records.getTimeSinceCrash(fingerprint));
     this.options.logger.info(event, { request: id, service, workspace, fingerprint, ageMs, ...fields });
   }
 }
 
 /** Whether a request may run, now or as soon as an endpoint is free for it. */
-function isRunnable(verdict: Verdict): boolean {
-  return verdict < Verdict.Resting;
+function isRunnable(verdict: QuarantineState): boolean {
+  return verdict < QuarantineState.Resting;
 }
 
 function createBusyRefusal(service: string): Failure {
--- a/packages/gateway/src/trialGrants.ts
+++ b/packages/gateway/src/trialScheduler.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import type { Clock, Timer } from "@gladewall/kernel";
-import { type CrashRecords, type CrashSubject, Verdict } from "./crashRecords.js";
+import { type CrashRecords, type CrashSubject, QuarantineState } from "./crashRecords.js";
 import type { Endpoint, PeerWork } from "./endpoint.js";
 
 /** An isolated request that is to run. */
-export interface TrialQuestion {
+export interface TrialCallArguments {
   readonly service: string;
   readonly subject: CrashSubject;
   /** Lives of endpoints that it was sent to before. */
@@ -18,7 +18,7 @@
 }
 
 /** What becomes of it. */
-export enum TrialWord {
+export enum TrialDecision {
   /** It may run at an endpoint. */
   Granted = 1,
   /** Others run wherever it could, or too few endpoints are left. */
@@ -30,14 +30,14 @@
 }
 
 /** Answer to a question. */
-export interface TrialAnswer {
-  readonly word: TrialWord;
+export interface TrialReply {
+  readonly word: TrialDecision;
   /** Life of the endpoint, where the word is that it may run. */
   readonly life?: string;
 }
 
 /** Options of the grants. */
-export interface TrialGrantsOptions {
+export interface TrialSchedulerOptions {
   readonly clock: Clock;
   readonly records: CrashRecords;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
@@ -50,8 +50,8 @@
 }
 
 interface Waiter {
-  readonly question: TrialQuestion;
-  readonly answer: (answer: TrialAnswer) => void;
+  readonly question: TrialCallArguments;
+  readonly answer: (answer: TrialReply) => void;
   readonly timer: Timer;
 }
 
@@ -62,25 +62,25 @@
 /** Requests that wait for an endpoint; more are told at once that none is free. */
 const mostWaiting = 256;
 
-const busy: TrialAnswer = { word: TrialWord.Busy };
+const busy: TrialReply = { word: TrialDecision.Busy };
 
 /** Endpoints that isolated requests run at. */
-export class TrialGrants {
+export class TrialScheduler {
   /** Grants by the endpoint's life. */
   private readonly grants = new Map<string, Grant>();
   /** In the order in which they came. */
   private waiters: Waiter[] = [];
 
-  private constructor(private readonly options: TrialGrantsOptions) {}
+  private constructor(private readonly options: TrialSchedulerOptions) {}
 
-  static create(options: TrialGrantsOptions): TrialGrants {
-    return new TrialGrants(options);
+  static create(options: TrialSchedulerOptions): TrialScheduler {
+    return new TrialScheduler(options);
   }
 
   /** Resolves with an endpoint once one is free, or when the request can't wait any more. */
-  ask(question: TrialQuestion): Promise<TrialAnswer> {
+  decideOrWait(question: TrialCallArguments): Promise<TrialReply> {
     const answer = this.decide(question);
-    const isFinal = answer.word !== TrialWord.Busy || question.waitMs <= 0;
+    const isFinal = answer.word !== TrialDecision.Busy || question.waitMs <= 0;
     if (isFinal || this.waiters.length >= mostWaiting) return Promise.resolve(answer);
     return new Promise((resolve) => {
       const timer = this.options.clock.startTimer(question.waitMs, () => {
@@ -112,22 +112,23 @@
 
   private retry(waiter: Waiter): void {
     const answer = this.decide(waiter.question);
-    if (answer.word === TrialWord.Busy) return;
+    if (answer.word === TrialDecision.Busy) return;
     waiter.timer.cancel();
     this.waiters = this.waiters.filter((other) => other !== waiter);
     waiter.answer(answer);
   }
 
-  private decide({ service, subject, excluded }: TrialQuestion): TrialAnswer {
+  private decide({ service, subject, excluded }: TrialCallArguments): TrialReply {
     const { clock, records } = this.options;
-    const verdict = records.getVerdict(subject);
-    if (verdict === Verdict.Resting || verdict === Verdict.Convicted) return { word: TrialWord.Refused };
+    const verdict = records.getQuarantineState(subject);
+    if (verdict === QuarantineState.Resting || verdict === QuarantineState.Convicted)
+      return { word: TrialDecision.Refused };
     const endpoint = this.choose(service, excluded);
     if (!endpoint) return busy;
-    const { life } = endpoint;
+    const { incarnation: life } = endpoint;
     const timer = clock.startTimer(grantMs, () => this.release(life));
     this.grants.set(life, { fingerprint: subject.fingerprint, timer });
-    return { word: TrialWord.Granted, life };
+    return { word: TrialDecision.Granted, life };
   }
 
   /** The endpoint with the least work, as that is what ends with it. */
@@ -135,11 +136,11 @@
     const time = this.options.clock.getTime();
     const usable = this.options.getEndpoints(service).filter((endpoint) => endpoint.isUsable());
     const isSpent = (endpoint: Endpoint): boolean =>
-      isLost(endpoint, this.options.records, time) || this.grants.has(endpoint.life);
+      isDown(endpoint, this.options.records, time) || this.grants.has(endpoint.incarnation);
     const left = usable.filter((endpoint) => !isSpent(endpoint));
     const spent = usable.length - left.length;
     if (spent + 1 > Math.max(1, usable.length * spentShare)) return undefined;
-    const free = left.filter(({ life }) => !excluded.includes(life));
+    const free = left.filter(({ incarnation: life }) => !excluded.includes(life));
     let best: Endpoint | undefined;
     for (const endpoint of free) {
       if (!best || this.getActive(endpoint) < this.getActive(best)) best = endpoint;
@@ -147,12 +148,12 @@
     return best;
   }
 
-  private getActive({ active, life }: Endpoint): number {
+  private getActive({ active, incarnation: life }: Endpoint): number {
     return active + this.options.getPeerWork(life).active;
   }
 }
 
 /** Whether an endpoint serves nobody now, though its record may still say that it does. */
-export function isLost(endpoint: Endpoint, records: CrashRecords, time: number): boolean {
-  return endpoint.isUnreachable(time) || records.hasEnded(endpoint.life);
+export function isDown(endpoint: Endpoint, records: CrashRecords, time: number): boolean {
+  return endpoint.isUnreachable(time) || records.hasCrashed(endpoint.incarnation);
 }
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -34,9 +34,9 @@
   /** Longest time a request may be held. */
   readonly timeoutMs: number;
   /** Time within which an answer has its full worth. */
-  readonly goalMs: number;
+  readonly latencyObjectiveMs: number;
   /** Longest pause between events at which a stream has its full worth; undefined where nothing is said. */
-  readonly gapGoalMs: number | undefined;
+  readonly eventGapObjectiveMs: number | undefined;
   /** Endpoints that one request may run on. */
   readonly attempts: number;
   /** Rank; 0 is the highest. */
@@ -89,7 +89,7 @@
   readonly priority: number;
   readonly unit: QuotaUnit;
   /** Tokens that a request counts for that names none. */
-  readonly plainTokens: number;
+  readonly defaultTokenCost: number;
   /** 0: no limit. */
   readonly ratePerSecond: number;
   readonly burst: number;
@@ -208,7 +208,7 @@
 }
 
 /** What a caller says in its headers. */
-export interface CallerHead {
+export interface CallerRequestHead {
   readonly id: string;
   /** Time that the caller will wait; undefined where it does not say. */
   readonly deadlineMs: number | undefined;
@@ -233,7 +233,7 @@
 }
 
 /** What an answer's head says. */
-export enum AnswerWord {
+export enum ExecutionStatus {
   /** The endpoint ran the request. */
   Ran = 1,
   /** The endpoint did not run it and never will. */
@@ -241,7 +241,7 @@
   /** Another endpoint has the address now. Nothing ran. */
   WrongEndpoint = 3,
   /** It belongs to another request, or to nobody. */
-  Foreign = 4,
+  Mismatched = 4,
 }
 
 /** Load that an endpoint tells with an answer. */
@@ -262,7 +262,7 @@
 }
 
 /** How many requests a second an endpoint in need takes of all instances together. */
-export interface NamedLimit {
+export interface AdvertisedLimit {
   /** Undefined where the word can't be read. */
   readonly perSecond: number | undefined;
   /** Text of a word that could not be read. */
@@ -270,29 +270,29 @@
 }
 
 /** An answer's head, read. */
-export interface AnswerHead {
-  readonly word: AnswerWord;
+export interface ResponseHead {
+  readonly executionStatus: ExecutionStatus;
   readonly load: EndpointLoad | undefined;
   /** Undefined where the endpoint says nothing of itself, or where the answer is not this endpoint's. */
   readonly notice: EndpointNotice | undefined;
   /** Undefined where the endpoint names no limit, or where the answer is not this endpoint's. */
-  readonly limit?: NamedLimit | undefined;
+  readonly limit?: AdvertisedLimit | undefined;
 }
 
 /** How callers speak. */
 export interface CallerProtocol {
   readonly readinessPath: string;
   /** Fails with `BadRequest`. */
-  readHead(headers: IncomingHttpHeaders): Result<CallerHead, Failure>;
+  readHead(headers: IncomingHttpHeaders): Result<CallerRequestHead, Failure>;
   /** Headers of an answer of our own: name, value, name, value, … */
-  createOwnHeaders(requestId: string | undefined): string[];
+  createGatewayHeaders(requestId: string | undefined): string[];
 }
 
 /** How endpoints are spoken to. */
 export interface EndpointProtocol {
   /** Headers of a request from those of the caller; both are name, value, name, value, … */
   createHeaders(callerHeaders: readonly string[], dispatch: DispatchHead): string[];
-  readAnswer(requestId: string, status: number, headers: IncomingHttpHeaders): AnswerHead;
+  readResponseHead(requestId: string, status: number, headers: IncomingHttpHeaders): ResponseHead;
 }
 
 /** Who gives an order. */
@@ -316,7 +316,7 @@
 }
 
 /** What became of an order. */
-export enum OrderWord {
+export enum OrderOutcome {
   Taken = 1,
   /** None of that class is to be had there at present. */
   NoneAvailable = 2,
@@ -327,8 +327,8 @@
  * higher fence has been used for the same matter.
  */
 export interface OrderService {
-  reportUsage(report: UsageReport, sender: OrderSender): Promise<Result<OrderWord, Failure>>;
-  orderCapacity(order: CapacityOrder, sender: OrderSender): Promise<Result<OrderWord, Failure>>;
+  reportUsage(report: UsageReport, sender: OrderSender): Promise<Result<OrderOutcome, Failure>>;
+  orderCapacity(order: CapacityOrder, sender: OrderSender): Promise<Result<OrderOutcome, Failure>>;
   close(): Promise<void>;
 }
 
--- a/packages/gateway/src/usageCounts.ts
+++ b/packages/gateway/src/usageCounts.ts
@@ -38,7 +38,7 @@
   }
 
   /** Returns this instance's counts of the latest windows. */
-  getOwn(newest: number, count: number): WindowCounts {
+  getOwnCounts(newest: number, count: number): WindowCounts {
     const result: WindowCounts = {};
     for (const [window, counts] of this.own.windows) {
       if (window > newest - count) result[window] = counts;
@@ -47,7 +47,7 @@
   }
 
   /** Takes what one life of a peer tells of itself; counts only grow. */
-  takePeer(life: string, told: WindowCounts): void {
+  mergePeerCounts(life: string, told: WindowCounts): void {
     const instance = this.peers.get(life) ?? new InstanceCounts();
     this.peers.set(life, instance);
     for (const [window, counts] of Object.entries(told)) {
@@ -58,7 +58,7 @@
   }
 
   /** Returns the counts of the latest windows by life, this instance's under the name it is given. */
-  getLives(ownLife: string, newest: number, count: number): Record<string, WindowCounts> {
+  getIncarnations(ownLife: string, newest: number, count: number): Record<string, WindowCounts> {
     const lives: Record<string, WindowCounts> = {};
     for (const [life, instance] of [[ownLife, this.own] as const, ...this.peers]) {
       const windows: WindowCounts = {};
@@ -80,7 +80,7 @@
   }
 
   /** Forgets lives of peers that told nothing of late windows. */
-  forgetPeers(newest: number): void {
+  removeStalePeers(newest: number): void {
     for (const [life, instance] of this.peers) {
       const latest = Math.max(...instance.windows.keys());
       if (latest <= newest - keptWindows) this.peers.delete(life);
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -5,7 +5,7 @@
  */
 import { type Clock, FailureCode, type Logger } from "@gladewall/kernel";
 import * as v from "valibot";
-import type { FixedWindows } from "./fixedWindows.js";
+import type { CommittedWindows } from "./committedWindows.js";
 import { decodeItem } from "./itemCodec.js";
 import type { MetadataStore, OrderSender, OrderService, StoreItem } from "./types.js";
 import type { WorkspaceCounts, UsageCounts } from "./usageCounts.js";
@@ -24,7 +24,7 @@
   /** Prefix of the keys that hold fixed windows. */
   readonly prefix: string;
   /** Key of the draft: what is counted but not fixed, for when all instances are killed. */
-  readonly draftKey: string;
+  readonly checkpointKey: string;
   /** Counts of all lives; a draft is written from them and taken into them. */
   readonly usage: UsageCounts;
   /** Names this life of this instance. */
@@ -35,9 +35,9 @@
   /** Returns what the store holds of a key, as last heard. */
   readonly getItem: (key: string) => StoreItem | undefined;
   /** Windows that were fixed, also those that the store has lost. */
-  readonly fixed: FixedWindows;
+  readonly committed: CommittedWindows;
   /** Returns the time of day after which nothing that the store held can have been lost. */
-  readonly getKeptSince: () => number;
+  readonly getDurableSince: () => number;
 }
 
 /** Time after a window's end at which the last counts of other instances have come. */
@@ -73,8 +73,8 @@
   }
 
   /** Takes the draft of whoever held the duties before; called once by a new holder, before it reports. */
-  async takeDraft(): Promise<void> {
-    const { store, draftKey, usage, life: ownLife, logger } = this.options;
+  async restoreCheckpoint(): Promise<void> {
+    const { store, checkpointKey: draftKey, usage, life: ownLife, logger } = this.options;
     const draft = await store.read(draftKey);
     const item = draft.isOk() ? draft.value.item : undefined;
     if (!item) return;
@@ -84,7 +84,7 @@
       return;
     }
     for (const [life, windows] of Object.entries(lives)) {
-      if (life !== ownLife) usage.takePeer(life, windows);
+      if (life !== ownLife) usage.mergePeerCounts(life, windows);
       for (const window of Object.keys(windows)) {
         this.firstWindow = Math.min(this.firstWindow, Number(window));
       }
@@ -93,11 +93,11 @@
   }
 
   /** Writes the draft from time to time. */
-  async saveDraft(): Promise<void> {
-    const { store, draftKey, usage, life, clock, getTimeOfDay } = this.options;
+  async saveCheckpoint(): Promise<void> {
+    const { store, checkpointKey: draftKey, usage, life, clock, getTimeOfDay } = this.options;
     if (clock.getTime() - this.draftAt < draftIntervalMs) return;
     this.draftAt = clock.getTime();
-    const lives = usage.getLives(life, this.getWindow(getTimeOfDay()), draftWindows);
+    const lives = usage.getIncarnations(life, this.getWindow(getTimeOfDay()), draftWindows);
     const value = Buffer.from(JSON.stringify(lives));
     await store.transact({ expected: [], put: [{ key: draftKey, value }], remove: [] });
   }
@@ -116,7 +116,7 @@
 
   /** Windows from before this life are only repeated where they were fixed; their counts here may lack some. */
   private isKnown(window: number): boolean {
-    const { getItem, fixed } = this.options;
+    const { getItem, committed: fixed } = this.options;
     const isFixed = fixed.find(window) !== undefined || getItem(this.getKey(window)) !== undefined;
     return isFixed || (window >= this.firstWindow - 1 && !this.mayBeLost(window));
   }
@@ -124,7 +124,7 @@
   /** Whether a window may have been fixed, reported and lost before this life could hear of it. */
   private mayBeLost(window: number): boolean {
     const endsAt = (window + 1) * this.options.windowMs;
-    return endsAt <= this.bornAt && endsAt <= this.options.getKeptSince();
+    return endsAt <= this.bornAt && endsAt <= this.options.getDurableSince();
   }
 
   private getKey(window: number): string {
@@ -150,7 +150,7 @@
     window: number,
     getSender: () => OrderSender | undefined,
   ): Promise<WorkspaceCounts | undefined> {
-    const { store, getItem, usage, fixed } = this.options;
+    const { store, getItem, usage, committed: fixed } = this.options;
     const key = this.getKey(window);
     const remembered = fixed.find(window);
     const known = getItem(key);
--- a/packages/gateway/test/arbiters.test.ts
+++ b/packages/gateway/test/arbiters.test.ts
@@ -3,7 +3,7 @@
  * request of their workspaces waited for them: of 2,368 requests in two seconds 510 came in time, 767 without arbiters.
  */
 import t from "tap";
-import { Arbiters, createQuotaQuestion, type QuotaAnswer, QuotaUse, QuotaWord } from "@gladewall/gateway";
+import { Arbiters, createQuotaCall, type QuotaReply, QuotaUse, GrantDecision } from "@gladewall/gateway";
 import { Failure, FailureCode, Logger, VirtualClock, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
@@ -14,7 +14,7 @@
   waitMs = 5_000,
 ): Promise<number[]> {
   const clock = VirtualClock.create();
-  const granted: QuotaAnswer = { word: QuotaWord.Granted, level: 0 };
+  const granted: QuotaReply = { word: GrantDecision.Granted, level: 0 };
   const arbiters = Arbiters.create({
     clock,
     logger: Logger.createSilent(),
@@ -33,7 +33,7 @@
     const startedAt = clock.getTime();
     let endedAt: number | undefined;
     void arbiters
-      .ask(createQuotaQuestion({ workspace: "w", total: index, uptime: 1, use: QuotaUse.First }), waitMs)
+      .call(createQuotaCall({ workspace: "w", total: index, uptime: 1, use: QuotaUse.First }), waitMs)
       .then(() => (endedAt = clock.getTime()));
     while (endedAt === undefined) await clock.advance(10);
     times.push(endedAt - startedAt);
--- a/packages/gateway/test/wholeAnswers.test.ts
+++ b/packages/gateway/test/completeResponses.test.ts
@@ -2,36 +2,36 @@
 import { type IncomingMessage, request } from "node:http";
 import { type AddressInfo, createServer, type Socket } from "node:net";
 import t from "tap";
-import { readWholeBody, RouteKind } from "@gladewall/gateway";
+import { readResponseBody, RouteKind } from "@gladewall/gateway";
 import {
-  answerGood,
-  answerNotRun,
+  respondSuccess,
+  respondNotRun,
   type EndpointScript,
-  beginEvents,
+  startEventStream,
   createRoute,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
   waitUntil,
 } from "@gladewall/standins";
 
-interface Bench {
-  readonly bench: GatewayBench;
+interface TestBench {
+  readonly bench: GatewayTestBench;
   readonly endpoints: readonly ScriptedEndpoint[];
-  readonly instance: Awaited<ReturnType<GatewayBench["startReady"]>>;
+  readonly instance: Awaited<ReturnType<GatewayTestBench["startReady"]>>;
 }
 
 /** One instance before endpoints with scripts, and one route of a kind. */
-async function createBench(
+async function createTestBench(
   t: Tap,
   route: Parameters<typeof createRoute>[0],
   scripts: readonly EndpointScript[],
-): Promise<Bench> {
-  const bench = GatewayBench.create();
+): Promise<TestBench> {
+  const bench = GatewayTestBench.create();
   bench.platform.configure({ routes: [createRoute(route)] });
   const endpoints = await Promise.all(
     scripts.map((script, index) => ScriptedEndpoint.create(`b${index}`, script)),
   );
-  for (const { id, address } of endpoints) bench.platform.list({ id, address });
+  for (const { id, address } of endpoints) bench.platform.putEndpoint({ id, address });
   const instance = await bench.startReady(endpoints.length);
   t.teardown(async () => {
     await bench.close();
@@ -45,7 +45,7 @@
 t.test(
   "an answer comes back byte for byte, with the endpoint's signature and without its connection's headers",
   async (t) => {
-    const { bench, endpoints, instance } = await createBench(t, {}, [answerGood]);
+    const { bench, endpoints, instance } = await createTestBench(t, {}, [respondSuccess]);
     const answer = await bench.call(instance, {
       id: "r1",
       path: "/a/b?c=%2F",
@@ -57,7 +57,7 @@
       isComplete: true,
       headers: { "x-stamp": "signed" },
     });
-    const call = endpoints[0]?.calls[0];
+    const call = endpoints[0]?.requests[0];
     t.equal(call?.target, "/a/b?c=%2F");
     t.match(call?.headers["x-expect"], /b0/);
   },
@@ -67,7 +67,7 @@
   const script: EndpointScript = ({ id, socket }) => {
     socket.end(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nConnection: close\r\n\r\nall of it`);
   };
-  const { bench, instance } = await createBench(t, {}, [script]);
+  const { bench, instance } = await createTestBench(t, {}, [script]);
   t.match(await bench.call(instance), { status: 200, body: "all of it", isComplete: true });
 });
 
@@ -84,7 +84,7 @@
     sent.end();
     const [socket] = await accepted;
     const [answer] = (await once(sent, "response")) as [IncomingMessage];
-    const body = readWholeBody(answer);
+    const body = readResponseBody(answer);
     // The first piece has arrived before the connection ends, as on a real network.
     await once(answer, "data");
     if (isReset) socket.resetAndDestroy();
@@ -100,18 +100,18 @@
       socket.resetAndDestroy(),
     );
   };
-  const { bench, instance } = await createBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [script]);
+  const { bench, instance } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [script]);
   t.equal((await bench.call(instance, { method: "POST", body: "x" })).status, 502);
 });
 
 t.test("a stream without length that is reset does not look complete", async (t) => {
-  const { bench, endpoints, instance } = await createBench(t, { kind: RouteKind.Stream, attempts: 1 }, [
+  const { bench, endpoints, instance } = await createTestBench(t, { kind: RouteKind.Stream, attempts: 1 }, [
     ({ id, socket }) => {
       const head = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nConnection: close\r\n\r\n`;
       socket.write(`${head}id: 1\ndata: a\n\n`);
     },
   ]);
-  const onData = (): void => void endpoints[0]?.calls[0]?.socket.resetAndDestroy();
+  const onData = (): void => void endpoints[0]?.requests[0]?.socket.resetAndDestroy();
   const answer = await bench.call(instance, { method: "POST", body: "x", onData });
   t.match(answer, { status: 200, isComplete: false });
 });
@@ -123,37 +123,37 @@
       response.writeHead(200, { "x-id": id, "x-stamp": "s", "content-length": 100 });
       response.write("part", () => socket.destroy());
     };
-    const safe = await createBench(t, {}, [cut, cut]);
+    const safe = await createTestBench(t, {}, [cut, cut]);
     for (const endpoint of safe.endpoints) {
       let isFirst = true;
       endpoint.script = (call) => {
         // Whichever endpoint comes first cuts its answer.
-        const hasOther = safe.endpoints.some((other) => other !== endpoint && other.calls.length > 0);
+        const hasOther = safe.endpoints.some((other) => other !== endpoint && other.requests.length > 0);
         if (isFirst && !hasOther) cut(call);
-        else answerGood(call);
+        else respondSuccess(call);
         isFirst = false;
       };
     }
     t.match(await safe.bench.call(safe.instance, { id: "s" }), { status: 200, body: "answer to s" });
-    const unsafe = await createBench(t, { kind: RouteKind.Unsafe, attempts: 2 }, [cut, cut]);
+    const unsafe = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 2 }, [cut, cut]);
     t.equal((await unsafe.bench.call(unsafe.instance, { method: "POST", body: "x" })).status, 502);
-    t.equal(unsafe.endpoints[0]!.calls.length + unsafe.endpoints[1]!.calls.length, 1);
+    t.equal(unsafe.endpoints[0]!.requests.length + unsafe.endpoints[1]!.requests.length, 1);
   },
 );
 
 t.test(
   "what an endpoint did not run is sent elsewhere, an unsafe request too; where none runs it, 503",
   async (t) => {
-    const { bench, instance, endpoints } = await createBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [
-      answerNotRun,
-      answerNotRun,
+    const { bench, instance, endpoints } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [
+      respondNotRun,
+      respondNotRun,
     ]);
     const refused = await bench.call(instance, { method: "POST", body: "x" });
     t.equal(refused.status, 503);
     t.ok(Number(refused.headers["retry-after"]) > 0);
     for (const endpoint of endpoints) {
       endpoint.script = (call) =>
-        endpoints.every((other) => other.calls.length > 1) ? answerGood(call) : answerNotRun(call);
+        endpoints.every((other) => other.requests.length > 1) ? respondSuccess(call) : respondNotRun(call);
     }
     t.equal((await bench.call(instance, { method: "POST", body: "x" })).status, 200);
   },
@@ -164,7 +164,7 @@
     response.writeHead(200, { "x-id": "somebody-else", "x-stamp": "s", "content-length": 5 });
     response.end("wrong");
   };
-  const { bench, instance } = await createBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [foreign]);
+  const { bench, instance } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [foreign]);
   const answer = await bench.call(instance, { method: "POST", body: "x" });
   t.equal(answer.status, 502);
   t.notMatch(answer.body, "wrong");
@@ -175,7 +175,7 @@
     const answer = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok`;
     socket.write(answer + answer);
   };
-  const { bench, instance } = await createBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [twice]);
+  const { bench, instance } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [twice]);
   for (const id of ["one", "two", "three"]) {
     const answer = await bench.call(instance, { id, method: "POST", body: "x" });
     t.ok(answer.status === 502 || (answer.status === 200 && answer.body === "ok"));
@@ -186,10 +186,13 @@
   "a stream that is cut goes on at another endpoint after the last whole event, in the same answer",
   async (t) => {
     const route = { kind: RouteKind.Stream, attempts: 2, isResumable: true };
-    const { bench, instance, endpoints } = await createBench(t, route, [beginEvents, beginEvents]);
+    const { bench, instance, endpoints } = await createTestBench(t, route, [
+      startEventStream,
+      startEventStream,
+    ]);
     for (const endpoint of endpoints) {
       endpoint.script = (call) => {
-        beginEvents(call);
+        startEventStream(call);
         const after = Number(call.headers["last-event-id"] ?? 0);
         if (after === 0) {
           call.response.write("id: 1\ndata: a\n\nid: 2\nda", () =>
@@ -208,8 +211,8 @@
 t.test(
   "a stream that may not be resumed is cut off, and a client that leaves frees its endpoint",
   async (t) => {
-    const { bench, instance, endpoints } = await createBench(t, { kind: RouteKind.Stream, attempts: 1 }, [
-      beginEvents,
+    const { bench, instance, endpoints } = await createTestBench(t, { kind: RouteKind.Stream, attempts: 1 }, [
+      startEventStream,
     ]);
     const leaving = new AbortController();
     const [endpoint] = endpoints;
@@ -219,21 +222,21 @@
       signal: leaving.signal,
       onData: () => leaving.abort(),
     });
-    await endpoint!.waitForCalls(1);
-    const { response, socket } = endpoint!.calls[0]!;
+    await endpoint!.waitForRequests(1);
+    const { response, socket } = endpoint!.requests[0]!;
     response.write("id: 1\ndata: a\n\n");
     await seen;
     await waitUntil(() => socket.destroyed);
-    t.equal(endpoint!.calls.length, 1);
+    t.equal(endpoint!.requests.length, 1);
   },
 );
 
 t.test(
   "a request without an answer ends at its route's time with 504, one that was never sent with 503",
   async (t) => {
-    const silent = await createBench(t, { timeoutMs: 60, attempts: 1 }, [() => undefined]);
+    const silent = await createTestBench(t, { timeoutMs: 60, attempts: 1 }, [() => undefined]);
     t.equal((await silent.bench.call(silent.instance)).status, 504);
-    const alone = GatewayBench.create();
+    const alone = GatewayTestBench.create();
     t.teardown(() => alone.close());
     alone.platform.configure({});
     const instance = await alone.startReady(0);
@@ -243,16 +246,16 @@
 
 t.test("a request that ran once and was then not run elsewhere is not said to be not run", async (t) => {
   const reset: EndpointScript = ({ socket }) => socket.resetAndDestroy();
-  const { bench, endpoints, instance } = await createBench(t, {}, [reset, reset]);
+  const { bench, endpoints, instance } = await createTestBench(t, {}, [reset, reset]);
   for (const endpoint of endpoints) {
     endpoint.script = (call) => {
-      const isFirst = endpoints.every((other) => other === endpoint || other.calls.length === 0);
+      const isFirst = endpoints.every((other) => other === endpoint || other.requests.length === 0);
       if (isFirst) reset(call);
-      else answerNotRun(call);
+      else respondNotRun(call);
     };
   }
   const answer = await bench.call(instance);
-  t.equal(endpoints[0]!.calls.length + endpoints[1]!.calls.length, 2);
+  t.equal(endpoints[0]!.requests.length + endpoints[1]!.requests.length, 2);
   t.match(answer, { status: 502, isComplete: true });
   t.equal(answer.headers["retry-after"], undefined);
 });
--- a/packages/gateway/test/countHandover.test.ts
+++ b/packages/gateway/test/countHandover.test.ts
@@ -12,7 +12,7 @@
   t.notOk(handover.isAsking(1_501), "where all begin together, nobody has them");
   handover.setRole(false, 2_000);
   handover.setRole(true, 3_000);
-  handover.noteTaken();
+  handover.complete();
   handover.setRole(true, 3_100);
   t.notOk(handover.isAsking(3_100));
 });
@@ -25,17 +25,17 @@
   await clock.advance(11_000);
   const [young, next] = [create("young"), create("next")];
   const tell = (listener: SharedCounters): void => {
-    listener.takeReport("old", "old/1", old.createReport());
-    listener.takeReport("young", "young/1", young.createReport());
+    listener.applyReport("old", "old/1", old.createReport());
+    listener.applyReport("young", "young/1", young.createReport());
   };
   for (const peer of [old, young]) peer.add(CounterKind.Quota, "w", 10);
   tell(reader);
   const { totals } = next.createReport();
   for (const peer of [old, young]) peer.add(CounterKind.Quota, "w", 3);
   next.add(CounterKind.Quota, "w", 1);
-  next.takeView(reader.createView(), totals);
+  next.applyView(reader.createView(), totals);
   tell(next);
   // Of the older peer, the reader had counted only what came after its own first word.
   t.equal(next.getKnownSum(CounterKind.Quota, "w"), reader.getKnownSum(CounterKind.Quota, "w") + 7);
-  t.equal(next.heardPeers, 2);
+  t.equal(next.reportingPeers, 2);
 });
--- a/packages/gateway/test/crashWatch.test.ts
+++ b/packages/gateway/test/crashDetector.test.ts
@@ -1,19 +1,19 @@
 import t from "tap";
 import {
   CrashRecords,
-  type CrashWords,
+  type CrashUpdate,
   CrashStore,
-  CrashWatch,
+  CrashDetector,
   EndpointState,
-  ProbeWord,
+  ProbeResult,
   RemovalCause,
-  TrialGrants,
-  TrialWord,
-  Verdict,
-  WordSource,
+  TrialScheduler,
+  TrialDecision,
+  QuarantineState,
+  LeavingSource,
 } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
-import { MetadataStoreStandin, SharedStore } from "@gladewall/standins";
+import { FakeMetadataStore, SharedStore } from "@gladewall/standins";
 import { createKnownEndpoint } from "./knownEndpoints.js";
 
 const subject = { workspace: "w", fingerprint: "f" };
@@ -21,13 +21,13 @@
 const logger = Logger.createSilent();
 const drainMs = 2_000;
 
-function createWatch(word: ProbeWord) {
+function createWatch(word: ProbeResult) {
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
   const endpoint = createKnownEndpoint({ id: "e" });
-  const told: CrashWords[] = [];
+  const told: CrashUpdate[] = [];
   const state = { probes: 0, troubleMs: Infinity, isListed: true };
-  const watch = CrashWatch.create({
+  const watch = CrashDetector.create({
     clock,
     logger,
     records,
@@ -38,95 +38,107 @@
     findEndpoint: () => (state.isListed ? endpoint : undefined),
     drainMs,
     getTimeSinceTrouble: () => state.troubleMs,
-    tell: (words) => told.push(words),
-    countEnd: () => undefined,
+    broadcast: (words) => told.push(words),
+    countCrash: () => undefined,
   });
   return { clock, records, endpoint, told, watch, state };
 }
 
 t.test("a cut request and a refused connection together show that an endpoint has ended", async (t) => {
-  const { records, endpoint, told, watch, state } = createWatch(ProbeWord.NobodyThere);
+  const { records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
   const beside = { subject: { workspace: "w", fingerprint: "beside" } };
-  endpoint.aboard.add(beside);
-  const ends = await Promise.all([watch.noteCut(endpoint, request), watch.noteCut(endpoint, request)]);
+  endpoint.inFlight.add(beside);
+  const ends = await Promise.all([
+    watch.noteInterruption(endpoint, request),
+    watch.noteInterruption(endpoint, request),
+  ]);
   t.same(ends, [true, true]);
   t.equal(state.probes, 1, "both cuts are settled by one connection");
   t.same(told, [{ reports: [{ life: "e", suspects: [], others: [subject, beside.subject] }] }]);
-  t.ok(await watch.noteCut(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
+  t.ok(await watch.noteInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
   t.equal(state.probes, 1);
-  t.equal(records.getVerdict({ workspace: "w", fingerprint: "late" }), Verdict.Suspect);
+  t.equal(records.getQuarantineState({ workspace: "w", fingerprint: "late" }), QuarantineState.Suspect);
 });
 
 t.test("one of the two signs alone shows nothing", async (t) => {
-  for (const word of [ProbeWord.Listening, ProbeWord.Unknown]) {
+  for (const word of [ProbeResult.Listening, ProbeResult.Unknown]) {
     const { clock, records, endpoint, watch, state } = createWatch(word);
-    t.notOk(await watch.noteCut(endpoint, request));
-    t.notOk(await watch.noteCut(endpoint, request));
-    t.equal(state.probes, word === ProbeWord.Listening ? 1 : 2, "a live one is not asked twice in a row");
+    t.notOk(await watch.noteInterruption(endpoint, request));
+    t.notOk(await watch.noteInterruption(endpoint, request));
+    t.equal(state.probes, word === ProbeResult.Listening ? 1 : 2, "a live one is not asked twice in a row");
     await clock.advance(200);
-    t.notOk(await watch.noteCut(endpoint, request));
-    t.equal(records.getVerdict(subject), Verdict.Clear);
+    t.notOk(await watch.noteInterruption(endpoint, request));
+    t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
 
 t.test("an endpoint that leaves, or whose record is gone, ends by itself", async (t) => {
   for (const state of [EndpointState.Leaving, EndpointState.Unlisted]) {
-    const { records, endpoint, watch } = createWatch(ProbeWord.NobodyThere);
+    const { records, endpoint, watch } = createWatch(ProbeResult.Refused);
     endpoint.state = state;
-    t.notOk(await watch.noteCut(endpoint, request));
-    t.equal(records.getVerdict(subject), Verdict.Clear);
+    t.notOk(await watch.noteInterruption(endpoint, request));
+    t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
 
 t.test(
   "one that ends before its drain time has gone by since it served as usual ends unplanned",
   async (t) => {
-    const { clock, records, watch } = createWatch(ProbeWord.NobodyThere);
+    const { clock, records, watch } = createWatch(ProbeResult.Refused);
     for (const id of ["e1", "e2", "e3"]) {
       const endpoint = createKnownEndpoint({ id });
       endpoint.servedAt = clock.getTime();
-      endpoint.words.noteLeaving(WordSource.Answer, clock.getTime());
+      endpoint.availability.noteLeaving(LeavingSource.Answer, clock.getTime());
       endpoint.state = EndpointState.Leaving;
       await clock.advance(100);
-      t.ok(await watch.noteCut(endpoint, request));
+      t.ok(await watch.noteInterruption(endpoint, request));
     }
-    t.equal(records.getVerdict(subject), Verdict.Convicted, "three endpoints ended under it");
+    t.equal(records.getQuarantineState(subject), QuarantineState.Convicted, "three endpoints ended under it");
   },
 );
 
 t.test(
   "one that ends its drain time after its word ends as planned, as does one whose record says so",
   async (t) => {
-    for (const source of [WordSource.Answer, WordSource.Peer, WordSource.Record, WordSource.Successor]) {
-      const { clock, records, endpoint, watch } = createWatch(ProbeWord.NobodyThere);
+    for (const source of [
+      LeavingSource.Answer,
+      LeavingSource.Peer,
+      LeavingSource.Record,
+      LeavingSource.Successor,
+    ]) {
+      const { clock, records, endpoint, watch } = createWatch(ProbeResult.Refused);
       endpoint.servedAt = clock.getTime();
-      endpoint.words.noteLeaving(source, clock.getTime());
+      endpoint.availability.noteLeaving(source, clock.getTime());
       endpoint.state = EndpointState.Leaving;
-      const isOfRecord = source === WordSource.Record || source === WordSource.Successor;
+      const isOfRecord = source === LeavingSource.Record || source === LeavingSource.Successor;
       await clock.advance(isOfRecord ? 100 : drainMs);
-      t.notOk(await watch.noteCut(endpoint, request), WordSource[source]);
-      t.equal(records.getVerdict(subject), Verdict.Clear);
+      t.notOk(await watch.noteInterruption(endpoint, request), LeavingSource[source]);
+      t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
     }
   },
 );
 
 t.test("a record that is still there takes an end back, unless the store is in trouble", async (t) => {
-  const { clock, records, endpoint, told, watch, state } = createWatch(ProbeWord.NobodyThere);
-  await watch.noteCut(endpoint, request);
+  const { clock, records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
+  await watch.noteInterruption(endpoint, request);
   await clock.advance(5_000);
   watch.review();
-  t.equal(records.getVerdict(subject), Verdict.Suspect, "a record outlasts its endpoint for a while");
+  t.equal(
+    records.getQuarantineState(subject),
+    QuarantineState.Suspect,
+    "a record outlasts its endpoint for a while",
+  );
   await clock.advance(2_000);
   state.troubleMs = 100;
   watch.review();
-  t.equal(records.getVerdict(subject), Verdict.Suspect);
+  t.equal(records.getQuarantineState(subject), QuarantineState.Suspect);
   state.troubleMs = Infinity;
   state.isListed = false;
   watch.review();
-  t.equal(records.getVerdict(subject), Verdict.Suspect, "its record is gone: it has ended");
+  t.equal(records.getQuarantineState(subject), QuarantineState.Suspect, "its record is gone: it has ended");
   state.isListed = true;
   watch.review();
-  t.equal(records.getVerdict(subject), Verdict.Clear);
+  t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   t.same(told.at(-1), { refuted: ["e"] });
 });
 
@@ -134,14 +146,14 @@
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
   const endpoints = Array.from({ length: count }, (_, index) => createKnownEndpoint({ id: `e${index}` }));
-  const grants = TrialGrants.create({
+  const grants = TrialScheduler.create({
     clock,
     records,
     getEndpoints: () => endpoints,
     getPeerWork: () => ({ active: 0, pendingTokens: 0 }),
   });
   const ask = (fingerprint: string, waitMs = 0, excluded: readonly string[] = []) =>
-    grants.ask({ service: "web", subject: { workspace: "w", fingerprint }, excluded, waitMs });
+    grants.decideOrWait({ service: "web", subject: { workspace: "w", fingerprint }, excluded, waitMs });
   return { clock, records, endpoints, grants, ask };
 }
 
@@ -153,7 +165,7 @@
     endpoints[0]!.active = 1;
     const first = await Promise.all(["a", "b", "c", "d"].map((fingerprint) => ask(fingerprint)));
     t.same(
-      first.map(({ word }) => TrialWord[word]),
+      first.map(({ word }) => TrialDecision[word]),
       ["Granted", "Granted", "Granted", "Busy"],
     );
     t.same(
@@ -164,26 +176,26 @@
     const waiting = ask("d", 600);
     grants.end("e2", "x");
     grants.end("e2", "b");
-    t.match(await waiting, { word: TrialWord.Granted, life: "e2" });
+    t.match(await waiting, { word: TrialDecision.Granted, life: "e2" });
     const late = ask("e", 600);
     await clock.advance(600);
-    t.equal((await late).word, TrialWord.Busy);
+    t.equal((await late).word, TrialDecision.Busy);
     await clock.advance(2_000);
-    t.equal((await ask("f")).word, TrialWord.Granted, "a grant whose end nobody told is over");
+    t.equal((await ask("f")).word, TrialDecision.Granted, "a grant whose end nobody told is over");
     grants.close();
   },
 );
 
 t.test("endpoints that have ended count as spent; the only one of a service may be tried", async (t) => {
   const { records, ask, grants } = createGrants(4);
-  records.take({ reports: [{ life: "e0", suspects: [], others: [] }] });
-  t.equal((await ask("a")).word, TrialWord.Granted);
-  t.equal((await ask("b")).word, TrialWord.Busy);
+  records.apply({ reports: [{ life: "e0", suspects: [], others: [] }] });
+  t.equal((await ask("a")).word, TrialDecision.Granted);
+  t.equal((await ask("b")).word, TrialDecision.Busy);
   grants.close();
   const single = createGrants(1);
-  t.match(await single.ask("a"), { word: TrialWord.Granted, life: "e0" });
-  t.equal((await single.ask("b")).word, TrialWord.Busy);
-  t.equal((await single.ask("b", 0, ["e0"])).word, TrialWord.Busy);
+  t.match(await single.ask("a"), { word: TrialDecision.Granted, life: "e0" });
+  t.equal((await single.ask("b")).word, TrialDecision.Busy);
+  t.equal((await single.ask("b", 0, ["e0"])).word, TrialDecision.Busy);
   single.grants.close();
 });
 
@@ -192,14 +204,14 @@
   const shared = SharedStore.create(clock);
   const records = CrashRecords.create(clock);
   const store = CrashStore.create({
-    store: MetadataStoreStandin.create(shared, clock),
+    store: FakeMetadataStore.create(shared, clock),
     clock,
     logger,
     records,
     isWriter: () => true,
   });
   const endTwice = (): void => {
-    for (const life of ["e1", "e2"]) records.take({ reports: [{ life, suspects: [subject], others: [] }] });
+    for (const life of ["e1", "e2"]) records.apply({ reports: [{ life, suspects: [subject], others: [] }] });
   };
   return { clock, shared, records, store, endTwice };
 }
@@ -210,7 +222,7 @@
   "what rests or is not run any more lies in the store, and is removed once it is cleared",
   async (t) => {
     const { clock, shared, records, store, endTwice } = createKept();
-    records.take({
+    records.apply({
       reports: [{ life: "e0", suspects: [], others: [{ workspace: "w", fingerprint: "other" }] }],
     });
     endTwice();
@@ -219,7 +231,7 @@
     store.review();
     await clock.advance(100);
     t.same([...shared.entries.keys()], [key], "one at a single endpoint that ended is not kept");
-    records.take({ acquittals: [{ fingerprint: "f", lives: ["e1", "e2"] }] });
+    records.apply({ acquittals: [{ fingerprint: "f", lives: ["e1", "e2"] }] });
     store.review();
     await clock.advance(100);
     t.same([...shared.entries.keys()], []);
@@ -234,19 +246,19 @@
     store.review();
     await clock.advance(100);
     const item = shared.entries.get(key)!;
-    store.take(key, item);
+    store.handleItem(key, item);
     shared.remove(key);
-    store.take(key, undefined, { cause: RemovalCause.Lost, troubleAgeMs: undefined });
-    t.equal(records.getVerdict(subject), Verdict.Resting);
+    store.handleItem(key, undefined, { cause: RemovalCause.Lost, troubleAgeMs: undefined });
+    t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
     store.review();
     await clock.advance(100);
     t.ok(shared.entries.has(key));
     shared.remove(key);
-    store.take(key, undefined, { cause: RemovalCause.Removed, troubleAgeMs: undefined });
-    t.equal(records.getVerdict(subject), Verdict.Clear);
+    store.handleItem(key, undefined, { cause: RemovalCause.Removed, troubleAgeMs: undefined });
+    t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
     shared.put(key, item.value);
-    store.take(key, item);
-    t.equal(records.getVerdict(subject), Verdict.Clear, "nor by a copy that has it still");
+    store.handleItem(key, item);
+    t.equal(records.getQuarantineState(subject), QuarantineState.Clear, "nor by a copy that has it still");
     store.review();
     await clock.advance(100);
     t.notOk(shared.entries.has(key));
@@ -256,7 +268,7 @@
 t.test("an item read from the store makes the verdict; one of another writer makes none", async (t) => {
   const { records, store } = createKept();
   const put = (value: string | Uint8Array): void =>
-    store.take(key, { key, revision: 1, value: Buffer.from(value as string) });
+    store.handleItem(key, { key, revision: 1, value: Buffer.from(value as string) });
   for (const value of [
     "",
     "{",
@@ -266,12 +278,16 @@
     Buffer.from([0xff]),
   ]) {
     put(value);
-    t.equal(records.getVerdict(subject), Verdict.Clear);
+    t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
   put(JSON.stringify({ workspace: "w", first: ["e1"], repeated: ["e2", "e3"] }));
-  t.equal(records.getVerdict(subject), Verdict.Convicted);
-  store.take(key, undefined);
-  t.equal(records.getVerdict(subject), Verdict.Clear, "an operator who removes the item clears it");
+  t.equal(records.getQuarantineState(subject), QuarantineState.Convicted);
+  store.handleItem(key, undefined);
+  t.equal(
+    records.getQuarantineState(subject),
+    QuarantineState.Clear,
+    "an operator who removes the item clears it",
+  );
 });
 
 t.test(
@@ -279,16 +295,16 @@
   async (t) => {
     const { clock, shared, records, store } = createKept();
     const other = { workspace: "w", fingerprint: "other" };
-    for (const life of ["e1", "e2"]) records.take({ reports: [{ life, suspects: [], others: [subject] }] });
-    records.take({ reports: [{ life: "e3", suspects: [subject, other], others: [] }] });
-    t.equal(records.getVerdict(subject), Verdict.Resting);
+    for (const life of ["e1", "e2"]) records.apply({ reports: [{ life, suspects: [], others: [subject] }] });
+    records.apply({ reports: [{ life: "e3", suspects: [subject, other], others: [] }] });
+    t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
     store.review();
     await clock.advance(100);
     const item = shared.entries.get(key);
     const later = createKept();
-    later.store.take(key, { key, revision: 1, value: item!.value });
-    t.not(later.records.getVerdict(subject), Verdict.Clear);
-    t.equal(later.records.getLives("f").length, 3);
+    later.store.handleItem(key, { key, revision: 1, value: item!.value });
+    t.not(later.records.getQuarantineState(subject), QuarantineState.Clear);
+    t.equal(later.records.getUncleared("f").length, 3);
   },
 );
 
@@ -297,7 +313,7 @@
   for (let index = 0; index < 80; index++) {
     const subjects = [{ workspace: "flood", fingerprint: `flood${index}` }];
     for (const life of ["a", "b"]) {
-      records.take({ reports: [{ life: `${life}${index}`, suspects: subjects, others: [] }] });
+      records.apply({ reports: [{ life: `${life}${index}`, suspects: subjects, others: [] }] });
     }
   }
   for (let step = 0; step < 100; step++) {
@@ -315,18 +331,18 @@
 t.test("a verdict that a later word makes milder is not cleared by it", async (t) => {
   const { clock, shared, records, store } = createKept();
   const beside = { workspace: "w", fingerprint: "beside" };
-  records.take({ reports: [{ life: "e1", suspects: [], others: [subject, beside] }] });
-  records.take({ reports: [{ life: "e2", suspects: [subject], others: [] }] });
+  records.apply({ reports: [{ life: "e1", suspects: [], others: [subject, beside] }] });
+  records.apply({ reports: [{ life: "e2", suspects: [subject], others: [] }] });
   store.review();
   await clock.advance(10);
-  records.take({ reports: [{ life: "e2", suspects: [beside], others: [] }] });
+  records.apply({ reports: [{ life: "e2", suspects: [beside], others: [] }] });
   store.review();
   await clock.advance(10);
   store.review();
   const item = shared.entries.get(key);
   t.ok(item, "the item stays");
-  if (item) store.take(key, { key, revision: 2, value: item.value });
-  else store.take(key, undefined);
-  t.equal(records.getVerdict(subject), Verdict.Isolated);
-  t.equal(records.getVerdict(beside), Verdict.Isolated);
+  if (item) store.handleItem(key, { key, revision: 2, value: item.value });
+  else store.handleItem(key, undefined);
+  t.equal(records.getQuarantineState(subject), QuarantineState.Isolated);
+  t.equal(records.getQuarantineState(beside), QuarantineState.Isolated);
 });
--- a/packages/gateway/test/crashRecords.test.ts
+++ b/packages/gateway/test/crashRecords.test.ts
@@ -4,8 +4,8 @@
   CrashRecords,
   type CrashReport,
   type CrashSubject,
-  type CrashWords,
-  Verdict,
+  type CrashUpdate,
+  QuarantineState,
 } from "@gladewall/gateway";
 import { VirtualClock } from "@gladewall/kernel";
 
@@ -17,37 +17,37 @@
 
 const guilty = createSubject("guilty");
 
-function createBench() {
+function createTestBench() {
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
   /** Ends a life with requests there, as an instance that knows all words reports it. */
   const end = (life: string, ...aboard: readonly CrashSubject[]): CrashReport => {
     const report = records.createReport(life, aboard);
-    records.take({ reports: [report] });
+    records.apply({ reports: [report] });
     return report;
   };
   return { clock, records, end };
 }
 
 t.test("one that ends each endpoint it runs at rests after two, and is not run after three", async (t) => {
-  const { clock, records, end } = createBench();
-  t.equal(records.getVerdict(guilty), Verdict.Clear);
+  const { clock, records, end } = createTestBench();
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
   end("e1", guilty, createSubject("a"), createSubject("b"));
-  t.equal(records.getVerdict(guilty), Verdict.Suspect);
-  t.equal(records.getVerdict(createSubject("a")), Verdict.Suspect);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Suspect);
+  t.equal(records.getQuarantineState(createSubject("a")), QuarantineState.Suspect);
   end("e2", guilty, createSubject("c"));
-  t.equal(records.getVerdict(guilty), Verdict.Resting);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Resting);
   t.equal(
-    records.getVerdict(createSubject("c")),
-    Verdict.Clear,
+    records.getQuarantineState(createSubject("c")),
+    QuarantineState.Clear,
     "one beside the only suspect is not to blame",
   );
   await clock.advance(minute);
-  t.equal(records.getVerdict(guilty), Verdict.Isolated);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Isolated);
   end("e3", guilty);
-  t.equal(records.getVerdict(guilty), Verdict.Convicted);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted);
   await clock.advance(100 * minute);
-  t.equal(records.getVerdict(guilty), Verdict.Convicted, "time alone changes nothing");
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted, "time alone changes nothing");
 });
 
 /*
@@ -55,68 +55,72 @@
  * have ended.
  */
 t.test("an end is kept for the verdict that it makes, also where all others are needed", async (t) => {
-  const { records, end } = createBench();
+  const { records, end } = createTestBench();
   for (let index = 0; index < 511; index++) {
     const subject = createSubject(`f${index}`, `w${index % 4}`);
     end(`a${index}`, subject);
     end(`b${index}`, subject);
   }
   for (const life of ["g1", "g2", "g3"]) end(life, guilty);
-  t.equal(records.getVerdict(guilty), Verdict.Convicted);
-  t.ok(records.hasEnded("g3"));
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted);
+  t.ok(records.hasCrashed("g3"));
 });
 
 t.test("several suspects share the blame, and run apart from then on", async (t) => {
-  const { records, end } = createBench();
+  const { records, end } = createTestBench();
   const innocent = createSubject("innocent");
   end("e1", guilty, innocent);
   end("e2", guilty, innocent);
-  t.equal(records.getVerdict(guilty), Verdict.Isolated);
-  t.equal(records.getVerdict(innocent), Verdict.Isolated);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Isolated);
+  t.equal(records.getQuarantineState(innocent), QuarantineState.Isolated);
   end("e3", guilty, createSubject("late"));
-  t.equal(records.getVerdict(guilty), Verdict.Convicted);
-  t.equal(records.getVerdict(innocent), Verdict.Isolated);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted);
+  t.equal(records.getQuarantineState(innocent), QuarantineState.Isolated);
 });
 
 t.test("ends at the same moment, before anybody knows, set a request apart and no more", async (t) => {
-  const { records } = createBench();
+  const { records } = createTestBench();
   const reports = ["e1", "e2", "e3", "e4"].map((life) => ({ life, suspects: [], others: [guilty] }));
-  records.take({ reports });
-  t.equal(records.getVerdict(guilty), Verdict.Isolated);
+  records.apply({ reports });
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Isolated);
 });
 
 t.test("a whole answer clears, and so does an endpoint that turns out to live", async (t) => {
-  const { records, end } = createBench();
+  const { records, end } = createTestBench();
   const innocent = createSubject("innocent");
   end("e1", guilty, innocent);
-  records.take({ acquittals: [{ fingerprint: "innocent", lives: records.getLives("innocent") }] });
-  t.equal(records.getVerdict(innocent), Verdict.Clear);
-  t.equal(records.getVerdict(guilty), Verdict.Suspect);
-  t.ok(records.isWatched("w"));
-  records.take({ refuted: ["e1"] });
-  t.equal(records.getVerdict(guilty), Verdict.Clear);
-  t.notOk(records.isWatched("w"), "nobody's requests are looked at any more");
+  records.apply({ acquittals: [{ fingerprint: "innocent", lives: records.getUncleared("innocent") }] });
+  t.equal(records.getQuarantineState(innocent), QuarantineState.Clear);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Suspect);
+  t.ok(records.hasSuspects("w"));
+  records.apply({ refuted: ["e1"] });
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
+  t.notOk(records.hasSuspects("w"), "nobody's requests are looked at any more");
   end("e1", guilty);
-  t.equal(records.getVerdict(guilty), Verdict.Clear, "a late report of the same life changes nothing");
+  t.equal(
+    records.getQuarantineState(guilty),
+    QuarantineState.Clear,
+    "a late report of the same life changes nothing",
+  );
 });
 
 t.test("a suspect that never came back is forgotten", async (t) => {
-  const { clock, records, end } = createBench();
+  const { clock, records, end } = createTestBench();
   end("e1", guilty);
   await clock.advance(11 * minute);
-  t.equal(records.getVerdict(guilty), Verdict.Clear);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
 });
 
 t.test("a workspace that makes endpoints end on purpose pushes out nobody else's requests", async (t) => {
-  const { records, end } = createBench();
+  const { records, end } = createTestBench();
   const other = createSubject("other", "quiet");
   end("o1", other);
   end("o2", other);
   end("g1", guilty);
   end("g2", guilty);
   for (let index = 0; index < 3_000; index++) end(`f${index}`, createSubject(`flood${index}`));
-  t.equal(records.getVerdict(other), Verdict.Resting);
-  t.equal(records.getVerdict(guilty), Verdict.Resting, "nor its own of which more is known");
+  t.equal(records.getQuarantineState(other), QuarantineState.Resting);
+  t.equal(records.getQuarantineState(guilty), QuarantineState.Resting, "nor its own of which more is known");
   t.ok(records.count().watched <= 300, `${records.count().watched} are watched`);
 });
 
@@ -125,7 +129,7 @@
 const subjects = fc
   .uniqueArray(name, { maxLength: 3 })
   .map((names) => names.map((one) => createSubject(one)));
-const words: fc.Arbitrary<CrashWords> = fc.oneof(
+const words: fc.Arbitrary<CrashUpdate> = fc.oneof(
   fc.record({ life, suspects: subjects, others: subjects }).map((report) => ({ reports: [report] })),
   life.map((one) => ({ refuted: [one] })),
 );
@@ -135,18 +139,21 @@
   async (t) => {
     fc.assert(
       fc.property(fc.array(words, { maxLength: 12 }), fc.infiniteStream(fc.nat()), (told, draws) => {
-        const one = createBench().records;
-        const other = createBench().records;
+        const one = createTestBench().records;
+        const other = createTestBench().records;
         // Words on an end that is not known yet tell nothing; each word comes again, as peers repeat all they know.
-        for (const word of [...told, ...told]) one.take(word);
+        for (const word of [...told, ...told]) one.apply(word);
         const keyed = told.map((word) => ({ word, key: draws.next().value as number }));
         const shuffled = keyed.sort((left, right) => left.key - right.key).map(({ word }) => word);
-        for (const word of [...shuffled, ...shuffled]) other.take(word);
+        for (const word of [...shuffled, ...shuffled]) other.apply(word);
         for (const fingerprint of ["a", "b", "c", "d"]) {
-          if (one.getVerdict(createSubject(fingerprint)) !== other.getVerdict(createSubject(fingerprint)))
+          if (
+            one.getQuarantineState(createSubject(fingerprint)) !==
+            other.getQuarantineState(createSubject(fingerprint))
+          )
             return false;
         }
-        return one.isWatched("w") === other.isWatched("w");
+        return one.hasSuspects("w") === other.hasSuspects("w");
       }),
       { seed: 43, numRuns: 400 },
     );
@@ -155,12 +162,12 @@
 );
 
 t.test("what one instance knows makes another know as much", async (t) => {
-  const { records, end } = createBench();
+  const { records, end } = createTestBench();
   end("e1", guilty, createSubject("a"));
   end("e2", guilty);
-  const newcomer = createBench().records;
-  t.ok(newcomer.take(records.createWords()));
-  t.equal(newcomer.getVerdict(guilty), Verdict.Resting);
-  t.equal(newcomer.getVerdict(createSubject("a")), records.getVerdict(createSubject("a")));
-  t.notOk(newcomer.take(records.createWords()), "told again, it is nothing new");
+  const newcomer = createTestBench().records;
+  t.ok(newcomer.apply(records.createSnapshot()));
+  t.equal(newcomer.getQuarantineState(guilty), QuarantineState.Resting);
+  t.equal(newcomer.getQuarantineState(createSubject("a")), records.getQuarantineState(createSubject("a")));
+  t.notOk(newcomer.apply(records.createSnapshot()), "told again, it is nothing new");
 });
--- a/packages/gateway/test/crashPlays.ts
+++ b/packages/gateway/test/crashScenarios.ts
@@ -3,12 +3,12 @@
  * with others' requests on them, connections that are reset. The endpoints count; what instances say is not believed.
  * @module
  */
-import { createDraws, type EndpointCall, answerGood, waitUntil } from "@gladewall/standins";
+import { createRandom, type EndpointRequest, respondSuccess, waitUntil } from "@gladewall/standins";
 import type { Test } from "tap";
-import { deadlyBody, type EndingEndpoints, startEndingFleet } from "./endingEndpoints.js";
+import { crashBody, type CrashingEndpoints, startCrashingFleet } from "./crashingEndpoints.js";
 
 /** What a play came to. */
-export interface CrashPlay {
+export interface CrashScenarioResult {
   /** Most endpoints that ended under one request. */
   readonly mostEnded: number;
   /** Most runs of one request that began after three endpoints had ended under it and its tries so far were over. */
@@ -18,7 +18,7 @@
   readonly unserved: number;
 }
 
-type Bench = Awaited<ReturnType<typeof startEndingFleet>>;
+type TestBench = Awaited<ReturnType<typeof startCrashingFleet>>;
 
 /** Ends that a request may cause before it must not run any more. */
 const borneEnds = 3;
@@ -36,7 +36,7 @@
   /** Bodies under which three endpoints had ended before the step that is played now. */
   private known = new Set<string>();
 
-  note({ body }: EndpointCall): void {
+  note({ body }: EndpointRequest): void {
     this.ended.set(body, (this.ended.get(body) ?? 0) + 1);
     if (this.known.has(body)) this.late.set(body, (this.late.get(body) ?? 0) + 1);
   }
@@ -49,17 +49,20 @@
 }
 
 /** Plays one seed. */
-export async function playCrashes(t: Pick<Test, "teardown">, seed: number): Promise<CrashPlay> {
-  const draw = createDraws(seed);
+export async function runCrashScenario(
+  t: Pick<Test, "teardown">,
+  seed: number,
+): Promise<CrashScenarioResult> {
+  const draw = createRandom(seed);
   const drawBelow = (count: number): number => Math.floor(draw() * count);
   const isLarge = draw() < 0.4;
-  const fleet = await startEndingFleet(t, (isLarge ? 5 : 2) + drawBelow(3), 4 + drawBelow(4), isLarge);
+  const fleet = await startCrashingFleet(t, (isLarge ? 5 : 2) + drawBelow(3), 4 + drawBelow(4), isLarge);
   const { bench, endpoints } = fleet;
   const runs = new DeadlyRuns();
   endpoints.onDeadly = (call) => runs.note(call);
   const drawInstance = () => bench.instances[drawBelow(bench.instances.length)]!;
   const sendDeadly = () => {
-    const body = `${deadlyBody} ${drawBelow(mostDeadly)}`;
+    const body = `${crashBody} ${drawBelow(mostDeadly)}`;
     return bench.call(drawInstance(), { method: "POST", key: "key", body });
   };
   const sendHarmless = (index: number, key = "key") =>
@@ -96,11 +99,11 @@
 
 /** Ends an endpoint that has requests which are not to blame. */
 async function endByItself(
-  { endpoints }: Bench,
+  { endpoints }: TestBench,
   draw: () => number,
   send: () => Promise<unknown>,
 ): Promise<void> {
-  const held: EndpointCall[] = [];
+  const held: EndpointRequest[] = [];
   endpoints.script = (call) => void held.push(call);
   let isOver = false;
   const answers = send().finally(() => (isOver = true));
@@ -108,24 +111,24 @@
   await waitUntil(() => held.length >= 1 || isOver);
   const alive = [...endpoints.alive];
   endpoints.end(alive[Math.floor(draw() * alive.length)]!);
-  endpoints.script = answerGood;
-  for (const call of held) if (!call.socket.destroyed) answerGood(call);
+  endpoints.script = respondSuccess;
+  for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
   await answers;
 }
 
 /** Resets the connection of the next request at an endpoint that lives. */
-async function resetOnce(endpoints: EndingEndpoints, send: () => Promise<unknown>): Promise<void> {
+async function resetOnce(endpoints: CrashingEndpoints, send: () => Promise<unknown>): Promise<void> {
   endpoints.script = (call) => {
-    endpoints.script = answerGood;
+    endpoints.script = respondSuccess;
     call.socket.resetAndDestroy();
   };
   await send();
-  endpoints.script = answerGood;
+  endpoints.script = respondSuccess;
 }
 
 /** Ends an instance and starts another in its place, which knows nothing of its own. */
 async function restartOne(
-  { bench, endpoints, getOverrides }: Bench,
+  { bench, endpoints, getOverrides }: TestBench,
   index: number,
   isLarge: boolean,
 ): Promise<void> {
@@ -135,6 +138,6 @@
   const name = `instance.name=${ended.settings.instance.name}`;
   await bench.startReady(endpoints.alive.size, "web", [...getOverrides(index), name]);
   const isTold = ({ gateway }: (typeof bench.instances)[number]): boolean =>
-    isLarge ? gateway.isReader || gateway.isFed : gateway.linkedPeers >= bench.instances.length - 1;
+    isLarge ? gateway.isReader || gateway.isFeedActive : gateway.linkedPeers >= bench.instances.length - 1;
   await waitUntil(() => bench.instances.every(isTold));
 }
--- a/packages/gateway/test/endingEndpoints.ts
+++ b/packages/gateway/test/crashingEndpoints.ts
@@ -5,22 +5,22 @@
 import { RouteKind } from "@gladewall/gateway";
 import type { Closeable } from "@gladewall/kernel";
 import {
-  answerGood,
+  respondSuccess,
   type BenchInstance,
   createRoute,
   createWorkspace,
-  type EndpointCall,
-  GatewayBench,
+  type EndpointRequest,
+  GatewayTestBench,
   ScriptedEndpoint,
   waitUntil,
 } from "@gladewall/standins";
 import type { Test } from "tap";
 
 /** Body under which an endpoint ends. */
-export const deadlyBody = "deadly";
+export const crashBody = "deadly";
 
 /** Endpoints of one service. */
-export class EndingEndpoints implements Closeable {
+export class CrashingEndpoints implements Closeable {
   readonly alive = new Set<ScriptedEndpoint>();
   /** Endpoints that ended under a request. */
   ended = 0;
@@ -28,14 +28,14 @@
   /** Endpoints that ended, and whose records are still there. */
   private gone: ScriptedEndpoint[] = [];
   /** Answers what ends no endpoint. */
-  script: (call: EndpointCall) => void = answerGood;
+  script: (call: EndpointRequest) => void = respondSuccess;
   /** Called with each request that ends its endpoint. */
-  onDeadly: (call: EndpointCall) => void = () => undefined;
+  onDeadly: (call: EndpointRequest) => void = () => undefined;
 
-  private constructor(private readonly bench: GatewayBench) {}
+  private constructor(private readonly bench: GatewayTestBench) {}
 
-  static async create(bench: GatewayBench, count: number): Promise<EndingEndpoints> {
-    const endpoints = new EndingEndpoints(bench);
+  static async create(bench: GatewayTestBench, count: number): Promise<CrashingEndpoints> {
+    const endpoints = new CrashingEndpoints(bench);
     for (let index = 0; index < count; index++) await endpoints.add();
     return endpoints;
   }
@@ -45,12 +45,12 @@
     this.lives += 1;
     const endpoint = await ScriptedEndpoint.create(`e${this.lives}`);
     endpoint.script = (call) => {
-      if (!call.body.startsWith(deadlyBody)) return this.script(call);
+      if (!call.body.startsWith(crashBody)) return this.script(call);
       if (this.alive.has(endpoint)) this.onDeadly(call);
       this.end(endpoint);
     };
     this.alive.add(endpoint);
-    this.bench.platform.list({ id: endpoint.id, address: endpoint.address });
+    this.bench.platform.putEndpoint({ id: endpoint.id, address: endpoint.address });
     return endpoint;
   }
 
@@ -69,7 +69,7 @@
   async replace(): Promise<void> {
     while (this.gone.length > 0) {
       const gone = this.gone.splice(0);
-      for (const { id } of gone) this.bench.platform.unlist(id);
+      for (const { id } of gone) this.bench.platform.removeEndpoint(id);
       await waitUntil(() => this.isKnown());
       for (let index = 0; index < gone.length; index++) await this.add();
       await waitUntil(() => this.isKnown());
@@ -91,35 +91,35 @@
 export const largeFleet = ["peers.largest_mesh=3", "peers.large_fleet_interval=40"];
 
 /** Instances before endpoints that may end; `isLarge` makes them tell each other as a large fleet does. */
-export async function startEndingFleet(
+export async function startCrashingFleet(
   t: Pick<Test, "teardown">,
   instanceCount: number,
   endpointCount: number,
   isLarge = false,
 ) {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   const route = createRoute({ kind: RouteKind.Safe, attempts: 2 });
   const workspaces = [createWorkspace({}), createWorkspace({ name: "other", keys: ["other-key"] })];
   bench.platform.configure({ routes: [route], workspaces });
-  const endpoints = await EndingEndpoints.create(bench, endpointCount);
+  const endpoints = await CrashingEndpoints.create(bench, endpointCount);
   const getOverrides = (index: number): readonly string[] =>
     isLarge ? [...largeFleet, `peers.capacity=${index}`] : [];
   for (let index = 0; index < instanceCount; index++) {
     await bench.startReady(endpointCount, "web", getOverrides(index));
   }
   const isTold = ({ gateway }: BenchInstance): boolean =>
-    isLarge ? gateway.isReader || gateway.isFed : gateway.linkedPeers === instanceCount - 1;
+    isLarge ? gateway.isReader || gateway.isFeedActive : gateway.linkedPeers === instanceCount - 1;
   await waitUntil(() => bench.instances.every(isTold));
   t.teardown(() => Promise.all([bench.close(), endpoints.close()]));
   return { bench, endpoints, getOverrides };
 }
 
 /** Sends the deadly request to an instance; endpoints that end under it come back before it resolves. */
-export async function sendDeadly(
-  bench: GatewayBench,
-  endpoints: EndingEndpoints,
+export async function sendCrashRequest(
+  bench: GatewayTestBench,
+  endpoints: CrashingEndpoints,
   instance: BenchInstance,
-  body = deadlyBody,
+  body = crashBody,
 ) {
   const answer = await bench.call(instance, { method: "POST", key: "key", body });
   await endpoints.replace();
--- a/packages/gateway/test/crashingRequest.test.ts
+++ b/packages/gateway/test/crashingRequest.test.ts
@@ -14,16 +14,16 @@
  */
 import t from "tap";
 import { waitUntil } from "@gladewall/standins";
-import { playCrashes } from "./crashPlays.js";
-import { sendDeadly, startEndingFleet } from "./endingEndpoints.js";
+import { runCrashScenario } from "./crashScenarios.js";
+import { sendCrashRequest, startCrashingFleet } from "./crashingEndpoints.js";
 
 /** Endpoints that may end under one request. */
 const mostEnded = 3;
 
 t.test("a request that ends each endpoint which runs it ends three at most, whoever is asked", async (t) => {
-  const { bench, endpoints } = await startEndingFleet(t, 3, 4);
+  const { bench, endpoints } = await startCrashingFleet(t, 3, 4);
   for (let index = 0; index < 12; index++) {
-    await sendDeadly(bench, endpoints, bench.instances[index % 3]!);
+    await sendCrashRequest(bench, endpoints, bench.instances[index % 3]!);
   }
   t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
   const answer = await bench.call(bench.instances[0]!, { method: "POST", key: "key", body: "harmless" });
@@ -31,9 +31,9 @@
 });
 
 t.test("what is known of it outlives every instance", async (t) => {
-  const { bench, endpoints } = await startEndingFleet(t, 2, 4);
+  const { bench, endpoints } = await startCrashingFleet(t, 2, 4);
   for (let index = 0; index < 6; index++) {
-    await sendDeadly(bench, endpoints, bench.instances[index % 2]!);
+    await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
   }
   const isKept = (): boolean =>
     [...bench.platform.shared.entries.keys()].some((key) => key.startsWith("gladewall/crashes/"));
@@ -41,26 +41,27 @@
   await Promise.all(bench.instances.splice(0).map(({ gateway }) => gateway.close()));
   for (let index = 0; index < 2; index++) await bench.startReady(4);
   for (let index = 0; index < 6; index++) {
-    await sendDeadly(bench, endpoints, bench.instances[index % 2]!);
+    await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
   }
   t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
 });
 
 t.test("in a large fleet the readers' words reach every instance in time", async (t) => {
-  const { bench, endpoints } = await startEndingFleet(t, 8, 6, true);
+  const { bench, endpoints } = await startCrashingFleet(t, 8, 6, true);
   for (let index = 0; index < 16; index++) {
-    await sendDeadly(bench, endpoints, bench.instances[index % 8]!);
+    await sendCrashRequest(bench, endpoints, bench.instances[index % 8]!);
   }
   t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
 });
 
 t.test("an instance that starts later is told by its peers", async (t) => {
-  const { bench, endpoints } = await startEndingFleet(t, 2, 4);
-  for (let index = 0; index < 4; index++) await sendDeadly(bench, endpoints, bench.instances[index % 2]!);
+  const { bench, endpoints } = await startCrashingFleet(t, 2, 4);
+  for (let index = 0; index < 4; index++)
+    await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
   const before = endpoints.ended;
   const late = await bench.startReady(4);
   await waitUntil(() => late.gateway.linkedPeers === 2);
-  const answer = await sendDeadly(bench, endpoints, late);
+  const answer = await sendCrashRequest(bench, endpoints, late);
   t.equal(answer.status, 503);
   t.ok(Number(answer.headers["retry-after"]) >= 1);
   t.equal(endpoints.ended, before);
@@ -69,11 +70,11 @@
 t.test(
   "several such requests at once end three endpoints each at most, and others are served between",
   async (t) => {
-    const { bench, endpoints } = await startEndingFleet(t, 3, 6);
+    const { bench, endpoints } = await startCrashingFleet(t, 3, 6);
     const bodies = ["deadly 1", "deadly 2", "deadly 3"];
     for (let round = 0; round < 8; round++) {
       const instance = bench.instances[round % 3]!;
-      for (const body of bodies) await sendDeadly(bench, endpoints, instance, body);
+      for (const body of bodies) await sendCrashRequest(bench, endpoints, instance, body);
       const answer = await bench.call(instance, {
         method: "POST",
         key: "other-key",
@@ -86,13 +87,13 @@
 );
 
 /** Seeds of plays; 50 and more are played by hand (scripts/crashSoak.mjs). */
-const playedSeeds = [1, 2, 3, 4];
+const scenarioSeeds = [1, 2, 3, 4];
 
-for (const seed of playedSeeds) {
+for (const seed of scenarioSeeds) {
   t.test(
     `drawn play ${seed}: no request runs more than three times after the third end, all others are served`,
     async (t) => {
-      const { mostRunsAfterThird, unserved } = await playCrashes(t, seed);
+      const { mostRunsAfterThird, unserved } = await runCrashScenario(t, seed);
       t.ok(mostRunsAfterThird <= 3, `${mostRunsAfterThird} runs`);
       t.equal(unserved, 0);
     },
--- a/packages/gateway/test/decisions.test.ts
+++ b/packages/gateway/test/decisions.test.ts
@@ -5,12 +5,12 @@
   LeakyBucket,
   planCapacity,
   RouteTable,
-  PeerTimes,
+  PeerClocks,
   SharedCounters,
   SlidingWindow,
-  TrueTime,
+  DisciplinedClock,
   UsageCounts,
-  drawTarget,
+  pickWeightedTarget,
   type HallCount,
 } from "@gladewall/gateway";
 import { VirtualClock } from "@gladewall/kernel";
@@ -32,8 +32,8 @@
   t.equal(find("APP.test:80", "/a/b"), "/a/");
   t.equal(find("app.test", "/a?x=/a/b/"), "/");
   t.equal(find("other.test", "/a/"), undefined);
-  t.equal(table.findWorkspace("key")?.name, "workspace");
-  t.equal(table.findWorkspace("none"), undefined);
+  t.equal(table.findWorkspaceByKey("key")?.name, "workspace");
+  t.equal(table.findWorkspaceByKey("none"), undefined);
 });
 
 t.test("targets are drawn by weight", async (t) => {
@@ -42,7 +42,7 @@
     { service: "b", weight: 10 },
   ];
   t.same(
-    [0, 0.89, 0.9, 0.999].map((random) => drawTarget(targets, random)),
+    [0, 0.89, 0.9, 0.999].map((random) => pickWeightedTarget(targets, random)),
     ["a", "a", "b", "b"],
   );
 });
@@ -76,24 +76,24 @@
   const windows = {
     [CounterKind.Quota]: 8_000,
     [CounterKind.Requests]: 8_000,
-    [CounterKind.Repeats]: 8_000,
-    [CounterKind.Work]: 8_000,
+    [CounterKind.Retries]: 8_000,
+    [CounterKind.PromptTokens]: 8_000,
   };
   const one = SharedCounters.create({ clock, windows });
   const two = SharedCounters.create({ clock, windows });
-  two.add(CounterKind.Work, "x", 10);
-  one.takeReport("two", "two/1", two.createReport());
-  one.takeReport("two", "two/1", two.createReport());
-  t.equal(one.getSum(CounterKind.Work, "x"), 10);
+  two.add(CounterKind.PromptTokens, "x", 10);
+  one.applyReport("two", "two/1", two.createReport());
+  one.applyReport("two", "two/1", two.createReport());
+  t.equal(one.getSum(CounterKind.PromptTokens, "x"), 10);
   await clock.advance(9_000);
-  t.equal(one.getSum(CounterKind.Work, "x"), 0);
-  two.add(CounterKind.Work, "x", 4);
-  one.takeReport("two", "two/1", two.createReport());
-  t.ok(Math.abs(one.getSum(CounterKind.Work, "x") - (4 * 8_000) / 9_000) < 1e-6);
+  t.equal(one.getSum(CounterKind.PromptTokens, "x"), 0);
+  two.add(CounterKind.PromptTokens, "x", 4);
+  one.applyReport("two", "two/1", two.createReport());
+  t.ok(Math.abs(one.getSum(CounterKind.PromptTokens, "x") - (4 * 8_000) / 9_000) < 1e-6);
   const restarted = SharedCounters.create({ clock, windows });
-  restarted.takeReport("one", "one/1", one.createReport());
-  t.ok(restarted.isInformed);
-  t.ok(restarted.getSum(CounterKind.Work, "x") >= 3);
+  restarted.applyReport("one", "one/1", one.createReport());
+  t.ok(restarted.knowsHistory);
+  t.ok(restarted.getSum(CounterKind.PromptTokens, "x") >= 3);
 });
 
 t.test(
@@ -101,9 +101,9 @@
   async (t) => {
     const usage = UsageCounts.create();
     usage.add(7, "a");
-    usage.takePeer("n/1", { 7: { a: 2 } });
-    usage.takePeer("n/1", { 7: { a: 3, b: 1 } });
-    usage.takePeer("n/2", { 7: { a: 1 } });
+    usage.mergePeerCounts("n/1", { 7: { a: 2 } });
+    usage.mergePeerCounts("n/1", { 7: { a: 3, b: 1 } });
+    usage.mergePeerCounts("n/2", { 7: { a: 1 } });
     t.same(usage.getTotal(7), { a: 5, b: 1 });
   },
 );
@@ -118,12 +118,12 @@
     getWallTime: () => clock.getWallTime() + step,
     startTimer: clock.startTimer.bind(clock),
   };
-  const time = TrueTime.create(stepped);
+  const time = DisciplinedClock.create(stepped);
   const before = time.get();
   step = 2_400;
   time.adjust([0, 1, -1]);
   t.ok(Math.abs(time.get() - before) < 50);
-  const late = TrueTime.create(stepped);
+  const late = DisciplinedClock.create(stepped);
   late.adjust([-2_400, -2_399, -2_401]);
   t.ok(Math.abs(late.get() - before) < 50);
 });
@@ -132,20 +132,20 @@
   "words that were long under way do not drive the time of day back, one word is not corrected twice",
   async (t) => {
     const clock = VirtualClock.create();
-    const time = TrueTime.create(clock);
+    const time = DisciplinedClock.create(clock);
     for (let turn = 0; turn < 40; turn++) {
       await clock.advance(250);
       time.adjust([-150, -180, -160]);
     }
     t.ok(Math.abs(time.get() - clock.getWallTime()) < 50);
-    const peers = PeerTimes.create(clock);
-    const late = TrueTime.create(clock);
-    for (const peer of ["a", "b", "c"]) peers.take(peer, late.get() - 2_000);
+    const peers = PeerClocks.create(clock);
+    const late = DisciplinedClock.create(clock);
+    for (const peer of ["a", "b", "c"]) peers.record(peer, late.get() - 2_000);
     const before = late.get();
-    for (let turn = 0; turn < 4; turn++) late.adjust(peers.getDifferences(late.get()));
+    for (let turn = 0; turn < 4; turn++) late.adjust(peers.getOffsets(late.get()));
     t.ok(Math.abs(late.get() - (before - 2_000)) < 50);
     await clock.advance(3_000);
-    t.same(peers.getDifferences(late.get()), []);
+    t.same(peers.getOffsets(late.get()), []);
   },
 );
 
--- a/packages/gateway/test/demand.test.ts
+++ b/packages/gateway/test/demandEstimator.test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { CounterKind, Demand, SharedCounters } from "@gladewall/gateway";
+import { CounterKind, DemandEstimator, SharedCounters } from "@gladewall/gateway";
 import { VirtualClock } from "@gladewall/kernel";
 import { createService } from "@gladewall/standins";
 
@@ -10,17 +10,17 @@
   const windows = {
     [CounterKind.Quota]: 8_000,
     [CounterKind.Requests]: 10_000,
-    [CounterKind.Repeats]: 10_000,
-    [CounterKind.Work]: windowMs,
+    [CounterKind.Retries]: 10_000,
+    [CounterKind.PromptTokens]: windowMs,
   };
   const counters = SharedCounters.create({ clock, windows });
-  const demand = Demand.create({
+  const demand = DemandEstimator.create({
     clock,
     counters,
     getReadingRate: () => 50,
     isRateLearned: () => true,
     utilization: 0.4,
-    leastPerHall: 1,
+    minEndpointsPerHall: 1,
     windowMs,
     getActive,
   });
@@ -33,26 +33,26 @@
   let active = 0;
   const { clock, demand } = createDemand(() => active);
   for (let second = 0; second < 10; second++) {
-    demand.count("pool", 100_000);
-    demand.getNeeded(service, 4, 4);
+    demand.countPromptTokens("pool", 100_000);
+    demand.getNeededEndpoints(service, 4, 4);
     await clock.advance(1_000);
   }
   // The window of four seconds holds five prompts: 125 tokens a millisecond, at 20 an endpoint.
-  t.equal(demand.getNeeded(service, 4, 4), 7);
+  t.equal(demand.getNeededEndpoints(service, 4, 4), 7);
   active = 96;
-  t.equal(demand.getNeeded(service, 4, 4), 15);
+  t.equal(demand.getNeededEndpoints(service, 4, 4), 15);
 });
 
 t.test("a need that has passed is provided for a while longer", async (t) => {
   let active = 96;
   const { clock, demand } = createDemand(() => active);
-  demand.count("pool", 1_000);
-  demand.getNeeded(service, 4, 0);
+  demand.countPromptTokens("pool", 1_000);
+  demand.getNeededEndpoints(service, 4, 0);
   await clock.advance(9_000);
-  t.equal(demand.getNeeded(service, 4, 0), 15);
+  t.equal(demand.getNeededEndpoints(service, 4, 0), 15);
   active = 0;
   await clock.advance(10_000);
-  t.equal(demand.getNeeded(service, 4, 0), 15);
+  t.equal(demand.getNeededEndpoints(service, 4, 0), 15);
   await clock.advance(10_000);
-  t.equal(demand.getNeeded(service, 4, 0), 4);
+  t.equal(demand.getNeededEndpoints(service, 4, 0), 4);
 });
--- a/packages/gateway/test/endpointWords.test.ts
+++ b/packages/gateway/test/endpointAvailability.test.ts
@@ -10,16 +10,16 @@
 import { type Endpoint, EndpointDirectory } from "@gladewall/gateway";
 import { Logger, LogLevel, VirtualClock } from "@gladewall/kernel";
 import {
-  answerGood,
-  answerLeaving,
+  respondSuccess,
+  respondLeaving,
   type EndpointScript,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
-  StandinPlatform,
-  StoreTrouble,
+  FakePlatform,
+  StoreFault,
   waitUntil,
 } from "@gladewall/standins";
-import { largeFleet } from "./endingEndpoints.js";
+import { largeFleet } from "./crashingEndpoints.js";
 
 const notice = { isLeaving: true, holdOffMs: undefined };
 const source = { requestId: "r", status: 200 };
@@ -43,9 +43,9 @@
 }
 
 /** A directory, and the record of one endpoint. */
-function createPlay(log: (line: string) => void = () => undefined) {
+function createScenario(log: (line: string) => void = () => undefined) {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   let troubleMs = Infinity;
   let born = 1;
   let slots = 4;
@@ -59,11 +59,11 @@
     watchWaitMs: 600,
     unlistedMs: 400,
   });
-  const list = (): void => platform.list({ id: "e", born, address, slots: (slots += 1) });
+  const list = (): void => platform.putEndpoint({ id: "e", born, address, slots: (slots += 1) });
   const takeWord = (endpoint: Endpoint | undefined): void => {
     if (!endpoint) return;
-    left.add(endpoint.life);
-    directory.takeNotice(endpoint, notice, source);
+    left.add(endpoint.incarnation);
+    directory.handleNotice(endpoint, notice, source);
   };
   const handlers: Readonly<Record<Event, () => void>> = {
     [Event.Word]: () => takeWord(directory.get("e")),
@@ -71,11 +71,11 @@
     [Event.Record]: list,
     [Event.GoneInTrouble]: () => {
       troubleMs = 0;
-      platform.unlist("e");
+      platform.removeEndpoint("e");
     },
     [Event.Gone]: () => {
       troubleMs = Infinity;
-      platform.unlist("e");
+      platform.removeEndpoint("e");
     },
     [Event.Listing]: () => directory.restart(),
     [Event.NextLife]: () => {
@@ -92,16 +92,16 @@
     await clock.advance(waitMs);
     look();
   };
-  return { clock, directory, play, left, list, platform, close: () => closePlay(directory, clock) };
+  return { clock, directory, play, left, list, platform, close: () => closeScenario(directory, clock) };
 }
 
-async function closePlay(directory: EndpointDirectory, clock: VirtualClock): Promise<void> {
+async function closeScenario(directory: EndpointDirectory, clock: VirtualClock): Promise<void> {
   const closed = directory.close();
   await clock.advance(20_000);
   await closed;
 }
 
-const drawnEvents = fc.array(
+const generatedEvents = fc.array(
   fc.tuple(
     fc.constantFrom<Event>(
       Event.Word,
@@ -119,7 +119,7 @@
 
 /** Plays events; returns the first after which a life that left is used, or one that did not is not. */
 async function findWrongUse(events: readonly (readonly [Event, number])[]): Promise<string | undefined> {
-  const { clock, directory, play, left, list, close } = createPlay();
+  const { clock, directory, play, left, list, close } = createScenario();
   directory.start();
   list();
   await clock.advance(200);
@@ -129,8 +129,8 @@
     await play(event, waitMs);
     const endpoint = directory.get("e");
     const isListed = event === Event.Record || event === Event.NextLife;
-    if (endpoint?.isUsable() && left.has(endpoint.life)) wrong ??= `used after ${Event[event]}`;
-    if (isListed && endpoint && !endpoint.isUsable() && !left.has(endpoint.life)) {
+    if (endpoint?.isUsable() && left.has(endpoint.incarnation)) wrong ??= `used after ${Event[event]}`;
+    if (isListed && endpoint && !endpoint.isUsable() && !left.has(endpoint.incarnation)) {
       wrong ??= `not used after ${Event[event]}`;
     }
   }
@@ -139,7 +139,7 @@
 }
 
 t.test("in whatever order words and records come, a life that said that it leaves is not used", async (t) => {
-  const property = fc.asyncProperty(drawnEvents, async (events) => {
+  const property = fc.asyncProperty(generatedEvents, async (events) => {
     return (await findWrongUse(events)) === undefined;
   });
   const examples: [[Event, number][]][] = [
@@ -178,7 +178,7 @@
 
 /** Answers of each status and kind with the word, as an endpoint gives them that leaves. */
 const leavingAnswers: Readonly<Record<string, EndpointScript>> = {
-  "an answer that is passed on": answerLeaving,
+  "an answer that is passed on": respondLeaving,
   "a refusal": ({ id, response }) => {
     response.writeHead(503, { "x-id": id, "x-not-run": "1", "x-leaving": "1", "content-length": 0 });
     response.end();
@@ -195,38 +195,38 @@
 
 /** An instance before two endpoints; the one that is called first answers by a script from then on, the other well. */
 async function startPair(t: Pick<Test, "teardown">, script: EndpointScript) {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
   const endpoints = await Promise.all(["a", "b"].map((id) => ScriptedEndpoint.create(id)));
   let leaving: ScriptedEndpoint | undefined;
   for (const endpoint of endpoints) {
-    bench.platform.list({ id: endpoint.id, address: endpoint.address });
+    bench.platform.putEndpoint({ id: endpoint.id, address: endpoint.address });
     endpoint.script = (call) => {
       leaving ??= endpoint;
       if (leaving === endpoint) script(call);
-      else answerGood(call);
+      else respondSuccess(call);
     };
   }
   const instance = await bench.startReady(2);
   t.teardown(() => Promise.all([bench.close(), ...endpoints.map((endpoint) => endpoint.close())]));
-  const setTrouble = (trouble: StoreTrouble): void => {
-    for (const store of bench.platform.stores) store.trouble = trouble;
+  const setTrouble = (trouble: StoreFault): void => {
+    for (const store of bench.platform.stores) store.fault = trouble;
   };
-  return { bench, instance, setTrouble, countCalls: () => leaving?.calls.length };
+  return { bench, instance, setTrouble, countCalls: () => leaving?.requests.length };
 }
 
 t.test("no request goes to an endpoint that said in an answer that it leaves", async (t) => {
   for (const [name, script] of Object.entries(leavingAnswers)) {
     await t.test(`${name} says so while the store is away`, async (t) => {
       const { bench, instance, setTrouble, countCalls } = await startPair(t, script);
-      setTrouble(StoreTrouble.Down);
+      setTrouble(StoreFault.Down);
       await bench.call(instance);
       t.equal(instance.gateway.countEndpoints("web"), 1);
       for (let index = 0; index < 20; index++) t.equal((await bench.call(instance)).status, 200);
       t.equal(countCalls(), 1);
     });
   }
-  await t.test("all of a service leaves: refused at once; the next life is used", playWholeService);
+  await t.test("all of a service leaves: refused at once; the next life is used", checkWholeService);
 });
 
 t.test("a word that belongs to another request, or to nobody, says nothing", async (t) => {
@@ -248,56 +248,56 @@
 });
 
 t.test("peers are told at once, without the store; one that is linked later, too", async (t) => {
-  const { bench, instance, setTrouble, countCalls } = await startPair(t, answerLeaving);
+  const { bench, instance, setTrouble, countCalls } = await startPair(t, respondLeaving);
   const other = await bench.startReady(2);
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
-  setTrouble(StoreTrouble.Down);
+  setTrouble(StoreFault.Down);
   await bench.call(instance);
   t.equal(instance.gateway.countEndpoints("web"), 1, "the instance that heard it");
   if (instance.gateway.countEndpoints("web") > 1) return;
   await waitUntil(() => other.gateway.countEndpoints("web") === 1);
   for (let index = 0; index < 20; index++) t.equal((await bench.call(other)).status, 200);
   t.equal(countCalls(), 1);
-  setTrouble(StoreTrouble.None);
+  setTrouble(StoreFault.None);
   const late = await bench.startReady(1);
   await waitUntil(() => late.gateway.linkedPeers === 2 && late.gateway.countEndpoints("web") === 1);
 });
 
 t.test("in a large fleet the readers hand the word on to every instance", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
-  const leaving = await ScriptedEndpoint.create("leaving", answerLeaving);
-  bench.platform.list({ id: leaving.id, address: leaving.address });
+  const leaving = await ScriptedEndpoint.create("leaving", respondLeaving);
+  bench.platform.putEndpoint({ id: leaving.id, address: leaving.address });
   t.teardown(() => Promise.all([bench.close(), leaving.close()]));
   for (let index = 0; index < 7; index++) {
     await bench.startReady(1, "web", [...largeFleet, `peers.capacity=${index}`]);
   }
   const [told] = bench.instances;
-  await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFed));
+  await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
   t.notOk(told!.gateway.isReader);
-  for (const store of bench.platform.stores) store.trouble = StoreTrouble.Down;
+  for (const store of bench.platform.stores) store.fault = StoreFault.Down;
   t.equal((await bench.call(told!)).status, 200);
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === 0));
-  t.equal(leaving.calls.length, 1);
+  t.equal(leaving.requests.length, 1);
 });
 
-async function playWholeService(t: Test): Promise<void> {
-  const bench = GatewayBench.create();
+async function checkWholeService(t: Test): Promise<void> {
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
-  const leaving = await ScriptedEndpoint.create("e", answerLeaving);
-  const next = await ScriptedEndpoint.create("e", answerGood);
-  bench.platform.list({ id: "e", born: 1, address: leaving.address });
+  const leaving = await ScriptedEndpoint.create("e", respondLeaving);
+  const next = await ScriptedEndpoint.create("e", respondSuccess);
+  bench.platform.putEndpoint({ id: "e", born: 1, address: leaving.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), leaving.close(), next.close()]));
-  for (const store of bench.platform.stores) store.trouble = StoreTrouble.Down;
+  for (const store of bench.platform.stores) store.fault = StoreFault.Down;
   t.equal((await bench.call(instance)).status, 200);
   const refused = await bench.call(instance);
   t.equal(refused.status, 503);
   t.ok(Number(refused.headers["retry-after"]) > 0);
-  t.equal(leaving.calls.length, 1);
-  for (const store of bench.platform.stores) store.trouble = StoreTrouble.None;
-  bench.platform.list({ id: "e", born: 2, address: next.address });
+  t.equal(leaving.requests.length, 1);
+  for (const store of bench.platform.stores) store.fault = StoreFault.None;
+  bench.platform.putEndpoint({ id: "e", born: 2, address: next.address });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 1);
   t.equal((await bench.call(instance)).status, 200);
-  t.equal(leaving.calls.length + next.calls.length, 2);
+  t.equal(leaving.requests.length + next.requests.length, 2);
 }
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -7,21 +7,21 @@
 import {
   CrashRecords,
   Endpoint,
-  EndpointWords,
-  type CrashWatch,
+  EndpointAvailability,
+  type CrashDetector,
   GatewayMetrics,
   longestRetryAfterMs,
   parseRetryAfter,
-  Suspects,
-  TrialWord,
-  Verdict,
+  SuspectGate,
+  TrialDecision,
+  QuarantineState,
 } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
 import {
-  answerGood,
-  type EndpointCall,
+  respondSuccess,
+  type EndpointRequest,
   type EndpointScript,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
   waitUntil,
 } from "@gladewall/standins";
@@ -40,13 +40,13 @@
 }
 
 /** One instance before endpoints with scripts. */
-async function startBench(t: Pick<Test, "teardown">, scripts: readonly EndpointScript[]) {
-  const bench = GatewayBench.create();
+async function startTestBench(t: Pick<Test, "teardown">, scripts: readonly EndpointScript[]) {
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
   const endpoints = await Promise.all(
     scripts.map((script, index) => ScriptedEndpoint.create(`e${index}`, script)),
   );
-  for (const { id, address } of endpoints) bench.platform.list({ id, address });
+  for (const { id, address } of endpoints) bench.platform.putEndpoint({ id, address });
   const instance = await bench.startReady(endpoints.length);
   t.teardown(() => Promise.all([bench.close(), ...endpoints.map((endpoint) => endpoint.close())]));
   return { bench, instance, endpoints };
@@ -54,7 +54,7 @@
 
 t.test("an endpoint that names a time is sent nothing by that instance until then", async (t) => {
   for (const isNotRun of [true, false]) {
-    const { bench, instance, endpoints } = await startBench(t, [createRefusal(longMs, isNotRun)]);
+    const { bench, instance, endpoints } = await startTestBench(t, [createRefusal(longMs, isNotRun)]);
     await bench.call(instance);
     for (let index = 0; index < 20; index++) {
       const refused = await bench.call(instance);
@@ -62,33 +62,33 @@
       const seconds = Number(refused.headers["retry-after"]);
       t.ok(seconds > 1 && seconds <= longMs / 1_000, "says when it can be served, not earlier");
     }
-    t.equal(endpoints[0]?.calls.length, 1);
+    t.equal(endpoints[0]?.requests.length, 1);
     t.equal(instance.gateway.countEndpoints("web"), 1, "it does not leave");
   }
 });
 
 t.test("another instance is not bound by it, and other endpoints serve meanwhile", async (t) => {
-  const { bench, instance, endpoints } = await startBench(t, [createRefusal(longMs), answerGood]);
+  const { bench, instance, endpoints } = await startTestBench(t, [createRefusal(longMs), respondSuccess]);
   const other = await bench.startReady(2);
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
   const [held, good] = endpoints;
   good!.script = ({ socket }) => socket.destroy();
-  while (held!.calls.length === 0) await bench.call(instance);
-  good!.script = answerGood;
+  while (held!.requests.length === 0) await bench.call(instance);
+  good!.script = respondSuccess;
   for (let index = 0; index < 20; index++) t.equal((await bench.call(instance)).status, 200);
-  t.equal(held!.calls.length, 1);
+  t.equal(held!.requests.length, 1);
   good!.script = ({ socket }) => socket.destroy();
-  while (held!.calls.length === 1) await bench.call(other);
-  t.equal(held!.calls.length, 2);
+  while (held!.requests.length === 1) await bench.call(other);
+  t.equal(held!.requests.length, 2);
 });
 
 t.test("when the time is over one request goes first, and more only once it was taken", async (t) => {
-  const { bench, instance, endpoints } = await startBench(t, [createRefusal(shortMs)]);
+  const { bench, instance, endpoints } = await startTestBench(t, [createRefusal(shortMs)]);
   const [endpoint] = endpoints;
   await bench.call(instance);
-  const waiting: EndpointCall[] = [];
+  const waiting: EndpointRequest[] = [];
   endpoint!.script = (call) => waiting.push(call);
-  const isTried = (): boolean => endpoint!.calls.length >= 2;
+  const isTried = (): boolean => endpoint!.requests.length >= 2;
   const first = (async () => {
     let answer = await bench.call(instance);
     while (!isTried()) answer = await bench.call(instance);
@@ -100,9 +100,9 @@
     crowd.every(({ status }) => status === 503),
     "refused at once",
   );
-  t.equal(endpoint!.calls.length, 2);
-  endpoint!.script = answerGood;
-  for (const call of waiting) answerGood(call);
+  t.equal(endpoint!.requests.length, 2);
+  endpoint!.script = respondSuccess;
+  for (const call of waiting) respondSuccess(call);
   t.equal((await first).status, 200);
   t.equal((await bench.call(instance)).status, 200);
 });
@@ -113,30 +113,30 @@
   const subject = { workspace: "w", fingerprint: "f" };
   for (const life of ["ended1", "ended2"]) {
     const aboard = [subject, { workspace: "w", fingerprint: "beside" }];
-    records.take({ reports: [records.createReport(life, aboard)] });
+    records.apply({ reports: [records.createReport(life, aboard)] });
   }
   const [held, open] = ["held", "open"].map((id) => createKnownEndpoint({ id })) as [Endpoint, Endpoint];
   const asked: (readonly string[])[] = [];
-  const suspects = Suspects.create({
+  const suspects = SuspectGate.create({
     clock,
     logger: Logger.createSilent(),
     records,
-    watch: undefined as unknown as CrashWatch,
+    detector: undefined as unknown as CrashDetector,
     metrics: GatewayMetrics.create("127.0.0.1:0"),
-    tell: () => undefined,
-    ask: async ({ excluded }) => {
+    broadcast: () => undefined,
+    callArbiter: async ({ excluded }) => {
       asked.push(excluded);
-      return { word: TrialWord.Granted, life: open.life };
+      return { word: TrialDecision.Granted, life: open.incarnation };
     },
     endTrial: () => undefined,
     getEndpoints: () => [held, open],
-    findEndpoint: (life) => [held, open].find((endpoint) => endpoint.life === life),
+    findEndpoint: (life) => [held, open].find((endpoint) => endpoint.incarnation === life),
   });
   const seek = async () => {
     await clock.advance(1_000);
-    return suspects.seek({ id: "r", subject, service: "web", excluded: new Set(), leftMs: 5_000 });
+    return suspects.findTrial({ id: "r", subject, service: "web", excluded: new Set(), leftMs: 5_000 });
   };
-  const isApart = (): boolean => records.getVerdict(subject) === Verdict.Isolated;
+  const isApart = (): boolean => records.getQuarantineState(subject) === QuarantineState.Isolated;
   return { clock, seek, held, open, asked, isApart };
 }
 
@@ -147,11 +147,11 @@
 t.test("a suspect is not granted a run at an endpoint that holds this instance off", async (t) => {
   const { clock, seek, held, open, asked, isApart } = createSuspects();
   t.ok(isApart());
-  held.words.noteHoldOff(longMs, clock.getTime());
+  held.availability.noteHoldOff(longMs, clock.getTime());
   const first = await seek();
   t.equal(first.unwrap()?.endpoint, open);
-  t.same(asked, [[held.life]]);
-  open.words.noteHoldOff(longMs, clock.getTime());
+  t.same(asked, [[held.incarnation]]);
+  open.availability.noteHoldOff(longMs, clock.getTime());
   const second = await seek();
   t.ok(second.isErr(), "granted all the same, it is not used");
 });
@@ -159,50 +159,50 @@
 t.test("a suspect is not granted a run at an endpoint that gives this instance no permit", async (t) => {
   const { clock, seek, held, open, asked } = createSuspects();
   const time = clock.getTime();
-  held.words.noteLimit(1, { sentAt: time, heardAt: time }, time);
+  held.availability.noteLimit(1, { sentAt: time, receivedAt: time }, time);
   t.equal((await seek()).unwrap()?.endpoint, open);
   t.same(asked.pop(), [], "it may ask for a permit");
-  held.words.limit.beginAsk();
-  held.words.limit.endAsk({ permits: 0, waitMs: longMs }, 0, clock.getTime());
+  held.availability.limit.beginPermitCall();
+  held.availability.limit.endPermitCall({ permits: 0, waitMs: longMs }, 0, clock.getTime());
   t.equal((await seek()).unwrap()?.endpoint, open);
-  t.same(asked.pop(), [held.life]);
+  t.same(asked.pop(), [held.incarnation]);
 });
 
 t.test("the later end holds, and an answer to an earlier request does not shorten it", async (t) => {
-  const words = EndpointWords.create();
-  t.ok(words.mayTake(0));
-  const earlier = words.beginTry();
+  const words = EndpointAvailability.create();
+  t.ok(words.acceptsRequest(0));
+  const earlier = words.beginAttempt();
   words.noteHoldOff(1_000, 0);
   words.noteHoldOff(300, 100);
-  t.notOk(words.mayTake(999));
-  t.ok(words.mayTake(1_000));
-  const first = words.beginTry();
-  words.endTry(earlier, true);
-  t.notOk(words.mayTake(1_000), "the first one is not answered");
-  words.endTry(first, true);
-  t.ok(words.mayTake(1_000));
+  t.notOk(words.acceptsRequest(999));
+  t.ok(words.acceptsRequest(1_000));
+  const first = words.beginAttempt();
+  words.endAttempt(earlier, true);
+  t.notOk(words.acceptsRequest(1_000), "the first one is not answered");
+  words.endAttempt(first, true);
+  t.ok(words.acceptsRequest(1_000));
 });
 
 t.test("requests come back one, two, four at a time; a refusal begins anew", async (t) => {
-  const words = EndpointWords.create();
+  const words = EndpointAvailability.create();
   words.noteHoldOff(1_000, 0);
   const fill = (time: number): number[] => {
     const tries: number[] = [];
-    while (tries.length < 100 && words.mayTake(time)) tries.push(words.beginTry());
+    while (tries.length < 100 && words.acceptsRequest(time)) tries.push(words.beginAttempt());
     return tries;
   };
   const counts: number[] = [];
   for (const time of [1_000, 1_010, 1_020, 1_030]) {
     const tries = fill(time);
     counts.push(tries.length);
-    for (const round of tries) words.endTry(round, true);
+    for (const round of tries) words.endAttempt(round, true);
   }
   t.same(counts, [1, 2, 4, 100]);
   words.noteHoldOff(500, 2_000);
   t.equal(fill(2_499).length, 0);
   const [next = 0, ...others] = fill(2_500);
   t.equal(others.length, 0);
-  words.endTry(next, false);
+  words.endAttempt(next, false);
   t.equal(fill(2_520).length, 1, "one that was not taken makes no room");
 });
 
--- a/packages/gateway/test/endpointLives.test.ts
+++ b/packages/gateway/test/endpointIncarnations.test.ts
@@ -5,14 +5,20 @@
  * another writer, with a state of another type, counted as an endpoint that leaves.
  */
 import t from "tap";
-import { type Endpoint, EndpointConnections, EndpointDirectory, PrefixMemory } from "@gladewall/gateway";
+import { type Endpoint, EndpointConnections, EndpointDirectory, PrefixIndex } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
-import { answerGood, GatewayBench, ScriptedEndpoint, StandinPlatform, waitUntil } from "@gladewall/standins";
+import {
+  respondSuccess,
+  GatewayTestBench,
+  ScriptedEndpoint,
+  FakePlatform,
+  waitUntil,
+} from "@gladewall/standins";
 
 /** A directory that follows a platform's records. */
 function createDirectory(t: Pick<typeof import("tap").t, "teardown">) {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   const directory = EndpointDirectory.create({
     platform: platform.createAdapter(),
     clock,
@@ -30,29 +36,29 @@
 t.test("an endpoint that starts again under its id is used again, and begins with nothing", async (t) => {
   const { clock, platform, directory, find } = createDirectory(t);
   const forgotten: string[] = [];
-  directory.onRemoved(({ life }) => forgotten.push(life));
-  platform.list({ id: "e", born: 1, address: "127.0.0.1:1" });
+  directory.onRemoved(({ incarnation: life }) => forgotten.push(life));
+  platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1" });
   await clock.advance(200);
   const former = find();
   former?.noteUnreachable(clock.getTime());
-  platform.list({ id: "e", born: 1, address: "127.0.0.1:1", isLeaving: true });
+  platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1", isLeaving: true });
   await clock.advance(200);
   t.notOk(find()?.isUsable());
-  platform.list({ id: "e", born: 2, address: "127.0.0.1:2" });
+  platform.putEndpoint({ id: "e", born: 2, address: "127.0.0.1:2" });
   await clock.advance(200);
   t.ok(find()?.isUsable());
   t.notOk(find()?.isUnreachable(clock.getTime()));
-  t.not(find()?.life, former?.life);
+  t.not(find()?.incarnation, former?.incarnation);
   t.same(forgotten, ["e@1"]);
   t.equal(directory.getOfService("web").length, 1);
 });
 
 t.test("a late record of a former life changes nothing of the next one", async (t) => {
   const { clock, platform, find } = createDirectory(t);
-  platform.list({ id: "e", born: 2, address: "127.0.0.1:2" });
+  platform.putEndpoint({ id: "e", born: 2, address: "127.0.0.1:2" });
   await clock.advance(200);
   for (const born of [1, undefined]) {
-    platform.list({ id: "e", born, address: "127.0.0.1:1", isLeaving: true });
+    platform.putEndpoint({ id: "e", born, address: "127.0.0.1:1", isLeaving: true });
     await clock.advance(200);
     t.ok(find()?.isUsable(), `born ${born}`);
     t.equal(find()?.record.address, "127.0.0.1:2");
@@ -62,40 +68,40 @@
 t.test("connections and parts of prompts are those of a life", async (t) => {
   const { clock, platform, find } = createDirectory(t);
   const connections = EndpointConnections.create();
-  const memory = PrefixMemory.create();
-  platform.list({ id: "e", born: 1, address: "127.0.0.1:1" });
+  const memory = PrefixIndex.create();
+  platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1" });
   await clock.advance(200);
   const former = find()!;
-  memory.takePeer({ [former.life]: ["part"] });
+  memory.mergePeer({ [former.incarnation]: ["part"] });
   t.equal(connections.get(former).port, 1);
-  platform.list({ id: "e", born: 2, address: "127.0.0.1:2" });
+  platform.putEndpoint({ id: "e", born: 2, address: "127.0.0.1:2" });
   await clock.advance(200);
   const next = find()!;
   t.equal(connections.get(next).port, 2);
   connections.remove(former);
   t.equal(connections.get(next).port, 2);
-  memory.removeEndpoint(former.life);
-  t.notOk(memory.holds("part", next.life));
-  memory.takePeer({ [next.life]: ["part"], [former.life]: ["late"] });
-  t.ok(memory.holds("part", next.life));
-  t.notOk(memory.holds("late", former.life));
+  memory.removeEndpoint(former.incarnation);
+  t.notOk(memory.holds("part", next.incarnation));
+  memory.mergePeer({ [next.incarnation]: ["part"], [former.incarnation]: ["late"] });
+  t.ok(memory.holds("part", next.incarnation));
+  t.notOk(memory.holds("late", former.incarnation));
 });
 
 t.test("requests go to the next life of an id", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
-  const lives = await Promise.all([1, 2].map(() => ScriptedEndpoint.create("e", answerGood)));
-  bench.platform.list({ id: "e", born: 1, address: lives[0]!.address });
+  const lives = await Promise.all([1, 2].map(() => ScriptedEndpoint.create("e", respondSuccess)));
+  bench.platform.putEndpoint({ id: "e", born: 1, address: lives[0]!.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), ...lives.map((life) => life.close())]));
   t.equal((await bench.call(instance)).status, 200);
-  bench.platform.list({ id: "e", born: 1, address: lives[0]!.address, isLeaving: true });
+  bench.platform.putEndpoint({ id: "e", born: 1, address: lives[0]!.address, isLeaving: true });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 0);
-  bench.platform.list({ id: "e", born: 2, address: lives[1]!.address });
+  bench.platform.putEndpoint({ id: "e", born: 2, address: lives[1]!.address });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 1);
   t.equal((await bench.call(instance)).status, 200);
   t.same(
-    lives.map(({ calls }) => calls.length),
+    lives.map(({ requests: calls }) => calls.length),
     [1, 1],
   );
 });
--- a/packages/gateway/test/endpointLimitPlays.test.ts
+++ b/packages/gateway/test/endpointLimitScenarios.test.ts
@@ -4,14 +4,14 @@
  * One issuer gives permits out for each life; these plays kill it, pause it, slow it down and cut it off.
  */
 import t from "tap";
-import { type PermitPlay, playPermitFleet } from "./permitFleet.js";
+import { type PermitScenario, runPermitScenario } from "./permitFleet.js";
 
 const second = 1_000;
-const standing: PermitPlay = {
+const standing: PermitScenario = {
   seed: 1,
   instances: 9,
   named: [{ from: 0, perSecond: 1 }],
-  wishedPerSecond: 40,
+  offeredPerSecond: 40,
   endsAt: 24 * second,
 };
 const seeds = [1, 2, 3];
@@ -31,8 +31,8 @@
     [200, 9],
   ] as const) {
     const named = [{ from: 0, perSecond }];
-    const play = { ...standing, instances, named, wishedPerSecond: 40 * Math.max(1, perSecond) };
-    const { worst, givenOut, messagesPerSecond } = await playPermitFleet(play);
+    const play = { ...standing, instances, named, offeredPerSecond: 40 * Math.max(1, perSecond) };
+    const { maxShare: worst, admittedShare: givenOut, messagesPerSecond } = await runPermitScenario(play);
     const told = `${perSecond} a second, ${instances} instances: ${worst.toFixed(2)}, given out ${givenOut.toFixed(2)}, ${messagesPerSecond.toFixed(1)} messages a second`;
     t.ok(worst <= 1, told);
     if (perSecond >= 0.5) t.ok(givenOut >= 0.75, told);
@@ -41,7 +41,7 @@
 
 t.test("an issuer that is killed, stands still, is slow or cut off lets no more through", async (t) => {
   const at = [6, 9, 9.6, 15].map((time) => time * second);
-  const troubles: Readonly<Record<string, Partial<PermitPlay>>> = {
+  const troubles: Readonly<Record<string, Partial<PermitScenario>>> = {
     killed: { issuerKills: at },
     paused: { issuerPauses: at.map((time) => ({ at: time, forMs: 2 * second })) },
     slow: { issuerSlow: [{ at: 5 * second, forMs: 15 * second }] },
@@ -61,8 +61,8 @@
         [20, 32],
       ] as const) {
         const base = { ...standing, seed, instances, named: [{ from: 0, perSecond }] };
-        const play = { ...base, wishedPerSecond: 40 * perSecond, ...trouble };
-        const { worst, givenOut } = await playPermitFleet(play);
+        const play = { ...base, offeredPerSecond: 40 * perSecond, ...trouble };
+        const { maxShare: worst, admittedShare: givenOut } = await runPermitScenario(play);
         const told = `${name}, seed ${seed}, ${perSecond} a second: ${worst.toFixed(2)}, given out ${givenOut.toFixed(2)}`;
         t.ok(worst <= 1, told);
       }
@@ -78,8 +78,8 @@
         { from: 8 * second, perSecond: 2 },
         { from: 16 * second, perSecond: undefined },
       ];
-      const play = { ...standing, seed, instances, named, wishedPerSecond: 200 };
-      const { worst, freedAfterMs } = await playPermitFleet(play);
+      const play = { ...standing, seed, instances, named, offeredPerSecond: 200 };
+      const { maxShare: worst, freedAfterMs } = await runPermitScenario(play);
       const told = `${instances} instances, seed ${seed}: ${worst.toFixed(2)}, free after ${freedAfterMs} ms`;
       t.ok(worst <= 1, told);
       t.ok(freedAfterMs !== undefined, told);
@@ -89,17 +89,17 @@
 
 t.test("the more urgent have the permits while they want them, the others what is left", async (t) => {
   const base = { ...standing, named: [{ from: 0, perSecond: 5 }], endsAt: 40 * second };
-  const few = await playPermitFleet({ ...base, wishedPerSecond: 40, urgentShare: 0.05 });
-  const many = await playPermitFleet({ ...base, wishedPerSecond: 40, urgentShare: 0.5 });
+  const few = await runPermitScenario({ ...base, offeredPerSecond: 40, urgentShare: 0.05 });
+  const many = await runPermitScenario({ ...base, offeredPerSecond: 40, urgentShare: 0.5 });
   const told = JSON.stringify({ few, many });
-  t.ok(few.givenOut >= 0.75 && few.urgentGivenOut >= 0.3, told);
-  t.ok(many.urgentGivenOut >= 0.75 * many.givenOut, told);
-  t.ok(few.worst <= 1 && many.worst <= 1, told);
+  t.ok(few.admittedShare >= 0.75 && few.urgentAdmittedShare >= 0.3, told);
+  t.ok(many.urgentAdmittedShare >= 0.75 * many.admittedShare, told);
+  t.ok(few.maxShare <= 1 && many.maxShare <= 1, told);
 });
 
 t.test("beside builds that know nothing of limits, permits come from those that do", async (t) => {
   for (const oldBuilds of [1, 2, 3, 8]) {
-    const { worst, givenOut } = await playPermitFleet({ ...standing, oldBuilds });
+    const { maxShare: worst, admittedShare: givenOut } = await runPermitScenario({ ...standing, oldBuilds });
     const told = `${oldBuilds} of 9: ${worst.toFixed(2)}, given out ${givenOut.toFixed(2)}`;
     t.ok(worst <= 1, told);
     t.ok(givenOut > 0, told);
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -11,37 +11,37 @@
   EndpointLimit,
   EndpointLimits,
   LimitChange,
-  LimitIssuer,
-  LimitPermits,
-  parseNamedLimit,
+  PermitIssuer,
+  PermitClient,
+  parseAdvertisedLimit,
 } from "@gladewall/gateway";
 import { Logger, LogLevel, VirtualClock } from "@gladewall/kernel";
 import {
   type BenchInstance,
-  type CallerView,
-  type EndpointCall,
+  type CallResult,
+  type EndpointRequest,
   type EndpointScript,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
-  StandinPlatform,
-  answerGood,
-  answerNotRun,
-  getBorneArrivals,
-  getWorstArrivals,
+  FakePlatform,
+  respondSuccess,
+  respondNotRun,
+  getAllowedArrivals,
+  getMaxArrivals,
   waitUntil,
 } from "@gladewall/standins";
-import { largeFleet } from "./endingEndpoints.js";
+import { largeFleet } from "./crashingEndpoints.js";
 import { createKnownEndpoint } from "./knownEndpoints.js";
 
 /** Answers well and names a limit; notes when requests arrive. */
 function createLimited(perSecond: number) {
   const arrivals: number[] = [];
-  const script = (call: EndpointCall): void => {
+  const script = (call: EndpointRequest): void => {
     arrivals.push(performance.now());
     call.response.setHeader("x-limit", String(perSecond));
-    answerGood(call);
+    respondSuccess(call);
   };
-  const getWorst = (): number => getWorstArrivals(arrivals);
+  const getWorst = (): number => getMaxArrivals(arrivals);
   return { script, getWorst, arrivals };
 }
 
@@ -53,17 +53,17 @@
   others: number,
   isLarge = false,
 ) {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
   const limited = createLimited(perSecond);
   const endpoints = [await ScriptedEndpoint.create("limited", limited.script)];
-  const list = ({ id, address }: ScriptedEndpoint): void => bench.platform.list({ id, address });
+  const list = ({ id, address }: ScriptedEndpoint): void => bench.platform.putEndpoint({ id, address });
   endpoints.forEach(list);
   for (let index = 0; index < instanceCount; index++) {
     await bench.startReady(1, "web", isLarge ? [...largeFleet, `peers.capacity=${index}`] : []);
   }
   const isTold = ({ gateway }: BenchInstance): boolean =>
-    isLarge ? gateway.isReader || gateway.isFed : gateway.linkedPeers === instanceCount - 1;
+    isLarge ? gateway.isReader || gateway.isFeedActive : gateway.linkedPeers === instanceCount - 1;
   await waitUntil(() => bench.instances.every(isTold));
   t.teardown(() => Promise.all([bench.close(), ...endpoints.map((endpoint) => endpoint.close())]));
   await bench.call(bench.instances[0]!);
@@ -72,8 +72,8 @@
   await waitUntil(() =>
     bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === endpoints.length),
   );
-  const callAll = async (rounds: number): Promise<readonly CallerView[]> => {
-    const answers: CallerView[] = [];
+  const callAll = async (rounds: number): Promise<readonly CallResult[]> => {
+    const answers: CallResult[] = [];
     for (let round = 0; round < rounds; round++) {
       answers.push(...(await Promise.all(bench.instances.map((instance) => bench.call(instance)))));
     }
@@ -92,7 +92,7 @@
     const { limited, callAll } = await startLimited(t, instances, perSecond, 1);
     const answers = await callAll(240 / instances);
     const told = `${instances} instances, ${perSecond} a second: ${limited.getWorst()} in a window`;
-    t.ok(limited.getWorst() <= getBorneArrivals(perSecond), told);
+    t.ok(limited.getWorst() <= getAllowedArrivals(perSecond), told);
     t.ok(
       answers.every(({ status }) => status === 200),
       "others serve what it does not take",
@@ -103,7 +103,7 @@
 t.test("the same holds where instances hear of each other from readers only", async (t) => {
   const { limited, callAll } = await startLimited(t, 6, 1, 1, true);
   const answers = await callAll(40);
-  t.ok(limited.getWorst() <= getBorneArrivals(1), String(limited.getWorst()));
+  t.ok(limited.getWorst() <= getAllowedArrivals(1), String(limited.getWorst()));
   t.ok(answers.every(({ status }) => status === 200));
 });
 
@@ -113,7 +113,7 @@
     const { bench, limited, callAll } = await startLimited(t, 3, 0.5, 0);
     const answers = await callAll(60);
     const refused = answers.filter(({ status }) => status === 503);
-    t.ok(limited.getWorst() <= getBorneArrivals(0.5), String(limited.getWorst()));
+    t.ok(limited.getWorst() <= getAllowedArrivals(0.5), String(limited.getWorst()));
     t.ok(refused.length > 150, String(refused.length));
     for (const { headers } of refused) t.ok(Number(headers["retry-after"]) >= 0.3);
     const metrics = await bench.readMetrics(bench.instances[0]!);
@@ -126,12 +126,12 @@
   const { bench, endpoint } = await startLimited(t, 1, 1_000, 0);
   const [instance] = bench.instances;
   const isLimited = async (script: EndpointScript): Promise<boolean> => {
-    const known = endpoint.calls.length;
+    const known = endpoint.requests.length;
     endpoint.script = script;
-    while (endpoint.calls.length === known) await bench.call(instance!);
+    while (endpoint.requests.length === known) await bench.call(instance!);
     return (await bench.readMetrics(instance!)).includes("gladewall_limited_endpoints 1");
   };
-  t.ok(await isLimited(answerNotRun), "a refusal without the word");
+  t.ok(await isLimited(respondNotRun), "a refusal without the word");
   t.ok(
     await isLimited(({ id, response }) => {
       response.writeHead(500, { "x-id": id, "content-length": 0 });
@@ -139,48 +139,52 @@
     }),
     "a failure without the word",
   );
-  t.notOk(await isLimited(answerGood));
+  t.notOk(await isLimited(respondSuccess));
 });
 
 /** Times of an answer whose request was sent and which came then. */
-function at(sentAt: number, heardAt: number) {
-  return { sentAt, heardAt };
+function at(sentAt: number, receivedAt: number) {
+  return { sentAt, receivedAt: receivedAt };
 }
 
 t.test("answers that pass each other neither end a limit nor bring it back", async (t) => {
   const limit = EndpointLimit.create();
-  t.equal(limit.takeUnnamed(0), LimitChange.None);
-  t.equal(limit.takeNamed(5, at(10, 20)), LimitChange.Begun);
-  t.equal(limit.takeUnnamed(15), LimitChange.None, "sent before the word came");
+  t.equal(limit.noteOmitted(0), LimitChange.None);
+  t.equal(limit.noteAdvertised(5, at(10, 20)), LimitChange.Begun);
+  t.equal(limit.noteOmitted(15), LimitChange.None, "sent before the word came");
   t.equal(
-    limit.takeNamed(8, at(15, 30)),
+    limit.noteAdvertised(8, at(15, 30)),
     LimitChange.None,
     "not raised by an answer to a request sent before",
   );
-  t.equal(limit.takeNamed(3, at(15, 35)), LimitChange.Changed, "but lowered");
-  t.equal(limit.takeNamed(9, at(40, 50)), LimitChange.Changed);
+  t.equal(limit.noteAdvertised(3, at(15, 35)), LimitChange.Changed, "but lowered");
+  t.equal(limit.noteAdvertised(9, at(40, 50)), LimitChange.Changed);
   t.equal(limit.perSecond, 9);
-  t.equal(limit.takeUnnamed(50), LimitChange.None);
-  t.equal(limit.takeUnnamed(51), LimitChange.Ended);
-  t.equal(limit.takeNamed(9, at(45, 50)), LimitChange.None, "an answer that came before the end, told late");
-  t.equal(limit.takeNamed(9, at(45, 60)), LimitChange.Begun, "one that came after it");
+  t.equal(limit.noteOmitted(50), LimitChange.None);
+  t.equal(limit.noteOmitted(51), LimitChange.Ended);
+  t.equal(
+    limit.noteAdvertised(9, at(45, 50)),
+    LimitChange.None,
+    "an answer that came before the end, told late",
+  );
+  t.equal(limit.noteAdvertised(9, at(45, 60)), LimitChange.Begun, "one that came after it");
 });
 
 t.test("permits are used within a short time, and a refusal holds off all but the more urgent", async (t) => {
   const limit = EndpointLimit.create();
-  limit.takeNamed(1, at(0, 0));
-  t.ok(limit.mayAsk(0, 3));
-  t.equal(limit.beginAsk(), 1);
-  t.notOk(limit.mayAsk(1, 0), "one question at a time");
-  limit.endAsk({ permits: 1, waitMs: 0 }, 3, 10);
-  t.ok(limit.mayAsk(20, 3));
-  t.notOk(limit.tryUse(300), "lapsed");
-  limit.beginAsk();
-  limit.endAsk({ permits: 0, waitMs: 1_000 }, 3, 310);
-  t.notOk(limit.mayAsk(320, 3));
-  t.ok(limit.mayAsk(320, 2));
+  limit.noteAdvertised(1, at(0, 0));
+  t.ok(limit.mayRequestPermits(0, 3));
+  t.equal(limit.beginPermitCall(), 1);
+  t.notOk(limit.mayRequestPermits(1, 0), "one question at a time");
+  limit.endPermitCall({ permits: 1, waitMs: 0 }, 3, 10);
+  t.ok(limit.mayRequestPermits(20, 3));
+  t.notOk(limit.tryUsePermit(300), "lapsed");
+  limit.beginPermitCall();
+  limit.endPermitCall({ permits: 0, waitMs: 1_000 }, 3, 310);
+  t.notOk(limit.mayRequestPermits(320, 3));
+  t.ok(limit.mayRequestPermits(320, 2));
   t.equal(limit.getWaitMs(320), 990);
-  t.ok(limit.mayAsk(1_310, 3));
+  t.ok(limit.mayRequestPermits(1_310, 3));
 });
 
 t.test("limits are decimal numbers; of several the lowest holds; others can't be read", async (t) => {
@@ -192,10 +196,11 @@
     ".5": 0.5,
     "4, 2": 2,
   };
-  for (const [text, perSecond] of Object.entries(readable)) t.equal(parseNamedLimit(text), perSecond, text);
+  for (const [text, perSecond] of Object.entries(readable))
+    t.equal(parseAdvertisedLimit(text), perSecond, text);
   const endless = "9".repeat(400);
   for (const text of ["", "-1", "1e3", "NaN", "Infinity", "1 s", "1,", "1, x", "0x10", endless]) {
-    t.equal(parseNamedLimit(text), undefined, text.slice(0, 10));
+    t.equal(parseAdvertisedLimit(text), undefined, text.slice(0, 10));
   }
 });
 
@@ -204,7 +209,7 @@
   const clock = VirtualClock.create(1_000);
   const logger = Logger.create(LogLevel.Info, {}, (line) => lines.push(line));
   const directory = EndpointDirectory.create({
-    platform: StandinPlatform.create(clock).createAdapter(),
+    platform: FakePlatform.create(clock).createAdapter(),
     clock,
     logger,
     getTimeSinceTrouble: () => Infinity,
@@ -221,56 +226,56 @@
     const { clock, directory, limits } = createLimits(lines);
     const source = { requestId: "r", status: 200 };
     const endpoint = createKnownEndpoint({ id: "e", born: 1 });
-    limits.takeAnswer(endpoint, { perSecond: 2 }, { ...source, sentAt: clock.getTime() });
+    limits.handleAnswer(endpoint, { perSecond: 2 }, { ...source, sentAt: clock.getTime() });
     await clock.advance(10);
-    limits.takeAnswer(
+    limits.handleAnswer(
       endpoint,
       { perSecond: undefined, unreadable: "soon" },
       { ...source, sentAt: clock.getTime() },
     );
-    t.equal(directory.words.find(endpoint.life)?.limit.perSecond, 2);
+    t.equal(directory.availabilities.find(endpoint.incarnation)?.limit.perSecond, 2);
     t.match(lines.at(-1), /endpoint.limit-unreadable .*text=soon/);
-    t.equal(directory.words.find(createKnownEndpoint({ id: "e", born: 2 }).life), undefined);
-    const told = limits.get(endpoint.life);
-    t.match(told, { life: endpoint.life, perSecond: 2, ageMs: 10 });
+    t.equal(directory.availabilities.find(createKnownEndpoint({ id: "e", born: 2 }).incarnation), undefined);
+    const told = limits.get(endpoint.incarnation);
+    t.match(told, { life: endpoint.incarnation, perSecond: 2, ageMs: 10 });
     const peer = createLimits([]);
-    t.equal(peer.limits.takePeer(told, "i2"), true);
-    t.equal(peer.limits.takePeer(told, "i2"), false, "told again, it is not handed on");
+    t.equal(peer.limits.mergePeer(told, "i2"), true);
+    t.equal(peer.limits.mergePeer(told, "i2"), false, "told again, it is not handed on");
     t.equal(
-      peer.limits.takePeer({ life: endpoint.life, ageMs: 20 }, "i3"),
+      peer.limits.mergePeer({ life: endpoint.incarnation, ageMs: 20 }, "i3"),
       false,
       "an end from before the word",
     );
-    t.equal(peer.limits.takePeer({ life: endpoint.life, ageMs: 5 }, "i3"), true);
+    t.equal(peer.limits.mergePeer({ life: endpoint.incarnation, ageMs: 5 }, "i3"), true);
   },
 );
 
 t.test("a limit does not hide that its endpoint leaves, or wants nothing for a time", async (t) => {
   const endpoint = createKnownEndpoint({ id: "e" });
-  const { words } = endpoint;
+  const { availability: words } = endpoint;
   words.noteLimit(2, at(0, 0), 0);
-  t.ok(endpoint.takesWork(1));
+  t.ok(endpoint.acceptsRequest(1));
   words.noteHoldOff(1_000, 1);
-  t.notOk(endpoint.takesWork(500));
-  t.notOk(endpoint.isOpen(500), "nor with a permit");
-  t.equal(words.getOpeningMs(500), 501);
-  t.equal(words.endLimit(600), LimitChange.Ended);
-  t.notOk(endpoint.takesWork(700), "the end of the limit is not the end of the hold-off");
-  t.ok(endpoint.takesWork(1_001));
-  words.beginTry();
-  t.notOk(endpoint.takesWork(1_002), "one request goes first");
+  t.notOk(endpoint.acceptsRequest(500));
+  t.notOk(endpoint.acceptsPermitted(500), "nor with a permit");
+  t.equal(words.getWaitMs(500), 501);
+  t.equal(words.clearLimit(600), LimitChange.Ended);
+  t.notOk(endpoint.acceptsRequest(700), "the end of the limit is not the end of the hold-off");
+  t.ok(endpoint.acceptsRequest(1_001));
+  words.beginAttempt();
+  t.notOk(endpoint.acceptsRequest(1_002), "one request goes first");
 });
 
 /** Permits of one of some instances, none of which gives any out. */
 function createLonePermits(fleetSize: number) {
   const { clock, limits } = createLimits([]);
-  const permits = LimitPermits.create({
+  const permits = PermitClient.create({
     own: "i1",
     clock,
     logger: Logger.createSilent(),
     metrics: { countPermit: () => undefined },
     limits,
-    issuer: LimitIssuer.create({ clock, logger: Logger.createSilent(), getRandom: () => 0 }),
+    issuer: PermitIssuer.create({ clock, logger: Logger.createSilent(), getRandom: () => 0 }),
     arbiters: Arbiters.create({
       clock,
       logger: Logger.createSilent(),
@@ -283,12 +288,12 @@
     getFleetSize: () => fleetSize,
   });
   const endpoint = createKnownEndpoint({ id: "e" });
-  endpoint.words.noteLimit(1, at(0, 0), 0);
+  endpoint.availability.noteLimit(1, at(0, 0), 0);
   const request = { id: "r", rank: 0, leftMs: 5_000 };
   const countIn = async (seconds: number): Promise<number> => {
     let taken = 0;
     for (let turn = 0; turn < seconds * 10; turn++) {
-      if (endpoint.takesWork(clock.getTime()) && (await permits.take(endpoint, request))) taken += 1;
+      if (endpoint.acceptsRequest(clock.getTime()) && (await permits.acquire(endpoint, request))) taken += 1;
       await clock.advance(100);
     }
     return taken;
--- a/packages/gateway/test/engineBench.ts
+++ b/packages/gateway/test/engineTestBench.ts
@@ -5,30 +5,30 @@
 import type { Test } from "tap";
 import { RouteKind } from "@gladewall/gateway";
 import {
-  type EndpointCall,
+  type EndpointRequest,
   createRoute,
   createService,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
 } from "@gladewall/standins";
 
 /** What a test works with. */
-export interface EngineBench {
-  readonly bench: GatewayBench;
+export interface EngineTestBench {
+  readonly bench: GatewayTestBench;
   /** Requests that the engine has and has not answered. */
-  readonly held: EndpointCall[];
+  readonly held: EndpointRequest[];
 }
 
 /** Creates the bench; the engine is listed as `b`, with eight slots. */
-export async function createEngineBench(t: Pick<Test, "teardown">): Promise<EngineBench> {
-  const bench = GatewayBench.create();
+export async function createEngineTestBench(t: Pick<Test, "teardown">): Promise<EngineTestBench> {
+  const bench = GatewayTestBench.create();
   bench.platform.configure({
     routes: [createRoute({ kind: RouteKind.Stream })],
     services: [createService({ engine: { slots: 8, tokenCapacity: 100_000 } })],
   });
-  const held: EndpointCall[] = [];
+  const held: EndpointRequest[] = [];
   const engine = await ScriptedEndpoint.create("b", (call) => void held.push(call));
-  bench.platform.list({ id: "b", address: engine.address });
+  bench.platform.putEndpoint({ id: "b", address: engine.address });
   t.teardown(() => Promise.all([bench.close(), engine.close()]));
   return { bench, held };
 }
