--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -9,9 +9,9 @@
 import { Failure, FailureCode } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 import { promptBlockCharacters } from "./blocks.js";
-import type { EndpointLoad } from "./load.js";
+import type { EndpointLoadEstimate } from "./endpointLoadEstimate.js";
 import { getPrefixHomes, type PrefixIndex } from "./prefixes.js";
-import type { Alternative } from "./types.js";
+import type { PlacementAlternative } from "./types.js";
 
 /** Weights of the score; each in milliseconds, so that they can be compared with a wait. */
 export interface PlacementOptions {
@@ -20,9 +20,9 @@
   /** Milliseconds that the risk of a reclaimable instance is worth to the most urgent priority. */
   readonly riskWeight: number;
   /** Milliseconds to another data hall and back. */
-  readonly hallDistance: number;
+  readonly hallRoundTripMs: number;
   /** A prefix home is passed over when it has more than this multiple of the mean load. */
-  readonly loadBound: number;
+  readonly maxLoadFactor: number;
 }
 
 /** What is to be placed. */
@@ -42,9 +42,9 @@
 
 /** The endpoint chosen and the best few that were not. */
 export interface Placement {
-  readonly endpoint: EndpointLoad;
+  readonly endpoint: EndpointLoadEstimate;
   readonly cachedTokens: number;
-  readonly alternatives: readonly Alternative[];
+  readonly alternatives: readonly PlacementAlternative[];
 }
 
 const highestPriority = 9;
@@ -55,7 +55,7 @@
 const homeBelief = 0.5;
 
 interface Scored {
-  readonly load: EndpointLoad;
+  readonly load: EndpointLoadEstimate;
   readonly score: number;
   readonly cachedTokens: number;
 }
@@ -63,7 +63,7 @@
 /** Places a request; fails with `NoEndpoint` where no endpoint takes work. */
 export function placeRequest(
   request: PlacementRequest,
-  endpoints: readonly EndpointLoad[],
+  endpoints: readonly EndpointLoadEstimate[],
   prefixes: PrefixIndex,
   options: PlacementOptions,
 ): Result<Placement, Failure> {
@@ -88,8 +88,8 @@
 /** Narrows the endpoints by each preference in turn, giving up a preference that would leave none. */
 function selectCandidates(
   request: PlacementRequest,
-  endpoints: readonly EndpointLoad[],
-): readonly EndpointLoad[] {
+  endpoints: readonly EndpointLoadEstimate[],
+): readonly EndpointLoadEstimate[] {
   let candidates = endpoints.filter((load) => !load.isLeaving);
   for (const isPreferred of preferences) {
     const preferred = candidates.filter((load) => isPreferred(request, load));
@@ -98,30 +98,30 @@
   return candidates;
 }
 
-type Preference = (request: PlacementRequest, load: EndpointLoad) => boolean;
+type Preference = (request: PlacementRequest, load: EndpointLoadEstimate) => boolean;
 
 const preferences: readonly Preference[] = [
-  (_, load) => !load.isBackedOff(),
+  (_, load) => !load.isInBackoff(),
   (request, load) => !request.excluded.has(load.record.id),
   (request, load) => !request.avoidedHalls.has(load.record.hall),
 ];
 
 function getCachedTokens(
   request: PlacementRequest,
-  candidates: readonly EndpointLoad[],
+  candidates: readonly EndpointLoadEstimate[],
   prefixes: PrefixIndex,
   options: PlacementOptions,
 ): ReadonlyMap<string, number> {
   const cached = new Map<string, number>();
   const firstBlock = request.blocks[0];
   if (firstBlock === undefined) return cached;
-  for (const [endpoint, blocks] of prefixes.getHeld(request.blocks))
+  for (const [endpoint, blocks] of prefixes.countCachedBlocks(request.blocks))
     cached.set(endpoint, blocks * tokensPerBlock);
-  const meanLoad = candidates.reduce((sum, load) => sum + load.getActive(), 0) / candidates.length;
-  const bound = options.loadBound * Math.max(1, meanLoad);
+  const meanLoad = candidates.reduce((sum, load) => sum + load.getActiveCount(), 0) / candidates.length;
+  const bound = options.maxLoadFactor * Math.max(1, meanLoad);
   const believed = request.blocks.length * tokensPerBlock * homeBelief;
   for (const home of getPrefixHomes(firstBlock, candidates)) {
-    if (home.getActive() > bound) continue;
+    if (home.getActiveCount() > bound) continue;
     const known = cached.get(home.record.id) ?? 0;
     cached.set(home.record.id, Math.max(known, believed));
   }
@@ -130,12 +130,12 @@
 
 function scoreEndpoint(
   request: PlacementRequest,
-  load: EndpointLoad,
+  load: EndpointLoadEstimate,
   cachedTokens: number,
   options: PlacementOptions,
 ): number {
-  const wait = load.getExpectedWait(Math.max(0, request.tokens - cachedTokens));
-  const distance = load.record.hall === request.hall ? 0 : options.hallDistance;
+  const wait = load.estimateWaitMs(Math.max(0, request.tokens - cachedTokens));
+  const distance = load.record.hall === request.hall ? 0 : options.hallRoundTripMs;
   const price = options.priceWeight * load.record.price;
   const isAtRisk = load.record.priceClass === PriceClass.Reclaimable;
   const risk = isAtRisk ? (options.riskWeight * request.priority) / highestPriority : 0;
@@ -157,12 +157,12 @@
   );
 }
 
-function createAlternative(scored: Scored): Alternative {
+function createAlternative(scored: Scored): PlacementAlternative {
   const { load, score, cachedTokens } = scored;
   return {
     endpoint: load.record.id,
     score,
-    waitMs: load.getExpectedWait(0),
+    waitMs: load.estimateWaitMs(0),
     cachedTokens,
     hall: load.record.hall,
     priceClass: load.record.priceClass,
--- a/packages/policy/src/table.ts
+++ b/packages/policy/src/policyTable.ts
@@ -6,15 +6,15 @@
  * @module
  */
 import { getRowName } from "./configuration.js";
-import { type Configuration, type ServiceRecord, type TableRow, wildcard } from "./types.js";
+import { type Configuration, type ServiceRecord, type PolicyRow, wildcard } from "./types.js";
 
 const workspaceRank = 4;
 const serviceRank = 2;
 const classRank = 1;
 
 /** An indexed, immutable table. */
-export class Table {
-  private readonly rowsByName = new Map<string, TableRow>();
+export class PolicyTable {
+  private readonly rowsByName = new Map<string, PolicyRow>();
   private readonly servicesByName = new Map<string, ServiceRecord>();
   private readonly workspacesByHash = new Map<string, string>();
 
@@ -26,8 +26,8 @@
     }
   }
 
-  static create(configuration: Configuration): Table {
-    return new Table(configuration);
+  static create(configuration: Configuration): PolicyTable {
+    return new PolicyTable(configuration);
   }
 
   /** Version of the document the table stands in. */
@@ -36,7 +36,7 @@
   }
 
   /** Returns the row that decides, undefined where none matches. */
-  getRow(workspace: string, service: string, requestClass: string): TableRow | undefined {
+  getRow(workspace: string, service: string, requestClass: string): PolicyRow | undefined {
     // Eight lookups in order of precedence, whatever the number of rows.
     for (let rank = workspaceRank + serviceRank + classRank; rank >= 0; rank--) {
       const row = this.rowsByName.get(
--- a/packages/policy/src/readingRate.ts
+++ b/packages/policy/src/prefillRate.ts
@@ -9,7 +9,7 @@
  */
 
 /** One first event. */
-export interface ReadingObservation {
+export interface PrefillObservation {
   /** Prompt tokens that the endpoint had to read. */
   readonly tokens: number;
   /** Milliseconds from the sending of the request until its first event. */
@@ -17,10 +17,10 @@
 }
 
 /** Rates in tokens a millisecond outside of which no engine is believed to work. */
-export const readingRateBounds = { least: 2, most: 2_000 };
+export const prefillRateBounds = { least: 2, most: 2_000 };
 
 /** Observations below which nothing is said: their pairs would be too few for a median. */
-export const leastObservations = 16;
+export const minPrefillObservations = 16;
 
 /** Two prompts that differ by less say more about chance than about reading: 300 tokens are 2 to 10 ms. */
 const leastDifference = 300;
@@ -28,12 +28,12 @@
 const leastPairs = 30;
 
 /** Estimates the rate, tokens a millisecond; undefined where the observations do not tell. */
-export function estimateReadingRate(observations: readonly ReadingObservation[]): number | undefined {
-  if (observations.length < leastObservations) return undefined;
+export function estimatePrefillRate(observations: readonly PrefillObservation[]): number | undefined {
+  if (observations.length < minPrefillObservations) return undefined;
   const slopes = getSlopes(observations);
   if (slopes.length < leastPairs) return undefined;
   const slope = getMedian(slopes);
-  const { least, most } = readingRateBounds;
+  const { least, most } = prefillRateBounds;
   return slope <= 1 / most ? most : Math.max(least, 1 / slope);
 }
 
@@ -46,7 +46,7 @@
 }
 
 /** Milliseconds a token between each two observations that differ enough. */
-function getSlopes(observations: readonly ReadingObservation[]): readonly number[] {
+function getSlopes(observations: readonly PrefillObservation[]): readonly number[] {
   const slopes: number[] = [];
   for (const [index, one] of observations.entries()) {
     for (const other of observations.slice(index + 1)) {
--- a/packages/policy/src/prefixes.ts
+++ b/packages/policy/src/prefixes.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { mixHashes } from "@gladewall/kernel";
-import type { EndpointLoad } from "./load.js";
+import type { EndpointLoadEstimate } from "./endpointLoadEstimate.js";
 
 const homesPerPrefix = 2;
 const endpointsPerBlock = 4;
@@ -37,7 +37,7 @@
   }
 
   /** Returns, by endpoint, how many leading blocks it is believed to hold. */
-  getHeld(blocks: readonly number[]): Map<string, number> {
+  countCachedBlocks(blocks: readonly number[]): Map<string, number> {
     const held = new Map<string, number>();
     blocks.forEach((block, index) => {
       for (const endpoint of this.blocks.get(block) ?? []) {
@@ -56,10 +56,10 @@
 /** Returns the endpoints that every entry takes as the homes of a prefix, best first. */
 export function getPrefixHomes(
   firstBlock: number,
-  endpoints: readonly EndpointLoad[],
-): readonly EndpointLoad[] {
-  let best: EndpointLoad | undefined;
-  let second: EndpointLoad | undefined;
+  endpoints: readonly EndpointLoadEstimate[],
+): readonly EndpointLoadEstimate[] {
+  let best: EndpointLoadEstimate | undefined;
+  let second: EndpointLoadEstimate | undefined;
   let bestScore = -1;
   let secondScore = -1;
   for (const endpoint of endpoints) {
--- a/packages/policy/src/reasons.ts
+++ b/packages/policy/src/reasons.ts
@@ -3,11 +3,11 @@
  * @module
  */
 import { PriceClass } from "@gladewall/coordination";
-import { failureTable } from "@gladewall/kernel";
-import { type Alternative, type DecisionRecord, DecisionRule } from "./types.js";
+import { failureDefinitions } from "@gladewall/kernel";
+import { type PlacementAlternative, type DecisionRecord, DecisionRule } from "./types.js";
 
 /** Sentence of each rule; `{name}` places are the decision's inputs. */
-export const reasonTable: Readonly<Record<DecisionRule, string>> = {
+export const reasonTemplates: Readonly<Record<DecisionRule, string>> = {
   [DecisionRule.RowAdmitted]:
     "Row {row} of table version {version} admitted it with priority {priority} and about {tokens} tokens to read.",
   [DecisionRule.Refused]: "It was refused: {text}.",
@@ -53,10 +53,10 @@
 /** Returns the sentence of one decision. */
 export function formatReason(decision: DecisionRecord): string {
   const fill = (_: string, place: string): string => formatNumber(decision.inputs[place] ?? "?");
-  return reasonTable[decision.rule].replace(/\{(\w+)\}/g, fill);
+  return reasonTemplates[decision.rule].replace(/\{(\w+)\}/g, fill);
 }
 
-function formatAlternative(alternative: Alternative): string {
+function formatAlternative(alternative: PlacementAlternative): string {
   const { endpoint, hall, priceClass, score, waitMs, cachedTokens } = alternative;
   const figures = `score ${score.toFixed(1)}, expected wait ${waitMs.toFixed(1)} ms, ${cachedTokens} tokens cached`;
   return `  ${endpoint} (${hall}, ${priceClassNames[priceClass]}): ${figures}`;
@@ -72,7 +72,7 @@
     );
     if (decision.failure !== undefined)
       lines.push(
-        `  failure ${decision.failure}, outcome as in the table: status ${failureTable[decision.failure].status}`,
+        `  failure ${decision.failure}, outcome as in the table: status ${failureDefinitions[decision.failure].status}`,
       );
     lines.push(...decision.alternatives.map(formatAlternative));
   }
--- a/packages/policy/src/retry.ts
+++ b/packages/policy/src/retry.ts
@@ -20,12 +20,12 @@
   }
 
   /** Counts a success. */
-  earn(): void {
+  deposit(): void {
     this.level = Math.min(highestBudget, this.level + this.fraction);
   }
 
   /** Spends one retry if there is one. */
-  trySpend(): boolean {
+  tryWithdraw(): boolean {
     if (this.level < 1) return false;
     this.level -= 1;
     return true;
@@ -33,7 +33,7 @@
 }
 
 /** What may be done after a failed attempt. */
-export enum RetryVerdict {
+export enum RetryDecision {
   /** Send again, elsewhere. */
   Retry = 1,
   /** Tell the caller. */
@@ -50,7 +50,7 @@
 ]);
 
 /** What a retry decision rests on. */
-export interface RetryInput {
+export interface RetryContext {
   readonly failure: Failure;
   readonly repeat: RepeatRule;
   /** Milliseconds left to the deadline. */
@@ -59,10 +59,10 @@
 }
 
 /** Decides about another attempt. A request not to be repeated goes out again only when it surely did not run. */
-export function decideRetry(input: RetryInput): RetryVerdict {
-  if (!retriableCodes.has(input.failure.code)) return RetryVerdict.GiveUp;
+export function decideRetry(input: RetryContext): RetryDecision {
+  if (!retriableCodes.has(input.failure.code)) return RetryDecision.GiveUp;
   if (input.repeat === RepeatRule.Never && input.failure.outcome !== Outcome.NotRun)
-    return RetryVerdict.GiveUp;
-  if (input.remaining <= 0) return RetryVerdict.GiveUp;
-  return input.budget.trySpend() ? RetryVerdict.Retry : RetryVerdict.GiveUp;
+    return RetryDecision.GiveUp;
+  if (input.remaining <= 0) return RetryDecision.GiveUp;
+  return input.budget.tryWithdraw() ? RetryDecision.Retry : RetryDecision.GiveUp;
 }
--- a/packages/policy/src/gates.ts
+++ b/packages/policy/src/rowLimiter.ts
@@ -14,7 +14,7 @@
 }
 
 /** The gate of one row in one entry. */
-export class RowGate {
+export class RowLimiter {
   private readonly requests: TokenBucket;
   private readonly tokens: TokenBucket;
   private active = 0;
@@ -28,8 +28,8 @@
     this.tokens = TokenBucket.create(clock, share.tokensPerSecond);
   }
 
-  static create(clock: Clock, row: string, share: RowShare): RowGate {
-    return new RowGate(clock, row, share);
+  static create(clock: Clock, row: string, share: RowShare): RowLimiter {
+    return new RowLimiter(clock, row, share);
   }
 
   /** Changes the share. Requests already let through stay. */
@@ -40,23 +40,23 @@
   }
 
   /** Requests let through and not yet released. */
-  getActive(): number {
+  getActiveCount(): number {
     return this.active;
   }
 
   /** Lets a request of so many tokens through, or says which limit forbids it and when to come back. */
-  tryEnter(tokens: number): Result<void, Failure> {
+  tryAcquire(tokens: number): Result<void, Failure> {
     if (this.active >= this.share.concurrency)
       return Err(this.refuse(FailureCode.ConcurrencyExceeded, this.share.concurrency, undefined));
     if (!this.requests.tryTake(1)) {
       return Err(
-        this.refuse(FailureCode.RateExceeded, this.share.requestsPerSecond, this.requests.getWait(1)),
+        this.refuse(FailureCode.RateExceeded, this.share.requestsPerSecond, this.requests.getWaitMs(1)),
       );
     }
     if (!this.tokens.tryTake(tokens)) {
-      this.requests.giveBack(1);
+      this.requests.refund(1);
       return Err(
-        this.refuse(FailureCode.TokensExceeded, this.share.tokensPerSecond, this.tokens.getWait(tokens)),
+        this.refuse(FailureCode.TokensExceeded, this.share.tokensPerSecond, this.tokens.getWaitMs(tokens)),
       );
     }
     this.active += 1;
@@ -64,9 +64,9 @@
   }
 
   /** Releases a request; `unused` are tokens it was charged for but did not use. */
-  leave(unused: number): void {
+  release(unused: number): void {
     this.active -= 1;
-    if (unused > 0) this.tokens.giveBack(unused);
+    if (unused > 0) this.tokens.refund(unused);
   }
 
   private refuse(code: FailureCode, limit: number, wait: number | undefined): Failure {
--- a/packages/policy/src/types.ts
+++ b/packages/policy/src/types.ts
@@ -15,7 +15,7 @@
 }
 
 /** One row of the operators' table. Limits hold over the whole fleet; 0 means that the row allows none. */
-export interface TableRow {
+export interface PolicyRow {
   readonly workspace: string;
   readonly service: string;
   readonly class: string;
@@ -65,7 +65,7 @@
 /** The versioned document: everything that operators steer by. */
 export interface Configuration {
   readonly version: number;
-  readonly rows: readonly TableRow[];
+  readonly rows: readonly PolicyRow[];
   readonly workspaces: readonly WorkspaceRecord[];
   readonly services: readonly ServiceRecord[];
   /** The latest edits, newest last. */
@@ -111,7 +111,7 @@
 }
 
 /** An endpoint that was considered, with what spoke for and against it. */
-export interface Alternative {
+export interface PlacementAlternative {
   readonly endpoint: string;
   readonly score: number;
   readonly waitMs: number;
@@ -129,6 +129,6 @@
   readonly entry: string;
   /** Figures and names that the sentence needs. */
   readonly inputs: Readonly<Record<string, string | number>>;
-  readonly alternatives: readonly Alternative[];
+  readonly alternatives: readonly PlacementAlternative[];
   readonly failure: FailureCode | undefined;
 }
--- a/packages/policy/test/readingRate.test.ts
+++ b/packages/policy/test/prefillRate.test.ts
@@ -1,9 +1,9 @@
 import t from "tap";
 import {
-  estimateReadingRate,
+  estimatePrefillRate,
   getMedian,
-  leastObservations,
-  type ReadingObservation,
+  minPrefillObservations,
+  type PrefillObservation,
 } from "@gladewall/policy";
 
 /** Way there and first decoding steps, which every first event waits for. */
@@ -19,7 +19,7 @@
 }
 
 /** Prompts of 100 to 12,000 tokens, each delayed by up to 8 ms by chance. */
-function observe(rate: number, count: number, draw: () => number): ReadingObservation[] {
+function observe(rate: number, count: number, draw: () => number): PrefillObservation[] {
   return Array.from({ length: count }, () => {
     const tokens = 100 + draw() ** 2 * 11_900;
     return { tokens, elapsedMs: baseMs + tokens / rate + draw() * 8 };
@@ -29,7 +29,7 @@
 t.test("engines of any speed are learned within a tenth from 64 of their first events", async (t) => {
   for (const rate of [30, 64, 157]) {
     for (let seed = 1; seed <= 20; seed++) {
-      const learned = estimateReadingRate(observe(rate, 64, createDraw(seed))) ?? 0;
+      const learned = estimatePrefillRate(observe(rate, 64, createDraw(seed))) ?? 0;
       t.ok(Math.abs(learned - rate) < rate / 10, `${rate} learned as ${learned}`);
     }
   }
@@ -40,12 +40,12 @@
     const observations = observe(64, 64, createDraw(seed)).map((seen, index) =>
       index % 6 === 0 ? { ...seen, elapsedMs: seen.elapsedMs * 8 } : seen,
     );
-    const learned = estimateReadingRate(observations) ?? 0;
+    const learned = estimatePrefillRate(observations) ?? 0;
     t.ok(Math.abs(learned - 64) < 64 * 0.15, `one endpoint of six slow by eight: ${learned}`);
     const cached = observe(64, 64, createDraw(seed)).map((seen, index) =>
       index % 8 === 0 ? { ...seen, elapsedMs: baseMs } : seen,
     );
-    const found = estimateReadingRate(cached) ?? 0;
+    const found = estimatePrefillRate(cached) ?? 0;
     t.ok(Math.abs(found - 64) < 64 * 0.15, `one prompt of eight cached: ${found}`);
   }
 });
@@ -56,23 +56,23 @@
     const tokens = Math.round(draw() * 9_000);
     return { tokens, elapsedMs: baseMs + tokens / 50 };
   });
-  t.ok(Math.abs((estimateReadingRate(exact) ?? 0) - 50) < 1e-6);
+  t.ok(Math.abs((estimatePrefillRate(exact) ?? 0) - 50) < 1e-6);
 });
 
 t.test(
   "too few observations, or prompts all alike, say nothing; what can't be is cut to the bounds",
   async (t) => {
-    t.equal(estimateReadingRate(observe(64, leastObservations - 1, createDraw(1))), undefined);
+    t.equal(estimatePrefillRate(observe(64, minPrefillObservations - 1, createDraw(1))), undefined);
     t.equal(
-      estimateReadingRate(observe(64, 64, createDraw(1)).map((seen) => ({ ...seen, tokens: 900 }))),
+      estimatePrefillRate(observe(64, 64, createDraw(1)).map((seen) => ({ ...seen, tokens: 900 }))),
       undefined,
     );
     const faster = observe(64, 64, createDraw(1)).map(({ tokens }) => ({
       tokens,
       elapsedMs: 90 - tokens / 1_000,
     }));
-    t.equal(estimateReadingRate(faster), 2_000);
-    t.equal(estimateReadingRate(observe(0.5, 64, createDraw(1))), 2);
+    t.equal(estimatePrefillRate(faster), 2_000);
+    t.equal(estimatePrefillRate(observe(0.5, 64, createDraw(1))), 2);
     t.equal(getMedian([3, 1, 2]), 2);
     t.equal(getMedian([4, 1, 2, 3]), 2.5);
   },
--- a/packages/standins/src/textModel.ts
+++ b/packages/standins/src/deterministicText.ts
@@ -39,7 +39,7 @@
 }
 
 /** Returns the whole answer of `length` tokens to a prompt. */
-export function getWholeAnswer(prompt: string, length: number): string {
+export function getFullText(prompt: string, length: number): string {
   const digest = getPromptDigest(prompt);
   return Array.from({ length }, (_, position) => getToken(digest, position)).join("");
 }
--- a/packages/standins/src/endpointNeeds.ts
+++ b/packages/standins/src/endpointArrivals.ts
@@ -2,7 +2,7 @@
  * What an endpoint in need bears of all instances together, and the most that arrived there.
  * @module
  */
-import { RunWindows } from "./runWindows.js";
+import { RunUnitLog } from "./runUnitLog.js";
 
 const windowMs = 4_000;
 /** Share of a named limit, and requests beside it, that are borne in a window. */
@@ -12,13 +12,13 @@
 const subject = "arrivals";
 
 /** Returns the requests that an endpoint bears in a window which takes so many a second. */
-export function getBorneArrivals(perSecond: number): number {
+export function getAllowedArrivals(perSecond: number): number {
   return Math.floor((borneShare * perSecond * windowMs) / millisecondsPerSecond + borneRequests);
 }
 
 /** Returns the most that arrived in any window; times are milliseconds of any clock. */
-export function getWorstArrivals(times: readonly number[]): number {
-  const windows = RunWindows.create();
-  for (const time of times) windows.note(subject, time, 1);
-  return windows.getWorst(subject, windowMs).units;
+export function getMaxArrivals(times: readonly number[]): number {
+  const windows = RunUnitLog.create();
+  for (const time of times) windows.record(subject, time, 1);
+  return windows.getMax(subject, windowMs).units;
 }
--- a/packages/standins/src/platformStandin.ts
+++ b/packages/standins/src/fakeCloudServices.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { type InstanceRecord, InstanceState } from "@gladewall/coordination";
 import { type Clock, type Closeable, SystemClock, waitFor } from "@gladewall/kernel";
-import { HttpStandin, sendJson } from "./httpStandin.js";
+import { FakeHttpServer, sendJson } from "./fakeHttpServer.js";
 
 interface Notice {
   readonly sequence: number;
@@ -16,9 +16,9 @@
 }
 
 /** The running stand-in of list and cloud. */
-export class PlatformStandin implements Closeable {
+export class FakeCloudServices implements Closeable {
   /** Milliseconds by which the list is behind. */
-  listLag = 0;
+  listLagMs = 0;
   /** Whether the list refuses to answer. */
   isListDown = false;
   private readonly records = new Map<string, InstanceRecord>();
@@ -26,13 +26,13 @@
   private readonly notices: Notice[] = [];
   private wakers: (() => void)[] = [];
   private listVersion = 0;
-  private server: HttpStandin | undefined;
+  private server: FakeHttpServer | undefined;
 
   private constructor(private readonly clock: Clock) {}
 
-  static async create(clock: Clock = SystemClock.create()): Promise<PlatformStandin> {
-    const standin = new PlatformStandin(clock);
-    standin.server = await HttpStandin.create((request, response, url) =>
+  static async create(clock: Clock = SystemClock.create()): Promise<FakeCloudServices> {
+    const standin = new FakeCloudServices(clock);
+    standin.server = await FakeHttpServer.create((request, response, url) =>
       standin.handle(request, response, url),
     );
     return standin;
@@ -80,8 +80,8 @@
       this.listVersion += 1;
       change();
     };
-    if (this.listLag === 0) apply();
-    else this.clock.startTimer(this.listLag, apply);
+    if (this.listLagMs === 0) apply();
+    else this.clock.startTimer(this.listLagMs, apply);
   }
 
   private wakeAll(): void {
--- a/packages/standins/src/engineStandin.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { type Clock, type Closeable, SystemClock, waitFor } from "@gladewall/kernel";
 import { getBlockKeys, PrefixCache, type RunRecord, RunState } from "./engineRecord.js";
-import { HttpStandin, readText, sendJson } from "./httpStandin.js";
+import { FakeHttpServer, readText, sendJson } from "./fakeHttpServer.js";
 import {
   type ChatMessage,
   estimateTokens,
@@ -14,7 +14,7 @@
   getToken,
   parseChat,
   type ParsedPrompt,
-} from "./textModel.js";
+} from "./deterministicText.js";
 
 /** How an engine misbehaves. */
 export enum EngineFault {
@@ -41,7 +41,7 @@
 export interface EngineOptions {
   readonly width: number;
   readonly prefillTokensPerSecond: number;
-  readonly tokenInterval: number;
+  readonly tokenIntervalMs: number;
   readonly cacheBlocks: number;
 }
 
@@ -65,10 +65,10 @@
 }
 
 /** Defaults that make tests quick. */
-export const quickEngine: EngineOptions = {
+export const fastEngineOptions: EngineOptions = {
   width: 8,
   prefillTokensPerSecond: 200_000,
-  tokenInterval: 1,
+  tokenIntervalMs: 1,
   cacheBlocks: 4096,
 };
 
@@ -76,7 +76,7 @@
 const millisecondsPerSecond = 1000;
 
 /** The running stand-in. */
-export class EngineStandin implements Closeable {
+export class FakeEngine implements Closeable {
   /** Every run this engine took, in order. */
   readonly records: RunRecord[] = [];
   fault = EngineFault.None;
@@ -85,7 +85,7 @@
   private readonly queue: Run[] = [];
   private readonly cache: PrefixCache;
   private running = 0;
-  private server: HttpStandin | undefined;
+  private server: FakeHttpServer | undefined;
 
   private constructor(
     private readonly options: EngineOptions,
@@ -95,11 +95,11 @@
   }
 
   static async create(
-    options: EngineOptions = quickEngine,
+    options: EngineOptions = fastEngineOptions,
     clock: Clock = SystemClock.create(),
-  ): Promise<EngineStandin> {
-    const engine = new EngineStandin(options, clock);
-    engine.server = await HttpStandin.create((request, response, url) =>
+  ): Promise<FakeEngine> {
+    const engine = new FakeEngine(options, clock);
+    engine.server = await FakeHttpServer.create((request, response, url) =>
       engine.handle(request, response, url),
     );
     return engine;
@@ -241,7 +241,7 @@
     );
     const digest = getPromptDigest(record.prompt);
     while (record.position < record.length && !signal.aborted) {
-      await waitFor(this.clock, this.options.tokenInterval, signal);
+      await waitFor(this.clock, this.options.tokenIntervalMs, signal);
       if (signal.aborted) return;
       run.tokens.push(getToken(digest, record.position));
       record.position += 1;
--- a/packages/standins/src/httpStandin.ts
+++ b/packages/standins/src/fakeHttpServer.ts
@@ -7,22 +7,26 @@
 import type { Closeable } from "@gladewall/kernel";
 
 /** Answers one request of a stand-in. */
-export type StandinHandler = (request: IncomingMessage, response: ServerResponse, url: URL) => Promise<void>;
+export type FakeServerHandler = (
+  request: IncomingMessage,
+  response: ServerResponse,
+  url: URL,
+) => Promise<void>;
 
 const bodyLimit = 4_194_304;
 
 /** One loopback HTTP server. */
-export class HttpStandin implements Closeable {
+export class FakeHttpServer implements Closeable {
   private constructor(private readonly server: Server) {}
 
   /** Starts a server on a free loopback port. */
-  static async create(handle: StandinHandler): Promise<HttpStandin> {
+  static async create(handle: FakeServerHandler): Promise<FakeHttpServer> {
     const server = createServer({ keepAliveTimeout: 60_000 }, (request, response) => {
       const url = new URL(request.url ?? "/", "http://standin");
       handle(request, response, url).catch(() => response.destroy());
     });
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    return new HttpStandin(server);
+    return new FakeHttpServer(server);
   }
 
   /** `host:port` of the server. */
--- a/packages/standins/src/keyValueStandin.ts
+++ b/packages/standins/src/fakeKeyValueServer.ts
@@ -5,7 +5,7 @@
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { type Clock, type Closeable, SystemClock, waitFor } from "@gladewall/kernel";
-import { HttpStandin, readText, sendJson } from "./httpStandin.js";
+import { FakeHttpServer, readText, sendJson } from "./fakeHttpServer.js";
 import { MemoryStore, type StoreEntry } from "./memoryStore.js";
 
 /** How the stand-in misbehaves until told otherwise. */
@@ -16,9 +16,9 @@
   /** Every call waits `delay` milliseconds first. */
   Slow = 2,
   /** Writes take effect, then the connection is cut. */
-  AnswerLost = 3,
+  ResponseLost = 3,
   /** Watches sleep on although the key changed. */
-  WatchGap = 4,
+  MissedWatches = 4,
 }
 
 /** Calls counted since the start. */
@@ -41,20 +41,20 @@
 const kvPrefix = "/v1/kv/";
 
 /** The running stand-in. */
-export class KeyValueStandin implements Closeable {
+export class FakeKeyValueServer implements Closeable {
   readonly calls: KeyValueCalls = { reads: 0, writes: 0, watches: 0 };
   private fault = KeyValueFault.None;
   private delay = 0;
-  private server: HttpStandin | undefined;
+  private server: FakeHttpServer | undefined;
 
   private constructor(
     private readonly clock: Clock,
     readonly store: MemoryStore,
   ) {}
 
-  static async create(clock: Clock = SystemClock.create()): Promise<KeyValueStandin> {
-    const standin = new KeyValueStandin(clock, MemoryStore.create(clock));
-    standin.server = await HttpStandin.create((request, response, url) =>
+  static async create(clock: Clock = SystemClock.create()): Promise<FakeKeyValueServer> {
+    const standin = new FakeKeyValueServer(clock, MemoryStore.create(clock));
+    standin.server = await FakeHttpServer.create((request, response, url) =>
       standin.handle(request, response, url),
     );
     return standin;
@@ -85,7 +85,7 @@
     if (request.method !== "PUT") return sendJson(response, 405, {});
     this.calls.writes += 1;
     const [status, answer] = this.handleWrite(url, body);
-    if (this.fault === KeyValueFault.AnswerLost) return void response.destroy();
+    if (this.fault === KeyValueFault.ResponseLost) return void response.destroy();
     sendJson(response, status, answer);
   }
 
@@ -109,7 +109,7 @@
   }
 
   private async waitForChange(key: string, revision: number, wait: number): Promise<void> {
-    if (this.fault === KeyValueFault.WatchGap) return waitFor(this.clock, wait);
+    if (this.fault === KeyValueFault.MissedWatches) return waitFor(this.clock, wait);
     await this.store.waitForChange(key, revision, wait);
   }
 
@@ -119,7 +119,11 @@
     if (session) return this.handleSession(session[1] ?? "", session[2] ?? "", body);
     if (!url.pathname.startsWith(kvPrefix)) return [404, {}];
     const key = decodeURIComponent(url.pathname.slice(kvPrefix.length));
-    const lockCount = this.store.tryAcquire(key, Buffer.from(body), url.searchParams.get("acquire") ?? "");
+    const lockCount = this.store.tryAcquireLock(
+      key,
+      Buffer.from(body),
+      url.searchParams.get("acquire") ?? "",
+    );
     return [200, { Acquired: lockCount !== undefined, LockIndex: lockCount ?? 0 }];
   }
 
@@ -128,7 +132,7 @@
     if (!operation || operations.length !== 1 || operation.Verb !== "cas") return [400, {}];
     const value = Buffer.from(operation.Value, "base64");
     if (value.length > valueLimit) return [413, {}];
-    const revision = this.store.trySwap(operation.Key, value, operation.Index);
+    const revision = this.store.tryCompareAndSwap(operation.Key, value, operation.Index);
     if (revision === undefined) return [409, { Errors: [{ OpIndex: 0, What: "index is stale" }] }];
     return [200, { Results: [{ KV: { Key: operation.Key, ModifyIndex: revision } }] }];
   }
@@ -138,7 +142,7 @@
       const { TTL } = JSON.parse(body) as { TTL: number };
       return [200, { ID: this.store.createSession(TTL) }];
     }
-    if (verb === "renew") return this.store.tryRenew(id) ? [200, { ID: id }] : [404, {}];
+    if (verb === "renew") return this.store.tryRenewSession(id) ? [200, { ID: id }] : [404, {}];
     this.store.endSession(id);
     return [200, true];
   }
--- a/packages/standins/src/metadataStoreStandin.ts
+++ b/packages/standins/src/fakeMetadataStore.ts
@@ -6,7 +6,7 @@
 import {
   type CallStart,
   formatLeaseHandle,
-  hasCrossed,
+  isAnsweredAfterRestore,
   type MetadataStore,
   parseLeaseHandle,
   type StoreChanges,
@@ -22,12 +22,12 @@
 import { Err, Ok, type Result } from "ts-results-es";
 
 /** What calls meet. */
-export enum StoreTrouble {
+export enum StoreFault {
   None = 0,
   /** Calls fail without effect. */
   Down = 1,
   /** Writes take effect, and their answers are lost. */
-  LosesAnswers = 2,
+  LosesResponses = 2,
 }
 
 /** Longest time of a call, as the platform's client has it; a call that waits has that long beyond, or its wait. */
@@ -44,7 +44,7 @@
 }
 
 /** All that a store holds at one moment. */
-export interface StoreCopy {
+export interface StoreSnapshot {
   readonly takenAt: number;
   readonly entries: ReadonlyMap<string, Entry>;
   readonly events: readonly StoreEvent[];
@@ -58,16 +58,16 @@
 
 /** What all instances of a test share. */
 export class SharedStore {
-  trouble = StoreTrouble.None;
+  fault = StoreFault.None;
   /** Whether watches hear nothing. */
-  isDeaf = false;
+  hidesChanges = false;
   reads = 0;
   writes = 0;
   readonly entries = new Map<string, Entry>();
   /** How often the store has come back from a copy, and with which number it began. */
   era = 1;
   /** Whether answers tell the era. */
-  tellsEra = true;
+  reportsEra = true;
   private events: StoreEvent[] = [];
   private readonly leases = new Map<string, LeaseState>();
   private oldest = 0;
@@ -86,8 +86,8 @@
   }
 
   /** What answers tell of the era; undefined where they tell nothing. */
-  get toldEra(): number | undefined {
-    return this.tellsEra ? this.era : undefined;
+  get reportedEra(): number | undefined {
+    return this.reportsEra ? this.era : undefined;
   }
 
   get revision(): number {
@@ -112,7 +112,7 @@
   }
 
   /** Copies all that is held now. */
-  copy(): StoreCopy {
+  takeSnapshot(): StoreSnapshot {
     this.expire();
     return {
       takenAt: this.clock.getTime(),
@@ -125,7 +125,7 @@
   }
 
   /** Comes back from a copy: what was written since is gone, and revisions and leases are given out again. */
-  goBack({ takenAt, entries, events, leases, counter, nextLease }: StoreCopy): void {
+  restore({ takenAt, entries, events, leases, counter, nextLease }: StoreSnapshot): void {
     const awayMs = this.clock.getTime() - takenAt;
     this.era += 1;
     this.entries.clear();
@@ -139,7 +139,7 @@
   }
 
   /** Forgets all changes up to now: watches that continue from before fail. */
-  forgetHistory(): void {
+  compactHistory(): void {
     this.oldest = this.counter;
   }
 
@@ -149,7 +149,7 @@
     return lease;
   }
 
-  keep(lease: string): boolean {
+  renew(lease: string): boolean {
     this.expire();
     const found = this.leases.get(lease);
     if (!found) return false;
@@ -163,7 +163,7 @@
   }
 
   /** Ends every lease at once, as a store does that lost time. */
-  lapse(): void {
+  endAllLeases(): void {
     for (const lease of [...this.leases.keys()]) this.endLease(lease);
   }
 
@@ -186,12 +186,12 @@
 }
 
 /** One instance's client of the shared store. */
-export class MetadataStoreStandin implements MetadataStore {
+export class FakeMetadataStore implements MetadataStore {
   readonly eras = StoreEras.create();
   /** Time for which answers are held back on their way; milliseconds. */
-  heldBackMs = 0;
+  responseDelayMs = 0;
   /** Trouble of this instance alone. */
-  trouble = StoreTrouble.None;
+  fault = StoreFault.None;
   /** Calls of this instance, refused ones included. */
   calls = 0;
   /** Watches among them. */
@@ -203,12 +203,12 @@
     private readonly clock: Clock,
   ) {}
 
-  static create(shared: SharedStore, clock: Clock): MetadataStoreStandin {
-    return new MetadataStoreStandin(shared, clock);
+  static create(shared: SharedStore, clock: Clock): FakeMetadataStore {
+    return new FakeMetadataStore(shared, clock);
   }
 
   /** Lets the watches that are under way hear nothing more, without an error; new ones work. */
-  silenceWatches(): void {
+  stallWatches(): void {
     this.silencedAt = this.clock.getTime();
   }
 
@@ -243,13 +243,13 @@
     const failure = Failure.create(FailureCode.HistoryLost, { revision: since.revision });
     if (since.era !== this.eras.current) return Err(failure);
     for (;;) {
-      if (signal.aborted || this.isTroubled(StoreTrouble.Down)) return Err(createDown());
+      if (signal.aborted || this.isTroubled(StoreFault.Down)) return Err(createDown());
       if (startedAt <= this.silencedAt) {
         if (this.clock.getTime() >= givenUpAt) return Err(createDown());
         await waitFor(this.clock, this.shared.pollMs, signal);
         continue;
       }
-      const events = this.shared.isDeaf ? [] : this.shared.getChanges(prefix, since.revision);
+      const events = this.shared.hidesChanges ? [] : this.shared.getChanges(prefix, since.revision);
       const isOver = !events || events.length > 0 || this.clock.getTime() >= endsAt;
       if (isOver) {
         const revision = events?.at(-1)?.revision ?? this.shared.revision;
@@ -268,7 +268,7 @@
     return this.answer((_, start) => {
       const failure = this.apply(transaction);
       const position = { era: this.eras.current, revision: this.shared.revision };
-      if (hasCrossed(start, position)) return Err(createOutdated());
+      if (isAnsweredAfterRestore(start, position)) return Err(createOutdated());
       if (failure) return Err(failure);
       return this.losesAnswers() ? Err(Failure.create(FailureCode.ServiceAnswerLost)) : Ok(position);
     });
@@ -297,7 +297,7 @@
   async renewLease(lease: string): Promise<Result<void, Failure>> {
     const failure = Failure.create(FailureCode.LeaseLost, { lease });
     if (this.isLeaseOver(lease)) return Err(failure);
-    const kept = await this.answer(() => Ok(this.shared.keep(parseLeaseHandle(lease).id)));
+    const kept = await this.answer(() => Ok(this.shared.renew(parseLeaseHandle(lease).id)));
     if (this.isLeaseOver(lease)) return Err(failure);
     return kept.andThen((isKept) => (isKept ? Ok(undefined) : Err(failure)));
   }
@@ -308,7 +308,7 @@
   }
 
   async close(): Promise<void> {
-    this.trouble = StoreTrouble.Down;
+    this.fault = StoreFault.Down;
   }
 
   private isLeaseOver(lease: string): boolean {
@@ -321,9 +321,9 @@
   ): Promise<Result<T, Failure>> {
     this.calls += 1;
     const start = this.eras.startCall();
-    if (this.isTroubled(StoreTrouble.Down)) return Err(createDown());
-    const { heldBackMs } = this;
-    const told = this.shared.toldEra;
+    if (this.isTroubled(StoreFault.Down)) return Err(createDown());
+    const { responseDelayMs: heldBackMs } = this;
+    const told = this.shared.reportedEra;
     if (heldBackMs === 0) {
       const position = this.place(start, this.shared.revision, told);
       return position ? act(position, start) : Err(createOutdated());
@@ -334,17 +334,21 @@
     return this.place(start, revision, told) ? result : Err(createOutdated());
   }
 
-  private place(start: CallStart, revision: number, told = this.shared.toldEra): StorePosition | undefined {
-    const era = this.eras.takeWord(start, { era: told });
-    return era === undefined ? undefined : this.eras.place(start, era, revision);
+  private place(
+    start: CallStart,
+    revision: number,
+    told = this.shared.reportedEra,
+  ): StorePosition | undefined {
+    const era = this.eras.acceptEra(start, { era: told });
+    return era === undefined ? undefined : this.eras.acceptRevision(start, era, revision);
   }
 
-  private isTroubled(trouble: StoreTrouble): boolean {
-    return this.trouble === trouble || this.shared.trouble === trouble;
+  private isTroubled(trouble: StoreFault): boolean {
+    return this.fault === trouble || this.shared.fault === trouble;
   }
 
   private losesAnswers(): boolean {
-    return this.isTroubled(StoreTrouble.LosesAnswers);
+    return this.isTroubled(StoreFault.LosesResponses);
   }
 }
 
--- a/packages/standins/src/gatewayPlatform.ts
+++ b/packages/standins/src/fakePlatform.ts
@@ -4,17 +4,17 @@
  */
 import type { IncomingHttpHeaders } from "node:http";
 import {
-  type AnswerHead,
-  AnswerWord,
+  type ResponseHead,
+  ExecutionStatus,
   type EndpointNotice,
   type EndpointRecord,
-  type CallerHead,
+  type CallerRequestHead,
   type CapacityOrder,
   type DispatchHead,
-  type NamedLimit,
+  type AdvertisedLimit,
   type OrderSender,
   type OrderService,
-  OrderWord,
+  OrderOutcome,
   type PlatformAdapter,
   type PlatformOptions,
   QuotaUnit,
@@ -27,56 +27,56 @@
 } from "@gladewall/gateway";
 import { type Clock, Failure, FailureCode, PluginKind, registerPlugin, SystemClock } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
-import { MetadataStoreStandin, SharedStore } from "./metadataStoreStandin.js";
+import { FakeMetadataStore, SharedStore } from "./fakeMetadataStore.js";
 
 /** Name of the plug-in in the settings; the store's address names the platform of the test. */
-export const standinPlatformName = "standin";
+export const fakePlatformName = "standin";
 
 const configurationKey = "operator/configuration";
 const endpointPrefix = "endpoints/";
 
 /** An order as it arrived. */
-export interface TakenOrder {
+export interface ReceivedOrder {
   readonly sender: OrderSender;
   readonly usage?: UsageReport;
   readonly capacity?: CapacityOrder;
 }
 
 /** Orders of all instances of a test. */
-export class OrdersStandin implements OrderService {
-  readonly taken: TakenOrder[] = [];
+export class FakeOrderService implements OrderService {
+  readonly taken: ReceivedOrder[] = [];
   /** Returns what an order for endpoints meets. */
-  getCapacityWord: (order: CapacityOrder) => OrderWord = () => OrderWord.Taken;
+  getCapacityOutcome: (order: CapacityOrder) => OrderOutcome = () => OrderOutcome.Taken;
   isDown = false;
   /** Calls with a lower fence are refused. */
-  leastFence = -Infinity;
+  minFence = -Infinity;
   /** Calls that were refused for their fence. */
-  refused = 0;
+  refusedCount = 0;
 
   private constructor() {}
 
-  static create(): OrdersStandin {
-    return new OrdersStandin();
+  static create(): FakeOrderService {
+    return new FakeOrderService();
   }
 
-  async reportUsage(usage: UsageReport, sender: OrderSender): Promise<Result<OrderWord, Failure>> {
+  async reportUsage(usage: UsageReport, sender: OrderSender): Promise<Result<OrderOutcome, Failure>> {
     const refusal = this.findRefusal(sender);
     if (refusal) return Err(refusal);
     this.taken.push({ sender, usage });
-    return Ok(OrderWord.Taken);
+    return Ok(OrderOutcome.Taken);
   }
 
-  async orderCapacity(capacity: CapacityOrder, sender: OrderSender): Promise<Result<OrderWord, Failure>> {
+  async orderCapacity(capacity: CapacityOrder, sender: OrderSender): Promise<Result<OrderOutcome, Failure>> {
     const refusal = this.findRefusal(sender);
     if (refusal) return Err(refusal);
     this.taken.push({ sender, capacity });
-    return Ok(this.getCapacityWord(capacity));
+    return Ok(this.getCapacityOutcome(capacity));
   }
 
   private findRefusal({ fence }: OrderSender): Failure | undefined {
     if (this.isDown) return Failure.create(FailureCode.ServiceUnavailable, { detail: "down" });
-    this.refused += fence < this.leastFence ? 1 : 0;
-    return fence < this.leastFence ? Failure.create(FailureCode.FenceOutdated, { fence }) : undefined;
+    this.refusedCount += fence < this.minFence ? 1 : 0;
+    return fence < this.minFence ? Failure.create(FailureCode.FenceOutdated, { fence }) : undefined;
   }
 
   async close(): Promise<void> {
@@ -88,14 +88,14 @@
   readonly services: readonly Service[];
 }
 
-const platforms = new Map<string, StandinPlatform>();
+const platforms = new Map<string, FakePlatform>();
 
 /** The platform of one test. */
-export class StandinPlatform {
+export class FakePlatform {
   readonly shared: SharedStore;
-  readonly orders = OrdersStandin.create();
+  readonly orders = FakeOrderService.create();
   /** Clients of the store, in the order in which instances were created. */
-  readonly stores: MetadataStoreStandin[] = [];
+  readonly stores: FakeMetadataStore[] = [];
   private version = 0;
 
   private constructor(
@@ -107,8 +107,8 @@
   }
 
   /** Creates a platform and registers it under an address that no other test uses. */
-  static create(clock: Clock = SystemClock.create(), pollMs?: number): StandinPlatform {
-    const platform = new StandinPlatform(`standin:${platforms.size + 1}`, clock, pollMs);
+  static create(clock: Clock = SystemClock.create(), pollMs?: number): FakePlatform {
+    const platform = new FakePlatform(`standin:${platforms.size + 1}`, clock, pollMs);
     platforms.set(platform.address, platform);
     return platform;
   }
@@ -131,7 +131,7 @@
   }
 
   /** Lists an endpoint, or changes its record. */
-  list(record: Partial<EndpointRecord> & { readonly id: string; readonly address: string }): void {
+  putEndpoint(record: Partial<EndpointRecord> & { readonly id: string; readonly address: string }): void {
     const whole: EndpointRecord = {
       service: "web",
       hall: "a",
@@ -143,18 +143,18 @@
     this.shared.put(`${endpointPrefix}${record.id}`, JSON.stringify(whole));
   }
 
-  unlist(id: string): void {
+  removeEndpoint(id: string): void {
     this.shared.remove(`${endpointPrefix}${id}`);
   }
 
   createAdapter(): PlatformAdapter {
-    const store = MetadataStoreStandin.create(this.shared, this.clock);
+    const store = FakeMetadataStore.create(this.shared, this.clock);
     this.stores.push(store);
     return {
       store,
       orders: this.orders,
-      callers: { readinessPath: "/ready", readHead, createOwnHeaders: () => [] },
-      endpoints: { createHeaders, readAnswer },
+      callers: { readinessPath: "/ready", readHead, createGatewayHeaders: () => [] },
+      endpoints: { createHeaders, readResponseHead: readAnswer },
       configurationKey,
       endpointPrefix,
       decodeConfiguration: (value) => {
@@ -172,7 +172,7 @@
 
 registerPlugin<PlatformOptions, PlatformAdapter>({
   kind: PluginKind.Platform,
-  name: standinPlatformName,
+  name: fakePlatformName,
   create: ({ storeAddress }) => {
     const platform = platforms.get(storeAddress);
     if (!platform) throw new Error(`no stand-in platform at ${storeAddress}`);
@@ -189,8 +189,8 @@
     kind: RouteKind.Safe,
     targets: [{ service: "web", weight: 1 }],
     timeoutMs: 5_000,
-    goalMs: 500,
-    gapGoalMs: undefined,
+    latencyObjectiveMs: 500,
+    eventGapObjectiveMs: undefined,
     attempts: 2,
     priority: 0,
     isPublic: false,
@@ -211,7 +211,7 @@
     keys: ["key"],
     priority: 0,
     unit: QuotaUnit.Requests,
-    plainTokens: 1,
+    defaultTokenCost: 1,
     ratePerSecond: 0,
     burst: 0,
     ...workspace,
@@ -225,7 +225,7 @@
   return { ...service, scaling: { ...scaling, hallPrices: new Map() } };
 }
 
-function readHead(headers: IncomingHttpHeaders): Result<CallerHead, Failure> {
+function readHead(headers: IncomingHttpHeaders): Result<CallerRequestHead, Failure> {
   const id = headers["x-id"];
   if (typeof id !== "string") return Err(Failure.create(FailureCode.BadRequest, { detail: "no x-id" }));
   const tokens = headers["x-tokens"];
@@ -263,22 +263,22 @@
 const misdirected = 421;
 const firstFailure = 300;
 
-function readAnswer(requestId: string, status: number, headers: IncomingHttpHeaders): AnswerHead {
+function readAnswer(requestId: string, status: number, headers: IncomingHttpHeaders): ResponseHead {
   const word = readWord(requestId, status, headers);
-  const isOwn = word === AnswerWord.Ran || word === AnswerWord.NotRun;
-  if (!isOwn) return { word, load: undefined, notice: undefined };
-  return { word, load: undefined, notice: readNotice(headers), limit: readLimit(headers) };
+  const isOwn = word === ExecutionStatus.Ran || word === ExecutionStatus.NotRun;
+  if (!isOwn) return { executionStatus: word, load: undefined, notice: undefined };
+  return { executionStatus: word, load: undefined, notice: readNotice(headers), limit: readLimit(headers) };
 }
 
-function readWord(requestId: string, status: number, headers: IncomingHttpHeaders): AnswerWord {
-  if (headers["x-id"] !== undefined && headers["x-id"] !== requestId) return AnswerWord.Foreign;
-  if (status === misdirected) return AnswerWord.WrongEndpoint;
-  if (headers["x-not-run"] !== undefined) return AnswerWord.NotRun;
+function readWord(requestId: string, status: number, headers: IncomingHttpHeaders): ExecutionStatus {
+  if (headers["x-id"] !== undefined && headers["x-id"] !== requestId) return ExecutionStatus.Mismatched;
+  if (status === misdirected) return ExecutionStatus.WrongEndpoint;
+  if (headers["x-not-run"] !== undefined) return ExecutionStatus.NotRun;
   const isUnsigned = status < firstFailure && headers["x-stamp"] === undefined;
-  return isUnsigned ? AnswerWord.Foreign : AnswerWord.Ran;
+  return isUnsigned ? ExecutionStatus.Mismatched : ExecutionStatus.Ran;
 }
 
-function readLimit({ "x-limit": limit }: IncomingHttpHeaders): NamedLimit | undefined {
+function readLimit({ "x-limit": limit }: IncomingHttpHeaders): AdvertisedLimit | undefined {
   return limit === undefined ? undefined : { perSecond: Number(limit) };
 }
 
--- a/packages/standins/src/webStandin.ts
+++ b/packages/standins/src/fakeWebService.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
 import { type Clock, type Closeable, SystemClock, waitFor } from "@gladewall/kernel";
-import { HttpStandin, readText, sendJson } from "./httpStandin.js";
+import { FakeHttpServer, readText, sendJson } from "./fakeHttpServer.js";
 
 /** How a web endpoint misbehaves. */
 export enum WebFault {
@@ -35,20 +35,20 @@
 const width = 64;
 
 /** The running stand-in. */
-export class WebStandin implements Closeable {
+export class FakeWebService implements Closeable {
   /** Every call that was worked on, in order. */
   readonly records: WebRecord[] = [];
   fault = WebFault.None;
   /** Milliseconds of work a call. */
-  workTime = 1;
+  workTimeMs = 1;
   private active = 0;
-  private server: HttpStandin | undefined;
+  private server: FakeHttpServer | undefined;
 
   private constructor(private readonly clock: Clock) {}
 
-  static async create(clock: Clock = SystemClock.create()): Promise<WebStandin> {
-    const standin = new WebStandin(clock);
-    standin.server = await HttpStandin.create((request, response, url) =>
+  static async create(clock: Clock = SystemClock.create()): Promise<FakeWebService> {
+    const standin = new FakeWebService(clock);
+    standin.server = await FakeHttpServer.create((request, response, url) =>
       standin.handle(request, response, url),
     );
     return standin;
@@ -72,7 +72,7 @@
       return sendJson(response, 503, { detail: "no room" });
     }
     this.active += 1;
-    await waitFor(this.clock, this.workTime);
+    await waitFor(this.clock, this.workTimeMs);
     this.active -= 1;
     const record = this.createRecord(request, url, body);
     this.records.push(record);
--- a/packages/standins/src/weightStoreStandin.ts
+++ b/packages/standins/src/fakeWeightStore.ts
@@ -4,17 +4,17 @@
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { type Clock, type Closeable, SystemClock } from "@gladewall/kernel";
-import { HttpStandin, sendJson } from "./httpStandin.js";
+import { FakeHttpServer, sendJson } from "./fakeHttpServer.js";
 
 const millisecondsPerSecond = 1000;
 
 /** The running stand-in. */
-export class WeightStoreStandin implements Closeable {
+export class FakeWeightStore implements Closeable {
   /** Fetches allowed a second; more are refused with 429. */
   fetchesPerSecond = 4;
   private windowStart = 0;
   private windowCount = 0;
-  private server: HttpStandin | undefined;
+  private server: FakeHttpServer | undefined;
 
   private constructor(
     private readonly clock: Clock,
@@ -25,9 +25,9 @@
   static async create(
     sizes: ReadonlyMap<string, number>,
     clock: Clock = SystemClock.create(),
-  ): Promise<WeightStoreStandin> {
-    const standin = new WeightStoreStandin(clock, sizes);
-    standin.server = await HttpStandin.create((request, response, url) =>
+  ): Promise<FakeWeightStore> {
+    const standin = new FakeWeightStore(clock, sizes);
+    standin.server = await FakeHttpServer.create((request, response, url) =>
       standin.handle(request, response, url),
     );
     return standin;
--- a/packages/standins/src/freePorts.ts
+++ b/packages/standins/src/freePorts.ts
@@ -11,7 +11,7 @@
 const blocks = 180;
 
 /** Gives out the ports of blocks that nobody else has. */
-export class PortBlocks {
+export class PortBlockAllocator {
   /** Listens at the present block's first port. */
   private holder: Server | undefined;
   private nextPort = 0;
@@ -19,8 +19,8 @@
   private constructor(private nextBlock: number) {}
 
   /** Begins to look for a block at one of them; any number will do. */
-  static create(firstBlock: number): PortBlocks {
-    return new PortBlocks(firstBlock % blocks);
+  static create(firstBlock: number): PortBlockAllocator {
+    return new PortBlockAllocator(firstBlock % blocks);
   }
 
   /** Returns addresses (`host:port`) on loopback that nobody listens at, and that no other owner of blocks is given. */
@@ -50,7 +50,7 @@
   }
 }
 
-const ownBlocks = PortBlocks.create(process.pid);
+const ownBlocks = PortBlockAllocator.create(process.pid);
 
 /** Returns addresses (`host:port`) on loopback that nobody listens at, and that no other process is given. */
 export function findFreeAddresses(count: number): Promise<readonly string[]> {
--- a/packages/standins/src/gatewayBench.ts
+++ b/packages/standins/src/gatewayTestBench.ts
@@ -6,10 +6,10 @@
 import { Gateway, gatewaySchema, type GatewaySettings, renamedGatewaySettings } from "@gladewall/gateway";
 import { assertThat, type Closeable, Logger, parseSettings } from "@gladewall/kernel";
 import { findFreeAddresses } from "./freePorts.js";
-import { StandinPlatform, standinPlatformName } from "./gatewayPlatform.js";
+import { FakePlatform, fakePlatformName } from "./fakePlatform.js";
 
 /** What a caller saw. */
-export interface CallerView {
+export interface CallResult {
   /** 0 where no head came. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
@@ -41,19 +41,19 @@
 let nextId = 1;
 
 /** Instances of one test. */
-export class GatewayBench implements Closeable {
+export class GatewayTestBench implements Closeable {
   readonly instances: BenchInstance[] = [];
 
   private constructor(
-    readonly platform: StandinPlatform,
+    readonly platform: FakePlatform,
     private readonly logger: Logger,
   ) {}
 
   static create(
-    platform: StandinPlatform = StandinPlatform.create(),
+    platform: FakePlatform = FakePlatform.create(),
     logger: Logger = Logger.createSilent(),
-  ): GatewayBench {
-    return new GatewayBench(platform, logger);
+  ): GatewayTestBench {
+    return new GatewayTestBench(platform, logger);
   }
 
   /** Starts an instance; `overrides` are `section.key=value`. Resolves when its ports are open. */
@@ -70,7 +70,7 @@
       `peers = ${peers}`,
       `metrics = ${metrics}`,
       "[platform]",
-      `adapter = ${standinPlatformName}`,
+      `adapter = ${fakePlatformName}`,
       `store_address = ${this.platform.address}`,
       "orders_address = standin:1",
       "[peers]",
@@ -101,7 +101,7 @@
   }
 
   /** Sends one request to an instance and resolves with what came of it. Never rejects. */
-  call(instance: BenchInstance, options: CallOptions = {}): Promise<CallerView> {
+  call(instance: BenchInstance, options: CallOptions = {}): Promise<CallResult> {
     const { callers } = instance.settings.listen;
     const port = Number(callers.slice(callers.lastIndexOf(":") + 1));
     const { id = `request-${nextId++}`, method = "GET", path = "/", host = "app.test", key, body } = options;
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -3,20 +3,20 @@
  * @module
  */
 export * from "./memoryStore.js";
-export * from "./keyValueStandin.js";
-export * from "./platformStandin.js";
-export * from "./weightStoreStandin.js";
-export * from "./textModel.js";
+export * from "./fakeKeyValueServer.js";
+export * from "./fakeCloudServices.js";
+export * from "./fakeWeightStore.js";
+export * from "./deterministicText.js";
 export * from "./engineRecord.js";
-export * from "./engineStandin.js";
-export * from "./webStandin.js";
+export * from "./fakeEngine.js";
+export * from "./fakeWebService.js";
 export * from "./memoryKeyValue.js";
-export * from "./metadataStoreStandin.js";
-export * from "./gatewayPlatform.js";
+export * from "./fakeMetadataStore.js";
+export * from "./fakePlatform.js";
 export * from "./scriptedEndpoint.js";
-export * from "./gatewayBench.js";
-export * from "./runWindows.js";
-export * from "./draws.js";
+export * from "./gatewayTestBench.js";
+export * from "./runUnitLog.js";
+export * from "./random.js";
 export * from "./freePorts.js";
-export { readText } from "./httpStandin.js";
-export * from "./endpointNeeds.js";
+export { readText } from "./fakeHttpServer.js";
+export * from "./endpointArrivals.js";
--- a/packages/standins/src/memoryKeyValue.ts
+++ b/packages/standins/src/memoryKeyValue.ts
@@ -9,20 +9,20 @@
 import { MemoryStore } from "./memoryStore.js";
 
 /** What happens to one call. */
-export enum CallFate {
+export enum CallOutcome {
   Answered = 0,
   /** Fails without effect. */
   Refused = 1,
   /** Takes effect at once; the answer is lost. */
-  AnswerLost = 2,
+  ResponseLost = 2,
   /** Is answered as lost, and takes effect later. */
-  EffectLate = 3,
+  DelayedEffect = 3,
   /** Is answered as lost, and never takes effect. */
   RequestLost = 4,
 }
 
 /** Returns the fate of the next call. */
-export type FateSource = () => CallFate;
+export type CallOutcomeSource = () => CallOutcome;
 
 const callTime = 1;
 const lateEffect = 40;
@@ -30,7 +30,7 @@
 /** The service without a network. Every call takes a millisecond of the clock it is given. */
 export class MemoryKeyValue implements KeyValueService {
   /** Fates of calls from now on. */
-  nextFate: FateSource = () => CallFate.Answered;
+  nextOutcome: CallOutcomeSource = () => CallOutcome.Answered;
   calls = 0;
 
   private constructor(
@@ -44,7 +44,7 @@
 
   async read(key: string): Promise<Result<StoredValue | undefined, Failure>> {
     const fate = await this.startCall();
-    if (fate !== CallFate.Answered) return Err(createUnavailable());
+    if (fate !== CallOutcome.Answered) return Err(createUnavailable());
     return Ok(this.get(key));
   }
 
@@ -54,7 +54,7 @@
     wait: number,
   ): Promise<Result<StoredValue | undefined, Failure>> {
     const fate = await this.startCall();
-    if (fate !== CallFate.Answered) return Err(createUnavailable());
+    if (fate !== CallOutcome.Answered) return Err(createUnavailable());
     await this.store.waitForChange(key, revision, wait);
     return Ok(this.get(key));
   }
@@ -62,7 +62,7 @@
   async compareAndSwap(key: string, value: Uint8Array, expected: number): Promise<Result<number, Failure>> {
     const bytes = Uint8Array.from(value);
     const swap = (): Result<number, Failure> => {
-      const revision = this.store.trySwap(key, bytes, expected);
+      const revision = this.store.tryCompareAndSwap(key, bytes, expected);
       return revision === undefined
         ? Err(Failure.create(FailureCode.ServiceConflict, { key }))
         : Ok(revision);
@@ -77,7 +77,7 @@
   ): Promise<Result<GrantedLease | undefined, Failure>> {
     return this.change(() => {
       const session = this.store.createSession(ttl);
-      const fence = this.store.tryAcquire(name, Buffer.from(holder), session);
+      const fence = this.store.tryAcquireLock(name, Buffer.from(holder), session);
       if (fence !== undefined) return Ok({ session, fence });
       this.store.endSession(session);
       return Ok(undefined);
@@ -86,7 +86,7 @@
 
   renewLease(session: string): Promise<Result<void, Failure>> {
     const lost = Err(Failure.create(FailureCode.LeaseLost, { lease: session }));
-    return this.change(() => (this.store.tryRenew(session) ? Ok.EMPTY : lost));
+    return this.change(() => (this.store.tryRenewSession(session) ? Ok.EMPTY : lost));
   }
 
   releaseLease(session: string): Promise<Result<void, Failure>> {
@@ -106,9 +106,9 @@
     return entry && { value: entry.value, revision: entry.revision };
   }
 
-  private async startCall(): Promise<CallFate> {
+  private async startCall(): Promise<CallOutcome> {
     this.calls += 1;
-    const fate = this.nextFate();
+    const fate = this.nextOutcome();
     await waitFor(this.clock, callTime);
     return fate;
   }
@@ -121,18 +121,18 @@
 
 type FateHandler = <T>(effect: () => Result<T, Failure>, clock: Clock) => Result<T, Failure>;
 
-const handlersByFate: Readonly<Record<CallFate, FateHandler>> = {
-  [CallFate.Answered]: (effect) => effect(),
-  [CallFate.Refused]: () => Err(createUnavailable()),
-  [CallFate.AnswerLost]: (effect) => {
+const handlersByFate: Readonly<Record<CallOutcome, FateHandler>> = {
+  [CallOutcome.Answered]: (effect) => effect(),
+  [CallOutcome.Refused]: () => Err(createUnavailable()),
+  [CallOutcome.ResponseLost]: (effect) => {
     effect();
     return Err(Failure.create(FailureCode.ServiceAnswerLost));
   },
-  [CallFate.EffectLate]: (effect, clock) => {
+  [CallOutcome.DelayedEffect]: (effect, clock) => {
     clock.startTimer(lateEffect, () => effect());
     return Err(Failure.create(FailureCode.ServiceAnswerLost));
   },
-  [CallFate.RequestLost]: () => Err(Failure.create(FailureCode.ServiceAnswerLost)),
+  [CallOutcome.RequestLost]: () => Err(Failure.create(FailureCode.ServiceAnswerLost)),
 };
 
 function createUnavailable(): Failure {
--- a/packages/standins/src/memoryStore.ts
+++ b/packages/standins/src/memoryStore.ts
@@ -48,7 +48,7 @@
   }
 
   /** Writes if the revision is still `expected`; returns the new revision, undefined on a conflict. */
-  trySwap(key: string, value: Uint8Array, expected: number): number | undefined {
+  tryCompareAndSwap(key: string, value: Uint8Array, expected: number): number | undefined {
     const present = this.get(key);
     if ((present?.revision ?? 0) !== expected) return undefined;
     this.put(key, { value, lockCount: present?.lockCount ?? 0, session: present?.session });
@@ -63,7 +63,7 @@
   }
 
   /** Renews a session; false where it has lapsed. */
-  tryRenew(id: string): boolean {
+  tryRenewSession(id: string): boolean {
     this.expireSessions();
     const session = this.sessions.get(id);
     if (!session) return false;
@@ -80,7 +80,7 @@
   }
 
   /** Takes a key's lock for a session; returns the lock count, undefined where another holds it. */
-  tryAcquire(key: string, value: Uint8Array, session: string): number | undefined {
+  tryAcquireLock(key: string, value: Uint8Array, session: string): number | undefined {
     const present = this.get(key);
     if (!this.sessions.has(session)) return undefined;
     if (present?.session === session) return present.lockCount;
--- a/packages/standins/src/draws.ts
+++ b/packages/standins/src/random.ts
@@ -4,7 +4,7 @@
  */
 
 /** Returns draws from 0 to 1; the seed is any whole number. */
-export function createDraws(seed: number): () => number {
+export function createRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
     // The linear congruential generator of Numerical Recipes.
--- a/packages/standins/src/runWindows.ts
+++ b/packages/standins/src/runUnitLog.ts
@@ -9,32 +9,32 @@
 }
 
 /** Units that ran in one window, and the time at which it ends. */
-export interface RunSum {
+export interface WindowSum {
   readonly units: number;
   readonly at: number;
 }
 
 /** Runs of all endpoints of one test; times are milliseconds of any clock. */
-export class RunWindows {
+export class RunUnitLog {
   private readonly runs = new Map<string, Run[]>();
 
   private constructor() {}
 
-  static create(): RunWindows {
-    return new RunWindows();
+  static create(): RunUnitLog {
+    return new RunUnitLog();
   }
 
   /** Counts a run that began at a time. */
-  note(workspace: string, at: number, units: number): void {
+  record(workspace: string, at: number, units: number): void {
     let runs = this.runs.get(workspace);
     if (!runs) this.runs.set(workspace, (runs = []));
     runs.push({ at, units });
   }
 
   /** Returns the largest sum of a workspace over any span of a length. */
-  getWorst(workspace: string, windowMs: number): RunSum {
+  getMax(workspace: string, windowMs: number): WindowSum {
     const runs = [...(this.runs.get(workspace) ?? [])].sort((one, other) => one.at - other.at);
-    let worst: RunSum = { units: 0, at: 0 };
+    let worst: WindowSum = { units: 0, at: 0 };
     let sum = 0;
     let oldest = 0;
     for (const { at, units } of runs) {
--- a/packages/standins/src/scriptedEndpoint.ts
+++ b/packages/standins/src/scriptedEndpoint.ts
@@ -7,7 +7,7 @@
 import type { Closeable } from "@gladewall/kernel";
 
 /** A request as the endpoint got it. */
-export interface EndpointCall {
+export interface EndpointRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
@@ -20,11 +20,11 @@
 }
 
 /** Answers one request. */
-export type EndpointScript = (call: EndpointCall) => void;
+export type EndpointScript = (call: EndpointRequest) => void;
 
 /** One scripted endpoint on loopback. */
 export class ScriptedEndpoint implements Closeable {
-  readonly calls: EndpointCall[] = [];
+  readonly requests: EndpointRequest[] = [];
   connections = 0;
   private waiters: (() => void)[] = [];
 
@@ -34,7 +34,7 @@
   ) {}
 
   /** Starts an endpoint on a free port. */
-  static async create(id: string, script: EndpointScript = answerGood): Promise<ScriptedEndpoint> {
+  static async create(id: string, script: EndpointScript = respondSuccess): Promise<ScriptedEndpoint> {
     const server = createServer({ keepAliveTimeout: 60_000 });
     const endpoint = new ScriptedEndpoint(id, server);
     server.on("connection", () => (endpoint.connections += 1));
@@ -42,7 +42,7 @@
       const parts: Buffer[] = [];
       message.on("data", (part: Buffer) => parts.push(part));
       message.on("end", () => {
-        const call: EndpointCall = {
+        const call: EndpointRequest = {
           id: String(message.headers["x-id"]),
           method: message.method ?? "",
           target: message.url ?? "",
@@ -52,7 +52,7 @@
           response,
           socket: message.socket,
         };
-        endpoint.calls.push(call);
+        endpoint.requests.push(call);
         for (const wake of endpoint.waiters.splice(0)) wake();
         (endpoint.script ?? script)(call);
       });
@@ -69,8 +69,8 @@
   }
 
   /** Resolves when so many requests have arrived. */
-  async waitForCalls(count: number): Promise<void> {
-    while (this.calls.length < count) await new Promise<void>((resolve) => this.waiters.push(resolve));
+  async waitForRequests(count: number): Promise<void> {
+    while (this.requests.length < count) await new Promise<void>((resolve) => this.waiters.push(resolve));
   }
 
   async close(): Promise<void> {
@@ -81,26 +81,26 @@
 }
 
 /** Answers with a signed body that names the endpoint's request. */
-export function answerGood({ id, response }: EndpointCall): void {
+export function respondSuccess({ id, response }: EndpointRequest): void {
   const body = `answer to ${id}`;
   response.writeHead(200, { "x-id": id, "x-stamp": "signed", "content-length": body.length });
   response.end(body);
 }
 
 /** Answers that the request was not run. */
-export function answerNotRun({ id, response }: EndpointCall): void {
+export function respondNotRun({ id, response }: EndpointRequest): void {
   response.writeHead(503, { "x-id": id, "x-not-run": "1", "content-length": 0 });
   response.end();
 }
 
 /** Begins a stream; the test writes events and ends it. */
-export function beginEvents({ id, response }: EndpointCall): void {
+export function startEventStream({ id, response }: EndpointRequest): void {
   response.writeHead(200, { "x-id": id, "x-stamp": "signed", "content-type": "text/event-stream" });
   response.flushHeaders();
 }
 
 /** Answers well, and says that the endpoint leaves. */
-export function answerLeaving(call: EndpointCall): void {
+export function respondLeaving(call: EndpointRequest): void {
   call.response.setHeader("x-leaving", "1");
-  answerGood(call);
+  respondSuccess(call);
 }
--- a/scripts/answerSoak.mjs
+++ b/scripts/answerSoak.mjs
@@ -3,11 +3,11 @@
 // not its own, or was cut by a planned stop.
 import { importTest, playSeeds } from "./playSeeds.mjs";
 
-const { playAnswers } = await importTest("answerSoak");
+const { runResponseSoak } = await importTest("responseSoak");
 
 await playSeeds(6, async (play) => {
-  const { broken, requests, quiet, repeats, stops, troubles, statuses } = await playAnswers(play);
+  const { violations, requests, undisturbed, retries, stops, faults, statuses } = await runResponseSoak(play);
   const seen = JSON.stringify(Object.fromEntries(statuses));
-  const text = `${requests} requests, ${quiet} of them quiet, ${repeats} repeats, ${stops} stops, ${troubles} troubles ${seen}`;
-  return { isBroken: broken.length > 0, text: [text, ...broken].join("; ") };
+  const text = `${requests} requests, ${undisturbed} of them quiet, ${retries} repeats, ${stops} stops, ${faults} troubles ${seen}`;
+  return { isBroken: violations.length > 0, text: [text, ...violations].join("; ") };
 });
--- a/scripts/crashSoak.mjs
+++ b/scripts/crashSoak.mjs
@@ -8,7 +8,7 @@
 const { values } = parseArgs({
   options: { seeds: { type: "string", default: "50" }, from: { type: "string", default: "1" } },
 });
-const { playCrashes } = await import(`${root}packages/gateway/dist/test/crashPlays.js`);
+const { runCrashScenario } = await import(`${root}packages/gateway/dist/test/crashScenarios.js`);
 
 /** Runs of one request after three endpoints ended under it. */
 const mostRuns = 3;
@@ -25,7 +25,7 @@
 for (let seed = from; seed < from + Number(values.seeds); seed++) {
   const closers = [];
   const watchdog = setTimeout(() => exitStuck(seed), stuckMs);
-  const play = await playCrashes({ teardown: (close) => closers.push(close) }, seed);
+  const play = await runCrashScenario({ teardown: (close) => closers.push(close) }, seed);
   clearTimeout(watchdog);
   for (const close of closers) await close();
   const isGood = play.mostRunsAfterThird <= mostRuns && play.unserved === 0;
--- a/scripts/limitSoak.mjs
+++ b/scripts/limitSoak.mjs
@@ -3,12 +3,12 @@
 // allows.
 import { importTest, playSeeds } from "./playSeeds.mjs";
 
-const { drawTroubles, playLimit } = await importTest("limitSoak");
+const { createRandomFaults, runLimitSoak } = await importTest("limitSoak");
 
 await playSeeds(12, async (play) => {
-  const troubles = drawTroubles(play.seed);
-  const { worstShare, givenOut, statuses } = await playLimit({ ...troubles, ...play });
+  const troubles = createRandomFaults(play.seed);
+  const { maxShare, admittedShare, statuses } = await runLimitSoak({ ...troubles, ...play });
   const seen = JSON.stringify(Object.fromEntries(statuses));
-  const outcome = `worst ${worstShare.toFixed(3)} given out ${givenOut.toFixed(2)}`;
-  return { isBroken: worstShare > 1, text: `${outcome} ${seen} ${JSON.stringify(troubles)}` };
+  const outcome = `worst ${maxShare.toFixed(3)} given out ${admittedShare.toFixed(2)}`;
+  return { isBroken: maxShare > 1, text: `${outcome} ${seen} ${JSON.stringify(troubles)}` };
 });
--- a/scripts/mutants.mjs
+++ b/scripts/mutants.mjs
@@ -8,70 +8,70 @@
 
 const root = fileURLToPath(new URL("..", import.meta.url));
 const gateway = "packages/gateway/src/";
-const { playAnswers } = await importTest("answerSoak");
-const { playStore } = await importTest("storeSoak");
+const { runResponseSoak } = await importTest("responseSoak");
+const { runStoreSoak } = await importTest("storeSoak");
 
 /** Each guard: the source it stands in, and pairs of a text there and what stands in its place without the guard. */
 const guards = [
   {
     name: "once-only-requests",
-    play: playAnswers,
-    file: `${gateway}exchange.ts`,
+    play: runResponseSoak,
+    file: `${gateway}activeRequest.ts`,
     edits: [
       ["return kind === RouteKind.Safe || (kind === RouteKind.Stream && isResumable);", "return true;"],
     ],
   },
   {
     name: "whose-answer",
-    play: playAnswers,
+    play: runResponseSoak,
     file: "platform/src/headers.ts",
-    edits: [["if (echoed !== undefined && echoed !== requestId) return AnswerWord.Foreign;", ""]],
+    edits: [["if (echoed !== undefined && echoed !== requestId) return ExecutionStatus.Mismatched;", ""]],
   },
   {
     name: "true-refusals",
-    play: playAnswers,
-    file: `${gateway}exchange.ts`,
+    play: runResponseSoak,
+    file: `${gateway}activeRequest.ts`,
     edits: [["return this.history.runs + (isRunning ? 1 : 0);", "return 0;"]],
   },
   {
     name: "place-in-stream",
-    play: playAnswers,
-    file: `${gateway}exchange.ts`,
+    play: runResponseSoak,
+    file: `${gateway}activeRequest.ts`,
     edits: [["lastEventId: this.relay?.lastEventId,", "lastEventId: undefined,"]],
   },
   {
     name: "cancel",
-    play: playAnswers,
-    file: `${gateway}exchange.ts`,
+    play: runResponseSoak,
+    file: `${gateway}activeRequest.ts`,
     edits: [['this.attempt?.abort("caller gone");', ""]],
   },
   {
     name: "repeat-budget",
-    play: playAnswers,
-    file: `${gateway}exchange.ts`,
+    play: runResponseSoak,
+    file: `${gateway}activeRequest.ts`,
     edits: [["await this.parts.budget.take(this.request.service.name, this.getTimeLeft());", "true;"]],
   },
   {
     name: "planned-stop",
-    play: playAnswers,
+    play: runResponseSoak,
     file: `${gateway}gateway.ts`,
     edits: [["await this.finishRequests(endsAt);", ""]],
   },
   {
     name: "conditional-write",
-    play: playStore,
-    file: `${gateway}dutyLeases.ts`,
+    play: runStoreSoak,
+    file: `${gateway}fencedLeases.ts`,
     edits: [["{ key: name, revision: 0 },", ""]],
   },
   {
     name: "fence",
-    play: playStore,
-    file: `${gateway}dutyLeases.ts`,
+    play: runStoreSoak,
+    file: `${gateway}fencedLeases.ts`,
     edits: [["fence: current.offset + taken.value.revision", "fence: taken.value.revision"]],
   },
   {
     name: "version",
-    play: playStore,
+    play: runStoreSoak,
     file: `${gateway}configurationFollower.ts`,
     edits: [
       ["if (version !== undefined && version < inForce) {", "if (version === Infinity) {"],
@@ -101,8 +101,8 @@
 async function find({ name, play }, seeds) {
   const daemon = `${root}target/mutants/${name}/gladewalld.mjs`;
   for (let seed = 1; seed <= seeds; seed++) {
-    const { broken } = await play({ instances: 6, seed, lengthMs: 20_000, daemon });
-    if (broken.length > 0) return `seed ${seed}: ${broken[0]}`;
+    const { violations } = await play({ instances: 6, seed, lengthMs: 20_000, daemon });
+    if (violations.length > 0) return `seed ${seed}: ${violations[0]}`;
   }
   return undefined;
 }
--- a/scripts/needSoak.mjs
+++ b/scripts/needSoak.mjs
@@ -3,10 +3,10 @@
 // a daemon of an earlier build, every second instance runs it until it is started again.
 import { importTest, playSeeds } from "./playSeeds.mjs";
 
-const { playNeeds } = await importTest("needSoak");
+const { runEndpointLimitSoak } = await importTest("endpointLimitSoak");
 
 await playSeeds(6, async (play) => {
-  const { worst, words, statuses } = await playNeeds(play);
+  const { maxShare, notices, statuses } = await runEndpointLimitSoak(play);
   const seen = JSON.stringify(Object.fromEntries(statuses));
-  return { isBroken: worst > 1, text: `worst ${worst.toFixed(2)} after ${words} words ${seen}` };
+  return { isBroken: maxShare > 1, text: `worst ${maxShare.toFixed(2)} after ${notices} words ${seen}` };
 });
--- a/scripts/playSeeds.mjs
+++ b/scripts/playSeeds.mjs
@@ -12,7 +12,7 @@
   return import(`${root}platform/dist/test/${name}.js`);
 }
 
-/** Plays seeds; `play` gets seed, instances, lengthMs, logFolder and formerDaemon, and returns `isBroken` and `text`. */
+/** Plays seeds; `play` gets seed, instances, lengthMs, logFolder and earlierDaemon, and returns `isBroken` and `text`. */
 export async function playSeeds(instances, play) {
   const { values } = parseArgs({
     options: {
@@ -31,7 +31,7 @@
     instances: Number(values.instances),
     lengthMs: Number(values.seconds) * 1_000,
     logFolder: values.logs,
-    formerDaemon: values.former,
+    earlierDaemon: values.former,
   };
   let broken = 0;
   for (let seed = from; seed < from + Number(values.seeds); seed++) {
--- a/scripts/storeSoak.mjs
+++ b/scripts/storeSoak.mjs
@@ -3,11 +3,11 @@
 // that left was used, or duties were done twice.
 import { importTest, playSeeds } from "./playSeeds.mjs";
 
-const { playStore } = await importTest("storeSoak");
+const { runStoreSoak } = await importTest("storeSoak");
 
 await playSeeds(6, async (play) => {
-  const { broken, returns, versions, statuses } = await playStore(play);
+  const { violations, restores, versions, statuses } = await runStoreSoak(play);
   const seen = JSON.stringify(Object.fromEntries(statuses));
-  const text = `${returns} returns, ${versions} versions ${seen} ${broken.join("; ")}`;
-  return { isBroken: broken.length > 0, text };
+  const text = `${restores} returns, ${versions} versions ${seen} ${violations.join("; ")}`;
+  return { isBroken: violations.length > 0, text };
 });
--- a/scripts/wordSoak.mjs
+++ b/scripts/wordSoak.mjs
@@ -3,11 +3,11 @@
 // wants nothing.
 import { importTest, playSeeds } from "./playSeeds.mjs";
 
-const { playWords } = await importTest("wordSoak");
+const { runNoticeSoak } = await importTest("noticeSoak");
 
 await playSeeds(6, async (play) => {
-  const { late, pressed, words, times, statuses } = await playWords(play);
+  const { lateRequests, heldOffRequests, notices, holdOffs, statuses } = await runNoticeSoak(play);
   const seen = JSON.stringify(Object.fromEntries(statuses));
-  const text = `late ${late} of ${words} words, pressed ${pressed} of ${times} times ${seen}`;
-  return { isBroken: late + pressed > 0, text };
+  const text = `late ${lateRequests} of ${notices} words, pressed ${heldOffRequests} of ${holdOffs} times ${seen}`;
+  return { isBroken: lateRequests + heldOffRequests > 0, text };
 });
