--- a/packages/policy/src/blocks.ts
+++ b/packages/policy/src/blocks.ts
@@ -1,5 +1,5 @@
 /**
- * Hashes of prompt blocks, by which entries know a prompt's prefix without keeping the prompt.
+ * Hashes of prompt blocks. They identify the prefix of a prompt, so that an entry does not have to keep its text.
  * @module
  */
 import { hashText } from "@gladewall/kernel";
@@ -7,7 +7,10 @@
 const blockCharacters = 1024;
 const highestBlocks = 256;
 
-/** Returns the chained hashes of a prompt's whole blocks; each stands for the prompt up to its end. */
+/**
+ * Returns the chained hashes of a prompt's complete blocks, at most `maxBlocks`. Each hash covers the prompt from its
+ * start to the end of that block; a last, incomplete block is left out.
+ */
 export function hashPromptBlocks(prompt: string): readonly number[] {
   const hashes: number[] = [];
   let chained = 0;
@@ -22,5 +25,5 @@
   return hashes;
 }
 
-/** Characters of one block. */
+/** Length of one block in UTF-16 code units. */
 export const promptBlockCharacters = blockCharacters;
--- a/packages/policy/src/configuration.ts
+++ b/packages/policy/src/configuration.ts
@@ -1,5 +1,6 @@
 /**
- * The configuration document: parsing with every mistake reported, and lookup by key, service and row.
+ * The configuration document: encoding, decoding and validation. Also computes the names and hashes by which its rows
+ * and keys are looked up.
  * @module
  */
 import { createHash } from "node:crypto";
@@ -16,7 +17,7 @@
   type WorkspaceRecord,
 } from "./types.js";
 
-/** The document before any save. */
+/** The configuration before the first save. */
 export const emptyConfiguration: Configuration = {
   version: 0,
   rows: [],
@@ -30,7 +31,7 @@
 const namePattern = /^(\*|[A-Za-z0-9][A-Za-z0-9._-]{0,63})$/;
 const hashPattern = /^[0-9a-f]{64}$/;
 
-/** Returns the SHA-256 of a bearer key in hex, as the document keeps it. */
+/** Returns the SHA-256 of a bearer key in hex, the form in which the document stores keys. */
 export function getKeyHash(key: string): string {
   return createHash("sha256").update(key).digest("hex");
 }
@@ -43,7 +44,7 @@
 /** Columns of a row that hold names. */
 const nameColumns = ["workspace", "service", "class"] as const;
 
-/** Columns of a row that hold numbers, with what each allows. */
+/** Columns of a row that hold numbers, with the range of each. */
 export const numberColumns: Readonly<
   Record<string, { readonly lowest: number; readonly highest: number; readonly isWhole: boolean }>
 > = {
@@ -55,7 +56,7 @@
   latencyTarget: { lowest: 1, highest: highestNumber, isWhole: true },
 };
 
-/** Returns every mistake of a row; `name` is how messages call it. */
+/** Returns every error in a row; `name` identifies the row in the messages. */
 export function validateRow(row: Readonly<Record<string, unknown>>, name: string): Failure[] {
   const failures: Failure[] = [];
   const report = (column: string, detail: string): void => {
@@ -85,7 +86,7 @@
   return failures;
 }
 
-/** Returns every mistake of a configuration. */
+/** Returns every error in a configuration, including rows that have the same name. */
 export function validateConfiguration(configuration: Configuration): Failure[] {
   const failures: Failure[] = [];
   const seen = new Set<string>();
@@ -132,12 +133,12 @@
   ];
 }
 
-/** Returns a configuration as the bytes that the key-value service holds. */
+/** Encodes a configuration as the bytes stored in the key-value service (JSON). */
 export function encodeConfiguration(configuration: Configuration): Uint8Array {
   return Buffer.from(JSON.stringify(configuration));
 }
 
-/** Parses the bytes of a configuration; fails with `TableInvalid`. */
+/** Decodes a stored configuration; fails with `TableInvalid`, which names the first error found. */
 export function decodeConfiguration(bytes: Uint8Array): Result<Configuration, Failure> {
   const parsed = tryParse(bytes);
   if (!parsed) {
@@ -169,7 +170,7 @@
   }
 }
 
-/** Tells whether a call of a web service may be repeated by the service's own patterns. */
+/** Returns whether the patterns of a web service allow a call to be run more than once. */
 export function getServiceRepeatRule(service: ServiceRecord, method: string, path: string): RepeatRule {
   const matches = (pattern: RepeatPattern): boolean =>
     (pattern.method === "*" || pattern.method === method) && path.startsWith(pattern.pathPrefix);
--- a/packages/policy/src/endpointLoadEstimate.ts
+++ b/packages/policy/src/endpointLoadEstimate.ts
@@ -1,15 +1,17 @@
 /**
- * What one entry believes about an endpoint's load: learned from answers first, from lagging reports second.
+ * Estimates the load and the speed of one endpoint, as seen from one entry. The entry's own dispatches and
+ * responses update the estimate at once; the endpoint's load reports, which lag behind, cover the requests of
+ * the other entries.
  * @module
  */
 import type { InstanceRecord } from "@gladewall/coordination";
 import { type Clock, hashText } from "@gladewall/kernel";
 
-/** A load report as an endpoint gave it. */
+/** Load that an endpoint reports about itself. */
 export interface LoadReport {
   readonly running: number;
   readonly queued: number;
-  /** Requests the endpoint works on at once. */
+  /** Number of requests that the endpoint runs concurrently. */
   readonly width: number;
 }
 
@@ -20,11 +22,11 @@
 const defaultWidth = 8;
 const millisecondsPerSecond = 1000;
 
-/** Belief about one endpoint. Times in milliseconds, rates in tokens a second. */
+/** Load estimate of one endpoint. Times are in milliseconds; the prefill rate is in tokens per second. */
 export class EndpointLoadEstimate {
-  /** Hash of the endpoint's id, for rendezvous. */
+  /** Hash of the endpoint's id, used for rendezvous hashing. */
   readonly hash: number;
-  /** Endpoint takes no new work. */
+  /** True while the endpoint shuts down and accepts no new requests. */
   isLeaving = false;
   private width = defaultWidth;
   private reported = 0;
@@ -48,53 +50,57 @@
     return new EndpointLoadEstimate(clock, record);
   }
 
-  /** Requests of this entry that the endpoint has. */
+  /** Returns the number of requests that this entry has running on the endpoint. */
   getOwnActiveCount(): number {
     return this.own;
   }
 
-  /** Requests that the endpoint is believed to have, of all entries. */
+  /** Returns the estimated number of requests of all entries on the endpoint, running or queued. */
   getActiveCount(): number {
     return Math.max(this.own, this.reported + this.sinceReport);
   }
 
-  /** Requests it works on at once. */
+  /** Returns the number of requests that the endpoint runs concurrently. */
   getWidth(): number {
     return this.width;
   }
 
-  /** Puts a report in force; later dispatches correct it until the next. */
+  /** Applies a load report. Dispatches and ends after it adjust the estimate until the next report. */
   applyReport(report: LoadReport): void {
     this.reported = report.running + report.queued;
     this.width = Math.max(1, report.width);
     this.sinceReport = 0;
   }
 
-  /** Counts a dispatch of so many tokens to be read. */
+  /** Records the dispatch of a request with `prefillTokens` uncached prompt tokens. */
   recordDispatch(prefillTokens: number): void {
     this.own += 1;
     this.sinceReport += 1;
     this.pendingPrefill += prefillTokens;
   }
 
-  /** Counts the first token of a run: its prompt has been read. */
+  /**
+   * Records the first token of a request, which shows that its prompt has been processed after `elapsed`
+   * milliseconds.
+   */
   recordFirstToken(prefillTokens: number, elapsed: number): void {
     this.pendingPrefill = Math.max(0, this.pendingPrefill - prefillTokens);
     if (prefillTokens < 1 || elapsed <= 0) return;
     const rate = (prefillTokens / elapsed) * millisecondsPerSecond;
-    // A queued run looks slow, which is not the endpoint's speed: forget slowness slower than speed.
+    // Time spent in the endpoint's queue makes a request look slow, although the endpoint is not. A lower rate
+    // therefore gets a quarter of the weight of a higher one.
     const share = rate > this.prefillRate ? smoothing : smoothing / 4;
     this.prefillRate += (rate - this.prefillRate) * share;
   }
 
-  /** Takes a dispatch back that was never sent. */
+  /** Reverts a recorded dispatch that was never sent. */
   cancelDispatch(prefillTokens: number): void {
     this.own -= 1;
     this.sinceReport -= 1;
     this.pendingPrefill = Math.max(0, this.pendingPrefill - prefillTokens);
   }
 
-  /** Counts the end of a run that did so many tokens of work. */
+  /** Records the end of a request that took `elapsed` milliseconds for `tokens` of work. */
   recordEnd(elapsed: number, tokens: number, isGood: boolean): void {
     this.own -= 1;
     this.sinceReport -= 1;
@@ -105,18 +111,21 @@
     this.workRate += (rate - this.workRate) * smoothing;
   }
 
-  /** Counts a failure: the endpoint is left alone for a time that doubles with each in a row. */
+  /**
+   * Records a failure and starts a backoff that doubles with each consecutive failure, up to `highest`
+   * milliseconds.
+   */
   recordFailure(backoff: number, highest: number): void {
     this.failures += 1;
     this.failedUntil = this.clock.getTime() + Math.min(highest, backoff * 2 ** (this.failures - 1));
   }
 
-  /** Tells whether the endpoint is being left alone after failures. */
+  /** Returns whether the endpoint is in backoff after failures. */
   isInBackoff(): boolean {
     return this.failedUntil > this.clock.getTime();
   }
 
-  /** Expected milliseconds until a new run of so many uncached tokens gives its first token. */
+  /** Estimates the milliseconds to the first token of a new request with `prefillTokens` uncached prompt tokens. */
   estimateWaitMs(prefillTokens: number): number {
     const reading = ((this.pendingPrefill + prefillTokens) / this.prefillRate) * millisecondsPerSecond;
     const ahead = this.getActiveCount() + 1 - this.width;
@@ -124,7 +133,7 @@
     return reading + (ahead / this.width) * this.runTime;
   }
 
-  /** Tokens of work a millisecond that the endpoint gets through when it is full. */
+  /** Returns the throughput of the fully loaded endpoint in tokens of work per millisecond. */
   getWorkRate(): number {
     return this.workRate;
   }
--- a/packages/policy/src/fairQueue.ts
+++ b/packages/policy/src/fairQueue.ts
@@ -1,44 +1,45 @@
 /**
- * Order of service: urgent priorities first, weights shared in tokens of work within a priority, and a bound on how
- * long a lower priority can be passed over.
+ * Weighted fair queue with priorities. Higher priorities are served first. Within a priority, flows share the tokens of
+ * work in proportion to their weights. An item that has waited longer than a limit is served before all others, so that
+ * higher priorities cannot starve it.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 
-/** What the queue knows of a waiting request. */
+/** Properties of a queued request that decide its order. */
 export interface QueueItem {
-  /** Requests of one flow are served first come first served; flows share by weight. */
+  /** Requests of one flow are served in order of arrival; flows share capacity by weight. */
   readonly flow: string;
   readonly weight: number;
-  /** 0 to 9, 9 most urgent. */
+  /** 0 (lowest) to 9 (highest). */
   readonly priority: number;
   /** Tokens of work. */
   readonly cost: number;
 }
 
-/** Bounds of a queue. */
+/** Limits of a queue. */
 export interface FairQueueOptions {
-  /** Items that may wait. */
+  /** Maximum number of queued items. */
   readonly capacity: number;
-  /** Milliseconds after which a passed-over item is served as if most urgent. */
+  /** Milliseconds of waiting after which an item is served first, whatever its priority. */
   readonly starvationLimitMs: number;
 }
 
 interface Waiting<Item extends QueueItem> {
   readonly item: Item;
   readonly since: number;
-  /** Virtual finish time among the flows of its priority. */
+  /** Virtual finish time relative to the other flows of the same priority. */
   readonly tag: number;
 }
 
-/** One flow's place in virtual time. */
+/** The items of one priority, with the virtual time of that priority and the latest finish time of each flow. */
 interface Lane<Item extends QueueItem> {
   readonly waiting: Waiting<Item>[];
   readonly finishByFlow: Map<string, number>;
   virtualTime: number;
 }
 
-/** Weighted fair queue with priorities (self-clocked fair queueing within each priority). */
+/** Weighted fair queue with priorities. Uses self-clocked fair queueing within each priority. */
 export class FairQueue<Item extends QueueItem> {
   private readonly lanes = new Map<number, Lane<Item>>();
   private count = 0;
@@ -52,12 +53,12 @@
     return new FairQueue<Item>(clock, options);
   }
 
-  /** Number of waiting items. */
+  /** Number of queued items. */
   get size(): number {
     return this.count;
   }
 
-  /** Adds an item; false where the queue is full. */
+  /** Adds an item; returns false if the queue is full. */
   tryAdd(item: Item): boolean {
     if (this.count >= this.options.capacity) return false;
     const lane = this.getLane(item.priority);
@@ -69,7 +70,7 @@
     return true;
   }
 
-  /** Removes and returns the item to serve next, undefined when none waits or none passes the filter. */
+  /** Removes and returns the next item to serve that passes the filter; undefined if there is none. */
   take(isEligible: (item: Item) => boolean = () => true): Item | undefined {
     const starved = this.findStarved(isEligible);
     if (starved) return this.remove(starved.lane, starved.index);
@@ -81,7 +82,7 @@
     return undefined;
   }
 
-  /** Removes an item that no longer waits, such as one whose caller left. */
+  /** Removes an item without serving it, for example because its caller disconnected; false if it is not queued. */
   cancel(item: Item): boolean {
     const lane = this.getLane(item.priority);
     const index = lane.waiting.findIndex((waiting) => waiting.item === item);
@@ -91,7 +92,7 @@
     return true;
   }
 
-  /** Tokens of work that would be served before a new item of this priority. */
+  /** Returns the tokens of work that are served before a new item of this priority. */
   getWorkAhead(priority: number): number {
     let work = 0;
     for (const [other, lane] of this.lanes) {
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * The decisions: who is admitted, in which order, on which endpoint, and what happens after a failure.
+ * Policy decisions: which requests are admitted, in which order they are served, on which endpoint they are placed, and
+ * whether they are retried after a failure.
  * @module
  */
 export * from "./types.js";
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -1,8 +1,8 @@
 /**
- * Placement: the endpoint with the lowest expected time to the first token, corrected by price, risk of reclaim and
- * distance.
+ * Selects the endpoint for a request: the one with the lowest expected time to the first token, corrected for
+ * price, the risk that the instance is reclaimed, and distance.
  *
- * Score in milliseconds = expected wait + reading of uncached tokens + distance + price + risk. Lower is better.
+ * score (ms) = queue wait + prefill of the uncached tokens + distance + price + risk. The lowest score wins.
  * @module
  */
 import { PriceClass } from "@gladewall/coordination";
@@ -13,34 +13,34 @@
 import { getPrefixHomes, type PrefixIndex } from "./prefixes.js";
 import type { PlacementAlternative } from "./types.js";
 
-/** Weights of the score; each in milliseconds, so that they can be compared with a wait. */
+/** Weights of the score. They convert every term to milliseconds, so that it can be added to a wait. */
 export interface PlacementOptions {
-  /** Milliseconds that one cent an hour is worth. */
+  /** Milliseconds added for each cent that the endpoint costs per hour. */
   readonly priceWeight: number;
-  /** Milliseconds that the risk of a reclaimable instance is worth to the most urgent priority. */
+  /** Milliseconds added for a reclaimable instance at the highest priority; scaled down for lower priorities. */
   readonly riskWeight: number;
-  /** Milliseconds to another data hall and back. */
+  /** Round-trip time to another data hall, in milliseconds. */
   readonly hallRoundTripMs: number;
-  /** A prefix home is passed over when it has more than this multiple of the mean load. */
+  /** A home endpoint of a prefix gets no cache bonus if its load is above this multiple of the mean load. */
   readonly maxLoadFactor: number;
 }
 
-/** What is to be placed. */
+/** A request to be placed. */
 export interface PlacementRequest {
   readonly service: string;
   readonly hall: string;
   readonly tokens: number;
   /** Chained hashes of the prompt's blocks; empty for web services. */
   readonly blocks: readonly number[];
-  /** 0 to 9. */
+  /** 0 (lowest) to 9 (highest). */
   readonly priority: number;
-  /** Endpoints that already failed this request: used only when no other is left. */
+  /** Endpoints on which this request already failed; used only if no other endpoint is left. */
   readonly excluded: ReadonlySet<string>;
-  /** Data halls that already failed this request: used only when no other is left. */
+  /** Data halls in which this request already failed; used only if no other data hall is left. */
   readonly avoidedHalls: ReadonlySet<string>;
 }
 
-/** The endpoint chosen and the best few that were not. */
+/** The selected endpoint, with the candidates that had the best scores, the selected one first. */
 export interface Placement {
   readonly endpoint: EndpointLoadEstimate;
   readonly cachedTokens: number;
@@ -51,7 +51,8 @@
 const alternativesKept = 3;
 const bytesPerToken = 4;
 const tokensPerBlock = promptBlockCharacters / bytesPerToken;
-// A home that has not answered this prefix yet is believed to hold it in part: another entry may have sent it there.
+// A home endpoint is assumed to have half of the prefix cached even if this entry has not sent it there yet, because
+// another entry may have.
 const homeBelief = 0.5;
 
 interface Scored {
@@ -60,7 +61,7 @@
   readonly cachedTokens: number;
 }
 
-/** Places a request; fails with `NoEndpoint` where no endpoint takes work. */
+/** Selects an endpoint for a request; fails with `NoEndpoint` if no endpoint accepts work. */
 export function placeRequest(
   request: PlacementRequest,
   endpoints: readonly EndpointLoadEstimate[],
@@ -85,7 +86,7 @@
   });
 }
 
-/** Narrows the endpoints by each preference in turn, giving up a preference that would leave none. */
+/** Filters the endpoints by each preference in order, and skips a preference that no candidate meets. */
 function selectCandidates(
   request: PlacementRequest,
   endpoints: readonly EndpointLoadEstimate[],
--- a/packages/policy/src/policyTable.ts
+++ b/packages/policy/src/policyTable.ts
@@ -1,8 +1,8 @@
 /**
- * The table in force: finds the row that decides about a workspace, service and class.
+ * Index over the active configuration. Finds the policy row for a workspace, service and class.
  *
- * Precedence: an exact workspace goes before an exact service, that before an exact class; of two rows the one with
- * the stronger exact names wins. Two rows of one name cannot both stand in a table.
+ * Precedence: an exact workspace outranks an exact service, which outranks an exact class. The row with the
+ * highest rank applies. Row names are unique within a table.
  * @module
  */
 import { getRowName } from "./configuration.js";
@@ -12,7 +12,7 @@
 const serviceRank = 2;
 const classRank = 1;
 
-/** An indexed, immutable table. */
+/** An immutable index of the rows, services and workspaces of one configuration. */
 export class PolicyTable {
   private readonly rowsByName = new Map<string, PolicyRow>();
   private readonly servicesByName = new Map<string, ServiceRecord>();
@@ -30,14 +30,14 @@
     return new PolicyTable(configuration);
   }
 
-  /** Version of the document the table stands in. */
+  /** Version of the configuration that the table was built from. */
   get version(): number {
     return this.configuration.version;
   }
 
-  /** Returns the row that decides, undefined where none matches. */
+  /** Returns the matching row with the highest precedence; undefined if none matches. */
   getRow(workspace: string, service: string, requestClass: string): PolicyRow | undefined {
-    // Eight lookups in order of precedence, whatever the number of rows.
+    // At most eight lookups in order of precedence, independent of the number of rows.
     for (let rank = workspaceRank + serviceRank + classRank; rank >= 0; rank--) {
       const row = this.rowsByName.get(
         getRowName({
@@ -51,14 +51,14 @@
     return undefined;
   }
 
-  /** Returns a service by name. */
+  /** Returns the service with this name; undefined if there is none. */
   getService(name: string): ServiceRecord | undefined {
     return this.servicesByName.get(name);
   }
 
   /**
-   * Returns the workspace of a bearer key's hash. The map's lookup is on a SHA-256 of the key, so its timing tells a
-   * caller nothing about any key.
+   * Returns the workspace that a bearer key belongs to, by the hash of the key. The lookup uses a SHA-256 of
+   * the key, so its timing reveals nothing about the key itself.
    */
   getWorkspace(keyHash: string): string | undefined {
     return this.workspacesByHash.get(keyHash);
--- a/packages/policy/src/prefillRate.ts
+++ b/packages/policy/src/prefillRate.ts
@@ -1,33 +1,40 @@
 /**
- * How fast engines read prompts, learned from what they do: the tokens that a prompt made an engine read, against the
- * time until its first event.
+ * Estimates the prefill rate of engines, the rate at which they process prompts, from the number of prompt
+ * tokens and the time to the first event of each request.
  *
- * The rate is the inverse of the median slope between pairs of observations. Whatever is added to every observation
- * (the way there, the first decoding steps) falls out of a slope, and the median stands as long as less than about
- * three tenths of the observations are off, whichever way: a slow endpoint, or a prompt that was cached unknown to us.
+ * The rate is the inverse of the median slope between pairs of observations (Theil-Sen estimator). A constant
+ * part of every observation (network latency, the first decoding steps) cancels out in a slope. The median
+ * stays close to the true slope as long as less than about three tenths of the observations are off in either
+ * direction, for example because of a slow endpoint or a prompt that was cached without this entry knowing.
  * @module
  */
 
-/** One first event. */
+/** The first event of one request. */
 export interface PrefillObservation {
-  /** Prompt tokens that the endpoint had to read. */
+  /** Prompt tokens that the endpoint had to process. */
   readonly tokens: number;
-  /** Milliseconds from the sending of the request until its first event. */
+  /** Milliseconds from sending the request to its first event. */
   readonly elapsedMs: number;
 }
 
-/** Rates in tokens a millisecond outside of which no engine is believed to work. */
+/** Plausible range of the rate, in tokens per millisecond. Estimates outside are clamped. */
 export const prefillRateBounds = { least: 2, most: 2_000 };
 
-/** Observations below which nothing is said: their pairs would be too few for a median. */
+/** Minimum number of observations for an estimate; fewer have too few pairs for a median. */
 export const minPrefillObservations = 16;
 
-/** Two prompts that differ by less say more about chance than about reading: 300 tokens are 2 to 10 ms. */
+/**
+ * Minimum difference in tokens between the prompts of a pair: 300 tokens take 2 to 10 ms, and less is lost in
+ * noise.
+ */
 const leastDifference = 300;
-/** Pairs below which nothing is said. */
+/** Minimum number of pairs for an estimate. */
 const leastPairs = 30;
 
-/** Estimates the rate, tokens a millisecond; undefined where the observations do not tell. */
+/**
+ * Estimates the rate in tokens per millisecond; undefined if there are too few observations or too few usable
+ * pairs.
+ */
 export function estimatePrefillRate(observations: readonly PrefillObservation[]): number | undefined {
   if (observations.length < minPrefillObservations) return undefined;
   const slopes = getSlopes(observations);
@@ -37,7 +44,7 @@
   return slope <= 1 / most ? most : Math.max(least, 1 / slope);
 }
 
-/** Median of a list that is not empty; the mean of the two in the middle of an even one. */
+/** Returns the median of a non-empty list; for an even length, the mean of the two middle values. */
 export function getMedian(values: readonly number[]): number {
   const sorted = Float64Array.from(values).sort();
   const upper = sorted.length >> 1;
@@ -45,7 +52,10 @@
   return (sorted[lower]! + sorted[upper]!) / 2;
 }
 
-/** Milliseconds a token between each two observations that differ enough. */
+/**
+ * Returns the slopes, in milliseconds per token, between all pairs of observations whose token counts differ
+ * enough.
+ */
 function getSlopes(observations: readonly PrefillObservation[]): readonly number[] {
   const slopes: number[] = [];
   for (const [index, one] of observations.entries()) {
--- a/packages/policy/src/prefixes.ts
+++ b/packages/policy/src/prefixes.ts
@@ -1,6 +1,7 @@
 /**
- * Which endpoints probably hold which prompt prefix. Every entry sends a prefix it has never seen to the same few
- * endpoints by rendezvous hashing, and remembers where its own requests went.
+ * Tracks which endpoints probably have a prompt prefix in their cache. An entry remembers where it sent its own
+ * requests. For a prefix that it has not seen, rendezvous hashing gives every entry the same few endpoints, the
+ * homes of the prefix.
  * @module
  */
 import { mixHashes } from "@gladewall/kernel";
@@ -9,19 +10,22 @@
 const homesPerPrefix = 2;
 const endpointsPerBlock = 4;
 
-/** Bounded memory of prompt blocks and their endpoints. */
+/**
+ * Maps prompt blocks to the endpoints that processed them. Above its capacity, it drops the least recently
+ * recorded blocks.
+ */
 export class PrefixIndex {
-  /** Block hash to endpoint ids, most recent last. */
+  /** Endpoint ids by block hash, most recent last. */
   private readonly blocks = new Map<number, string[]>();
 
   private constructor(private readonly capacity: number) {}
 
-  /** `capacity`: blocks remembered. */
+  /** `capacity`: maximum number of blocks. */
   static create(capacity: number): PrefixIndex {
     return new PrefixIndex(capacity);
   }
 
-  /** Remembers that an endpoint read these blocks. */
+  /** Records that an endpoint processed these blocks. */
   add(blocks: readonly number[], endpoint: string): void {
     for (const block of blocks) {
       const endpoints = (this.blocks.get(block) ?? []).filter((other) => other !== endpoint);
@@ -36,7 +40,7 @@
     }
   }
 
-  /** Returns, by endpoint, how many leading blocks it is believed to hold. */
+  /** Returns, for each endpoint, how many leading blocks it probably has in its cache. */
   countCachedBlocks(blocks: readonly number[]): Map<string, number> {
     const held = new Map<string, number>();
     blocks.forEach((block, index) => {
@@ -47,13 +51,13 @@
     return held;
   }
 
-  /** Blocks remembered. */
+  /** Number of blocks in the index. */
   get size(): number {
     return this.blocks.size;
   }
 }
 
-/** Returns the endpoints that every entry takes as the homes of a prefix, best first. */
+/** Returns the home endpoints of a prefix, best first. Every entry computes the same ones from the same endpoints. */
 export function getPrefixHomes(
   firstBlock: number,
   endpoints: readonly EndpointLoadEstimate[],
--- a/packages/policy/src/reasons.ts
+++ b/packages/policy/src/reasons.ts
@@ -1,12 +1,12 @@
 /**
- * Plain sentences for decisions: one numbered table of texts, filled from a decision's inputs.
+ * Explains decisions in plain sentences. Each decision rule has a template that is filled from the decision's inputs.
  * @module
  */
 import { PriceClass } from "@gladewall/coordination";
 import { failureDefinitions } from "@gladewall/kernel";
 import { type PlacementAlternative, type DecisionRecord, DecisionRule } from "./types.js";
 
-/** Sentence of each rule; `{name}` places are the decision's inputs. */
+/** Sentence template of each rule; `{name}` is replaced by the input of that name. */
 export const reasonTemplates: Readonly<Record<DecisionRule, string>> = {
   [DecisionRule.RowAdmitted]:
     "Row {row} of table version {version} admitted it with priority {priority} and about {tokens} tokens to read.",
@@ -50,7 +50,7 @@
   return Number.isInteger(value) ? String(value) : value.toFixed(1);
 }
 
-/** Returns the sentence of one decision. */
+/** Returns the sentence for one decision; a missing input shows as `?`. */
 export function formatReason(decision: DecisionRecord): string {
   const fill = (_: string, place: string): string => formatNumber(decision.inputs[place] ?? "?");
   return reasonTemplates[decision.rule].replace(/\{(\w+)\}/g, fill);
@@ -62,7 +62,7 @@
   return `  ${endpoint} (${hall}, ${priceClassNames[priceClass]}): ${figures}`;
 }
 
-/** Returns all decisions of a request as lines of plain text, oldest first. */
+/** Returns all decisions of a request as lines of plain text, in the given order, with the alternatives of each. */
 export function formatExplanation(request: string, decisions: readonly DecisionRecord[]): string {
   const lines = [`Request ${request}:`];
   const start = decisions[0]?.time ?? 0;
--- a/packages/policy/src/retry.ts
+++ b/packages/policy/src/retry.ts
@@ -1,5 +1,6 @@
 /**
- * Retries: only where the outcome allows one, within a budget that is a fraction of successes, never by count alone.
+ * Decides whether a failed request is retried: only if its failure and outcome allow it, and within a budget that is a
+ * fraction of the successful requests. There is no fixed number of retries per request.
  * @module
  */
 import { type Failure, FailureCode, Outcome } from "@gladewall/kernel";
@@ -8,23 +9,23 @@
 const initialBudget = 10;
 const highestBudget = 100;
 
-/** Earns a fraction of a retry with each success and spends one with each retry. */
+/** Retry budget. Each success deposits a fraction of a retry; each retry withdraws one. */
 export class RetryBudget {
   private level = initialBudget;
 
   private constructor(private readonly fraction: number) {}
 
-  /** `fraction`: retries allowed for one success, such as 0.1. */
+  /** `fraction`: retries allowed per success, such as 0.1. */
   static create(fraction: number): RetryBudget {
     return new RetryBudget(fraction);
   }
 
-  /** Counts a success. */
+  /** Deposits the fraction earned by one success. */
   deposit(): void {
     this.level = Math.min(highestBudget, this.level + this.fraction);
   }
 
-  /** Spends one retry if there is one. */
+  /** Withdraws one retry; returns false if the budget does not cover one. */
   tryWithdraw(): boolean {
     if (this.level < 1) return false;
     this.level -= 1;
@@ -32,15 +33,15 @@
   }
 }
 
-/** What may be done after a failed attempt. */
+/** Decision after a failed attempt. */
 export enum RetryDecision {
-  /** Send again, elsewhere. */
+  /** Send the request to another endpoint. */
   Retry = 1,
-  /** Tell the caller. */
+  /** Return the failure to the caller. */
   GiveUp = 2,
 }
 
-/** Failures after which another endpoint may do better. */
+/** Failures after which another endpoint may succeed. */
 const retriableCodes: ReadonlySet<FailureCode> = new Set([
   FailureCode.EndpointRefused,
   FailureCode.EndpointUnreachable,
@@ -49,16 +50,19 @@
   FailureCode.EndpointFailed,
 ]);
 
-/** What a retry decision rests on. */
+/** Inputs of a retry decision. */
 export interface RetryContext {
   readonly failure: Failure;
   readonly repeat: RepeatRule;
-  /** Milliseconds left to the deadline. */
+  /** Milliseconds until the deadline. */
   readonly remaining: number;
   readonly budget: RetryBudget;
 }
 
-/** Decides about another attempt. A request not to be repeated goes out again only when it surely did not run. */
+/**
+ * Decides whether to make another attempt, and withdraws it from the budget. A request that must not run twice is sent
+ * again only if it is certain that it did not run.
+ */
 export function decideRetry(input: RetryContext): RetryDecision {
   if (!retriableCodes.has(input.failure.code)) return RetryDecision.GiveUp;
   if (input.repeat === RepeatRule.Never && input.failure.outcome !== Outcome.NotRun)
--- a/packages/policy/src/rowLimiter.ts
+++ b/packages/policy/src/rowLimiter.ts
@@ -1,19 +1,19 @@
 /**
- * Local gates of a row: rates as token buckets, concurrency as a count. What a gate may let through is its share of
- * the row's limit over the fleet; the share is set from outside and may change at any time.
+ * Enforces this entry's share of a row's limits: two token buckets for the rates, and a count for concurrency.
+ * The share is a part of the limit for the whole fleet. The caller sets it, and may change it at any time.
  * @module
  */
 import { type Clock, Failure, FailureCode, TokenBucket } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** What one entry may let through of a row. */
+/** The part of a row's limits that one entry may use. A limit of 0 admits no request. */
 export interface RowShare {
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
   readonly concurrency: number;
 }
 
-/** The gate of one row in one entry. */
+/** Rate and concurrency limiter of one row in one entry. */
 export class RowLimiter {
   private readonly requests: TokenBucket;
   private readonly tokens: TokenBucket;
@@ -32,19 +32,22 @@
     return new RowLimiter(clock, row, share);
   }
 
-  /** Changes the share. Requests already let through stay. */
+  /** Changes the share. Requests that are already admitted are not affected. */
   setShare(share: RowShare): void {
     this.share = share;
     this.requests.setRate(share.requestsPerSecond);
     this.tokens.setRate(share.tokensPerSecond);
   }
 
-  /** Requests let through and not yet released. */
+  /** Returns the number of requests admitted and not yet released. */
   getActiveCount(): number {
     return this.active;
   }
 
-  /** Lets a request of so many tokens through, or says which limit forbids it and when to come back. */
+  /**
+   * Admits a request that costs `tokens`. Fails with `ConcurrencyExceeded`, `RateExceeded` or `TokensExceeded`;
+   * the last two carry the time after which a retry may succeed.
+   */
   tryAcquire(tokens: number): Result<void, Failure> {
     if (this.active >= this.share.concurrency)
       return Err(this.refuse(FailureCode.ConcurrencyExceeded, this.share.concurrency, undefined));
@@ -63,7 +66,7 @@
     return Ok.EMPTY;
   }
 
-  /** Releases a request; `unused` are tokens it was charged for but did not use. */
+  /** Releases an admitted request and refunds `unused`, the tokens that it was charged for and did not use. */
   release(unused: number): void {
     this.active -= 1;
     if (unused > 0) this.tokens.refund(unused);
--- a/packages/policy/src/tokens.ts
+++ b/packages/policy/src/tokens.ts
@@ -1,10 +1,10 @@
 /**
- * The one rule by which prompts are counted where no tokenizer is at hand: four bytes of UTF-8 are a token.
+ * Estimates token counts without a tokenizer: four bytes of UTF-8 count as one token.
  * @module
  */
 const bytesPerToken = 4;
 
-/** Estimates the tokens of a text, rounded up. */
+/** Returns the estimated number of tokens of a text, rounded up. */
 export function estimateTokens(text: string): number {
   return Math.ceil(Buffer.byteLength(text) / bytesPerToken);
 }
--- a/packages/policy/src/types.ts
+++ b/packages/policy/src/types.ts
@@ -1,78 +1,78 @@
 /**
- * Shapes of the table and of decisions: what operators edit, and what the system says it did.
+ * Types of the configuration that operators edit, and of the records that explain the decisions made about a request.
  * @module
  */
 import type { PriceClass, ServiceKind } from "@gladewall/coordination";
 import type { FailureCode } from "@gladewall/kernel";
 
-/** Matches every workspace, service or class in a row. */
+/** Name in a row that matches every workspace, service or class. */
 export const wildcard = "*";
 
-/** Whether a request may be run more than once. */
+/** Whether a request may run more than once. */
 export enum RepeatRule {
   Allowed = 1,
   Never = 2,
 }
 
-/** One row of the operators' table. Limits hold over the whole fleet; 0 means that the row allows none. */
+/** One row of the operators' policy table. Limits apply to the whole fleet; a limit of 0 admits no request. */
 export interface PolicyRow {
   readonly workspace: string;
   readonly service: string;
   readonly class: string;
-  /** Share of the service relative to other rows, in tokens of work. */
+  /** Share of the service's capacity relative to other rows, in tokens of work. */
   readonly weight: number;
-  /** 0 (lowest) to 9 (most urgent). */
+  /** 0 (lowest) to 9 (highest). */
   readonly priority: number;
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
   readonly concurrency: number;
-  /** Milliseconds to the first token or byte. */
+  /** Target time to the first token or byte, in milliseconds. */
   readonly latencyTarget: number;
-  /** Rule for the row's requests, over which a caller can only be stricter. */
+  /** Whether the row's requests may run more than once. A caller can only restrict this further. */
   readonly repeat: RepeatRule;
 }
 
-/** A customer and the hashes of its bearer keys. */
+/** A workspace and the hashes of its bearer keys. */
 export interface WorkspaceRecord {
   readonly name: string;
   /** SHA-256 of each key, in hex. */
   readonly keyHashes: readonly string[];
 }
 
-/** Calls of a web service that may not be repeated. */
+/** Matches calls of a web service that may run only once, by method (`*` for any) and path prefix. */
 export interface RepeatPattern {
   readonly method: string;
   readonly pathPrefix: string;
 }
 
-/** A service that endpoints give. */
+/** A service that endpoints provide. */
 export interface ServiceRecord {
   readonly name: string;
   readonly kind: ServiceKind;
-  /** Calls that may not be repeated; for web services. */
+  /** Calls that may run only once; used for web services. */
   readonly never: readonly RepeatPattern[];
 }
 
-/** An edit that the document remembers, so that a lost answer can be settled. */
+/** An edit that the document records, so that an editor whose response was lost can find out whether it was applied. */
 export interface EditRecord {
   readonly id: string;
   readonly version: number;
   readonly author: string;
-  /** Wall clock, milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly time: number;
 }
 
-/** The versioned document: everything that operators steer by. */
+/** The versioned document that holds everything operators configure. */
 export interface Configuration {
   readonly version: number;
   readonly rows: readonly PolicyRow[];
   readonly workspaces: readonly WorkspaceRecord[];
   readonly services: readonly ServiceRecord[];
-  /** The latest edits, newest last. */
+  /** The most recent edits, newest last. */
   readonly edits: readonly EditRecord[];
 }
 
-/** Stage of a request's life that decided something. */
+/** Processing stage of a request in which a decision was made. */
 export enum DecisionStage {
   Admission = 1,
   Queue = 2,
@@ -85,7 +85,7 @@
   Outcome = 9,
 }
 
-/** Rule that decided. The sentence of each stands in one table. */
+/** Rule that a decision followed. The module `reasons` has a sentence for each. */
 export enum DecisionRule {
   RowAdmitted = 1,
   Refused = 2,
@@ -110,7 +110,7 @@
   CallerLeft = 21,
 }
 
-/** An endpoint that was considered, with what spoke for and against it. */
+/** An endpoint that was considered in a placement, with the figures its score is based on. */
 export interface PlacementAlternative {
   readonly endpoint: string;
   readonly score: number;
@@ -124,10 +124,10 @@
 export interface DecisionRecord {
   readonly stage: DecisionStage;
   readonly rule: DecisionRule;
-  /** Wall clock, milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly time: number;
   readonly entry: string;
-  /** Figures and names that the sentence needs. */
+  /** Values for the placeholders of the rule's sentence. */
   readonly inputs: Readonly<Record<string, string | number>>;
   readonly alternatives: readonly PlacementAlternative[];
   readonly failure: FailureCode | undefined;
--- a/packages/policy/test/prefillRate.test.ts
+++ b/packages/policy/test/prefillRate.test.ts
@@ -6,10 +6,10 @@
   type PrefillObservation,
 } from "@gladewall/policy";
 
-/** Way there and first decoding steps, which every first event waits for. */
+/** Network latency and first decoding steps, a constant part of the time to every first event. */
 const baseMs = 34;
 
-/** Draws numbers from 0 to 1 that are the same in each run. */
+/** Returns a generator of pseudo-random numbers from 0 to 1, determined by the seed. */
 function createDraw(seed: number): () => number {
   let state = seed;
   return () => {
@@ -18,7 +18,7 @@
   };
 }
 
-/** Prompts of 100 to 12,000 tokens, each delayed by up to 8 ms by chance. */
+/** Creates observations of prompts of 100 to 12,000 tokens, each with a random delay of up to 8 ms. */
 function observe(rate: number, count: number, draw: () => number): PrefillObservation[] {
   return Array.from({ length: count }, () => {
     const tokens = 100 + draw() ** 2 * 11_900;
@@ -26,7 +26,7 @@
   });
 }
 
-t.test("engines of any speed are learned within a tenth from 64 of their first events", async (t) => {
+t.test("64 first events give the prefill rate within a tenth, whatever the engine's speed", async (t) => {
   for (const rate of [30, 64, 157]) {
     for (let seed = 1; seed <= 20; seed++) {
       const learned = estimatePrefillRate(observe(rate, 64, createDraw(seed))) ?? 0;
@@ -35,7 +35,7 @@
   }
 });
 
-t.test("neither a slow endpoint nor prompts that were cached move the others' rate much", async (t) => {
+t.test("a slow endpoint or cached prompts shift the estimate by less than 15 %", async (t) => {
   for (let seed = 1; seed <= 20; seed++) {
     const observations = observe(64, 64, createDraw(seed)).map((seen, index) =>
       index % 6 === 0 ? { ...seen, elapsedMs: seen.elapsedMs * 8 } : seen,
@@ -50,7 +50,7 @@
   }
 });
 
-t.test("the median slope agrees with sorting all pairs where every observation is exact", async (t) => {
+t.test("observations without noise give the exact rate", async (t) => {
   const draw = createDraw(7);
   const exact = Array.from({ length: 40 }, () => {
     const tokens = Math.round(draw() * 9_000);
@@ -60,7 +60,7 @@
 });
 
 t.test(
-  "too few observations, or prompts all alike, say nothing; what can't be is cut to the bounds",
+  "too few observations or prompts of equal length give no estimate; implausible rates are clamped",
   async (t) => {
     t.equal(estimatePrefillRate(observe(64, minPrefillObservations - 1, createDraw(1))), undefined);
     t.equal(
