--- a/packages/coordination/src/claimStore.ts
+++ b/packages/coordination/src/claimStore.ts
@@ -1,11 +1,14 @@
 /**
- * The claim ledger: who may send a request that runs at most once.
+ * Stores claims in the key-value service. A claim is the exclusive right to send a request that must run at most once;
+ * the first claim of a key wins.
  *
- * Keys hash to shards. Each shard has one head value that every claim goes through by compare-and-swap, so two claims
- * of one key cannot both win, whoever writes them. Group commit: one swap a shard is in flight, and all claims that
- * come meanwhile go into the next; writes a second are bounded by shards, not by requests. A head that has grown old
- * or large is put away whole: its claims go to an archive value, then one swap starts a new head that names the
- * archive. That swap expects the revision that was archived, so no claim can slip in between.
+ * Keys are hashed to shards. Each shard has one value, its active segment, and every claim is added to it by
+ * compare-and-swap, so that two claims of one key cannot both win, whichever process writes them. Claims are
+ * committed in groups: at most one swap per shard is in flight, and the claims that arrive meanwhile go into
+ * the next one, so that the number of writes per second depends on the number of shards, not of requests. An
+ * active segment that is too old or too large is archived: its claims are written to an archive value, then one
+ * swap replaces the segment by an empty one that refers to the archive. That swap expects the revision that was
+ * archived, so no claim can be lost in between.
  * @module
  */
 import { type Clock, Failure, FailureCode, hashText, waitFor } from "@gladewall/kernel";
@@ -13,58 +16,58 @@
 import { Decoder, Encoder } from "cbor-x/encode";
 import type { KeyValueService } from "./types.js";
 
-/** One claim: the right of one request to be sent. */
+/** A claim: the exclusive right of one writer to send one request. */
 export interface Claim {
-  /** Digest of the key that may be used once. */
+  /** Digest of the key that may be used only once. */
   readonly key: string;
-  /** Request that claims it. */
+  /** Id of the request that claims the key. */
   readonly request: string;
-  /** Process that may send the request; nobody else ever does. */
+  /** Process that may send the request; no other process ever does. */
   readonly writer: string;
-  /** Digest of what is asked, to tell another request under the same key. */
+  /** Digest of the request body, to detect a different request with the same key. */
   readonly body: string;
-  /** Endpoint that it is sent to first. */
+  /** Endpoint that the request is sent to first. */
   readonly endpoint: string;
-  /** Run id that it is sent under first, by which others can attach to it. */
+  /** Run id of the first attempt, by which other processes can attach to it. */
   readonly run: string;
 }
 
-/** Whose claim stands. */
+/** Result of a claim attempt. */
 export interface ClaimOutcome {
   readonly isWon: boolean;
-  /** The claim that stands in the ledger. */
+  /** The claim that holds the key. */
   readonly claim: Claim;
 }
 
-/** Options of the ledger. */
+/** Options of a claim store. */
 export interface ClaimStoreOptions {
   readonly service: KeyValueService;
   readonly clock: Clock;
-  /** Prefix of the ledger's keys. */
+  /** Prefix of the keys in the key-value service. */
   readonly prefix: string;
   readonly shards: number;
-  /** Least milliseconds between two swaps of a shard. */
+  /** Minimum milliseconds between two swaps of a shard. */
   readonly interval: number;
-  /** Milliseconds after which a claim that could not be recorded is given up. */
+  /** Milliseconds after which a claim that could not be recorded fails. */
   readonly patience: number;
-  /** Milliseconds for which a key is remembered, at least. */
+  /** Minimum milliseconds for which a claimed key is kept. */
   readonly retention: number;
-  /** Bytes of a head above which it is put away. */
+  /** Encoded size in bytes from which an active segment is archived. */
   readonly maxActiveBytes: number;
 }
 
-/** Claims as stored: the key's digest to the rest, in an array to be small. */
+/** The fields of a claim other than its key, stored as an array to save space. Claims are stored by key digest. */
 type StoredClaim = readonly [request: string, writer: string, body: string, endpoint: string, run: string];
 type StoredClaims = Record<string, StoredClaim>;
 
 interface Archive {
   readonly key: string;
-  /** Wall clock of the archive's last claim, milliseconds. */
+  /** Wall-clock time in milliseconds at which the archive was written, thus not before its last claim. */
   readonly closedAt: number;
 }
 
 interface Head {
-  /** Wall clock of the head's first claim, milliseconds. */
+  /** Wall-clock time of the segment's first claim in milliseconds; 0 while it has none. */
   readonly startedAt: number;
   readonly claims: StoredClaims;
   readonly archives: readonly Archive[];
@@ -81,7 +84,7 @@
   pending: Pending[];
   isCommitting: boolean;
   head: Head;
-  /** Revision of `head`; undefined where the head must be read. */
+  /** Revision of `active`; undefined if the segment has to be read. */
   revision: number | undefined;
   lastSwapAt: number;
   encodedBytes: number;
@@ -94,11 +97,11 @@
 const archivesPerRetention = 4;
 const archivesCached = 256;
 
-/** The ledger as one process sees it. */
+/** Claim store of one process. Caches the active segments and the archives it has read. */
 export class ClaimStore {
   private readonly shards: readonly Shard[];
   private readonly archives = new Map<string, StoredClaims>();
-  /** Swaps sent, for metrics. */
+  /** Number of swaps sent, for metrics. */
   swapCount = 0;
 
   private constructor(private readonly options: ClaimStoreOptions) {
@@ -117,14 +120,14 @@
     return new ClaimStore(options);
   }
 
-  /** Returns the shard of a key, for choosing its usual writer. */
+  /** Returns the shard of a key, by which its preferred writer is chosen. */
   getShardIndex(key: string): number {
     return hashText(key) % this.options.shards;
   }
 
   /**
-   * Claims a key. Ok once it is known whose claim stands; fails with `ClaimUnavailable` where nothing is known in
-   * time. After a failure the claim may still stand, so its request must not be sent, then or later.
+   * Claims a key. Returns the claim that holds the key; fails with `ClaimUnavailable` if that is not known before the
+   * timeout. After a failure the claim may have been recorded all the same, so the caller must never send its request.
    */
   claim(claim: Claim): Promise<Result<ClaimOutcome, Failure>> {
     const shard = this.shards[this.getShardIndex(claim.key)];
@@ -137,14 +140,14 @@
   }
 
   /**
-   * Gives a claim back whose request surely was not sent and never will be, so that its key can be used again. Fails
-   * where that could not be recorded; the key then stays used.
+   * Releases a claim, so that its key can be used again. The caller must be certain that the request was not sent and
+   * never will be. Fails with `ClaimUnavailable` if the release could not be recorded; the key then stays claimed.
    */
   async release(claim: Claim): Promise<Result<void, Failure>> {
     const shard = this.shards[this.getShardIndex(claim.key)];
     const end = this.options.clock.getTime() + this.options.patience;
     while (shard && this.options.clock.getTime() < end) {
-      // Waits for its turn: a shard has one swap in flight.
+      // A shard has at most one swap in flight, so this waits until none is.
       if (!shard.isCommitting && (await this.releaseOnce(shard, claim))) return Ok.EMPTY;
       await waitFor(this.options.clock, retryPause);
     }
@@ -168,7 +171,7 @@
     return isDone;
   }
 
-  /** Reads whose claim stands on a key, undefined where none does. */
+  /** Reads the claim that holds a key; undefined if there is none. */
   async find(key: string): Promise<Result<Claim | undefined, Failure>> {
     const shard = this.shards[this.getShardIndex(key)];
     if (!shard) return Ok(undefined);
@@ -177,7 +180,7 @@
     return this.findInHead(shard.head, key);
   }
 
-  /** Swaps until nothing is pending. */
+  /** Commits groups of pending claims until none is left. */
   private async commit(shard: Shard): Promise<void> {
     const { clock, interval } = this.options;
     shard.isCommitting = true;
@@ -191,9 +194,9 @@
     shard.isCommitting = false;
   }
 
-  /** One read if needed and one swap; true where the shard's state is known afterwards. */
+  /** Commits one group of claims, reading the segment if necessary; returns false if the outcome is not known. */
   private async commitOnce(shard: Shard): Promise<boolean> {
-    // Only what was looked up may be added: a claim that comes during the look-up is for the next round.
+    // Only claims that were looked up may be added. A claim that arrives during the lookup waits for the next group.
     const group = [...shard.pending];
     const isFresh = shard.revision === undefined;
     if (isFresh) {
@@ -202,7 +205,8 @@
     }
     let standing = await this.findStanding(shard, group);
     if (standing.isOk() && standing.value.size > 0 && !isFresh) {
-      // "Another's claim stands" is only said from what was just read: the claim may have been given back since.
+      // A claim is refused only after a fresh read, because the claim in the cached segment may have been
+      // released since.
       const read = await this.readHead(shard);
       standing = read.isOk() ? await this.findStanding(shard, group) : read;
     }
@@ -217,7 +221,7 @@
     return this.swap(shard, added);
   }
 
-  /** Returns the pending claims whose keys are already claimed, with the claims that stand. */
+  /** Returns the pending claims whose keys are already claimed, with the claims that hold them. */
   private async findStanding(
     shard: Shard,
     group: readonly Pending[],
@@ -242,7 +246,10 @@
     return true;
   }
 
-  /** Swaps the head; on any doubt the head is read again, where a claim that took effect is found. */
+  /**
+   * Replaces the active segment by compare-and-swap. After any failure the segment is read again, because the swap may
+   * have taken effect; its claims are then found there.
+   */
   private async writeHead(shard: Shard, next: Head): Promise<boolean> {
     const bytes = encoder.encode(next);
     this.swapCount += 1;
@@ -269,14 +276,14 @@
     return Ok.EMPTY;
   }
 
-  /** Puts the head's claims into an archive and starts a new head. */
+  /** Archives the active segment if it is too old or too large, and starts an empty one. */
   private async putAwayIfDue(shard: Shard): Promise<Result<void, Failure>> {
     const { clock, retention, maxActiveBytes: headBytes, service } = this.options;
     const now = clock.getWallTime();
     const isOld = shard.head.startedAt !== 0 && now - shard.head.startedAt > retention / archivesPerRetention;
     if (!isOld && shard.encodedBytes < headBytes) return Ok.EMPTY;
     const key = `${shard.key}/${shard.revision}`;
-    // The archive's key names the revision it was made from: writing it twice writes the same.
+    // The archive's key contains the revision that it was made from, so a second write would write the same value.
     const written = await service.compareAndSwap(key, encoder.encode(shard.head.claims), 0);
     if (written.isErr() && written.error.code !== FailureCode.ServiceConflict)
       return written.map(() => undefined);
@@ -290,7 +297,7 @@
   private async findInHead(head: Head, key: string): Promise<Result<Claim | undefined, Failure>> {
     const present = head.claims[key];
     if (present) return Ok(createClaim(key, present));
-    // The newest first: a later word on a key goes before an earlier one.
+    // Newest archive first, because a later entry of a key (such as its release) overrides an earlier one.
     for (const archive of [...head.archives].reverse()) {
       const claims = await this.readArchive(archive.key);
       if (claims.isErr()) return claims;
@@ -305,7 +312,8 @@
     if (cached) return Ok(cached);
     const read = await this.options.service.read(key);
     if (read.isErr()) return read;
-    // An archive that a head names was written before that head; not to find it means not to know.
+    // An archive is written before the segment that refers to it. If it is missing, its claims are unknown, so
+    // the lookup must fail rather than report the key as free.
     if (!read.value)
       return Err(Failure.create(FailureCode.ServiceUnavailable, { detail: `archive ${key} is missing` }));
     const claims = tryDecode<StoredClaims>(read.value.value, key);
@@ -335,7 +343,7 @@
   }
 }
 
-/** Of several claims on one key the first goes into the swap; the others find it there afterwards. */
+/** Returns the first pending claim of each key. The others stay pending and find it in the segment afterwards. */
 function getFirstOfEachKey(pending: readonly Pending[]): readonly Pending[] {
   const first = new Map<string, Pending>();
   for (const each of pending) {
@@ -344,7 +352,7 @@
   return [...first.values()];
 }
 
-/** A claim is won by its own request and writer only: a second writer of the same request must not send it again. */
+/** Only the same request and writer win a claim: a second writer of the same request must not send it again. */
 function createOutcome(own: Claim, standing: Claim): ClaimOutcome {
   return { isWon: standing.request === own.request && standing.writer === own.writer, claim: standing };
 }
@@ -353,16 +361,16 @@
   return [request, writer, body, endpoint, run];
 }
 
-/** Stands for a key whose claim was given back. */
+/** Stored for a key whose claim was released. */
 const releasedClaim: StoredClaim = ["", "", "", "", ""];
 
-/** Returns a stored claim, undefined where it was given back. */
+/** Converts a stored claim; undefined if it was released. */
 function createClaim(key: string, [request, writer, body, endpoint, run]: StoredClaim): Claim | undefined {
   if (request === "") return undefined;
   return { key, request, writer, body, endpoint, run };
 }
 
-/** Decodes a stored value; fails with `ServiceUnavailable` where it is none of ours. */
+/** Decodes a stored value; fails with `ServiceUnavailable` if it was not written by a claim store. */
 function tryDecode<Shape>(value: Uint8Array, key: string): Result<Shape, Failure> {
   try {
     return Ok(decoder.decode(Buffer.from(value)) as Shape);
--- a/packages/coordination/src/frames.ts
+++ b/packages/coordination/src/frames.ts
@@ -1,5 +1,5 @@
 /**
- * Frames between entries: four bytes of length, big-endian, then one CBOR value (cbor-x).
+ * Encodes and decodes the frames that entries exchange: four bytes of length (big-endian), then one CBOR value.
  * @module
  */
 import { Failure, FailureCode } from "@gladewall/kernel";
@@ -8,14 +8,14 @@
 
 const headBytes = 4;
 
-/** Largest frame that is sent or taken, in bytes. */
+/** Maximum size of a frame's body that is sent or accepted, in bytes. */
 export const maxFrameBytes = 17_825_792;
 
-// Plain maps, not cbor-x's records: a frame must be readable without what other frames said.
+// Encodes plain maps instead of cbor-x's records, because each frame must be decodable without the previous ones.
 const encoder = new Encoder({ useRecords: false, tagUint8Array: false });
 const decoder = new Decoder({ useRecords: false, mapsAsObjects: true });
 
-/** Returns a message as the bytes of one frame; fails with `FrameTooLarge`. */
+/** Encodes a message as one frame; fails with `FrameTooLarge`. */
 export function encodeFrame(message: unknown): Result<Buffer, Failure> {
   const body = encoder.encode(message);
   if (body.length > maxFrameBytes) {
@@ -27,24 +27,27 @@
   return Ok(frame);
 }
 
-/** Cuts a stream of bytes into messages. */
+/** Decodes a byte stream into messages. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
   private size = 0;
 
   private constructor(private limit: number) {}
 
-  /** `limit`: largest frame taken, in bytes. */
+  /** `limit`: maximum size of a frame's body, in bytes. */
   static create(limit = maxFrameBytes): FrameDecoder {
     return new FrameDecoder(limit);
   }
 
-  /** Changes the largest frame taken from now on. */
+  /** Changes the maximum size for the frames that follow. */
   setLimit(limit: number): void {
     this.limit = limit;
   }
 
-  /** Takes bytes; returns the messages that are now whole, or why the stream cannot be read on. */
+  /**
+   * Appends bytes and returns the messages that are complete. Fails with `FrameTooLarge` or `FrameMalformed`,
+   * after which the stream cannot be decoded any further.
+   */
   push(bytes: Buffer): Result<unknown[], Failure> {
     this.chunks.push(bytes);
     this.size += bytes.length;
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,5 +1,7 @@
 /**
- * Coordination parts over a key-value service with compare-and-swap, for gladewall and for others to embed.
+ * Coordination of instances over a key-value service with compare-and-swap and over links between peers:
+ * leases, claims, shared limits, a versioned document and the membership view. Can be embedded in other
+ * programs.
  * @module
  */
 export * from "./types.js";
--- a/packages/coordination/src/leaseHolder.ts
+++ b/packages/coordination/src/leaseHolder.ts
@@ -1,45 +1,49 @@
 /**
- * Holds a lease on a name: at most one holder acts at a time, as far as clocks of equal rate allow, and every order it
- * gives carries a fence that grows with each change of hands.
+ * Acquires and renews a lease on a name. At most one holder acts at a time, provided that all clocks run at the
+ * same rate. Every command of a holder carries a fencing token, which grows with each change of holder.
  *
- * Validity counts from the time the renewal was *sent*: what the service counts from cannot be earlier. A holder that was
- * paused, or whose machine was suspended, finds its own lease out of date before it acts.
+ * The validity of a lease counts from the time at which the renewal was sent, because the service cannot have
+ * started its own count earlier. A holder that was paused, or whose machine was suspended, therefore finds its
+ * lease expired before it acts.
  * @module
  */
 import { type Clock, type Closeable, Failure, FailureCode, type Logger, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { GrantedLease, LeaseService } from "./types.js";
 
-/** Options of a holder. */
+/** Options of a lease holder. */
 export interface LeaseOptions {
   readonly service: LeaseService;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly name: string;
   readonly holder: string;
-  /** Milliseconds that a lease lasts without renewal. */
+  /** Milliseconds after which a lease expires unless it is renewed. */
   readonly ttlMs: number;
-  /** Milliseconds before the end of the lease at which this side stops acting: covers clocks and the order's way. */
+  /**
+   * Milliseconds before the expiry of the lease at which the holder stops acting. Covers clock drift and the
+   * time that a command takes to arrive.
+   */
   readonly safetyMarginMs: number;
   /** Returns a number from 0 to 1, for jitter. */
   readonly getRandom: () => number;
-  /** Tells whether asking for the lease makes sense now; where it is left out, it always does. */
+  /** Returns whether to try to acquire the lease now; always tried if omitted. */
   readonly shouldAcquire?: () => boolean;
-  /** Tells whether the lease makes sense here still; where it does not, it is left to run out. */
+  /** Returns whether to keep the lease; if false, it is no longer renewed and expires. Always kept if omitted. */
   readonly shouldKeep?: () => boolean;
 }
 
 interface HeldLease {
   readonly granted: GrantedLease;
-  /** Boot time until which acting is safe. */
+  /** Boot time until which the holder may act. */
   readonly validUntil: number;
-  /** Monotonic time at which it was granted. */
+  /** Monotonic time at which the lease was acquired. */
   readonly since: number;
 }
 
 const renewalsPerTtl = 3;
 
-/** Tries to hold one lease for as long as it is open. */
+/** Tries to acquire and keep one lease until it is closed. */
 export class LeaseHolder implements Closeable {
   private held: HeldLease | undefined;
   private readonly stop = new AbortController();
@@ -51,14 +55,14 @@
     return new LeaseHolder(options);
   }
 
-  /** Starts to acquire, then to renew. */
+  /** Starts acquiring and renewing the lease. */
   start(): void {
     this.task = this.hold();
   }
 
   /**
-   * Returns the fence if acting is safe now. Call it right before each order, not once before many: between two
-   * calls the process may have been paused.
+   * Returns the fencing token if the holder may act now; fails with `LeaseLost` otherwise. Call it right before each
+   * command, not once before several, because the process may be paused between two commands.
    */
   getFencingToken(): Result<number, Failure> {
     const { clock, name } = this.options;
@@ -68,18 +72,18 @@
     return Ok(this.held.granted.fence);
   }
 
-  /** Milliseconds that the lease has been held for; 0 where it is not. */
+  /** Returns the milliseconds for which the lease has been held; 0 if it is not held. */
   getHeldMs(): number {
     return this.held ? this.options.clock.getTime() - this.held.since : 0;
   }
 
-  /** Stops without giving the lease back: it runs out by itself. */
+  /** Stops without releasing the lease, which then expires. */
   stopWithoutRelease(): void {
     this.stop.abort();
     this.held = undefined;
   }
 
-  /** Gives the lease back. */
+  /** Stops and releases the lease. */
   async close(): Promise<void> {
     this.stop.abort();
     await this.task;
@@ -94,7 +98,7 @@
     while (!signal.aborted) {
       if (this.held) await this.renew(this.held.granted);
       else await this.acquire();
-      // Jitter keeps those who wait for the lease from asking together.
+      // Jitter keeps the waiting instances from asking for the lease at the same time.
       await waitFor(clock, (ttl / renewalsPerTtl) * (0.75 + getRandom() / 4), signal);
     }
   }
@@ -115,13 +119,16 @@
     const sentAt = clock.getBootTime();
     const renewed = await service.renewLease(granted.session);
     if (renewed.isOk()) return this.setHeld(granted, sentAt);
-    // Any other failure leaves the lease as it is: it may have been renewed, and runs out by itself if not.
+    // After any other failure the lease is kept as it is: it may have been renewed, and it expires if it was not.
     if (renewed.error.code !== FailureCode.LeaseLost) return;
     this.held = undefined;
     logger.warn("lease.lost", { lease: name, fence: granted.fence });
   }
 
-  /** Acting ends at once; the lease is not given back, so that nobody follows sooner than after a lost holder. */
+  /**
+   * Stops acting at once without releasing the lease, so that the next holder starts no earlier than after a
+   * lost one.
+   */
   private letRunOut(granted: GrantedLease): void {
     this.held = undefined;
     this.options.logger.info("lease.left", { lease: this.options.name, fence: granted.fence });
--- a/packages/coordination/src/membershipView.ts
+++ b/packages/coordination/src/membershipView.ts
@@ -1,15 +1,16 @@
 /**
- * One view of all instances, merged from the lagging list, reclaim notices, the instances' own word and peers' word.
+ * Membership view of all instances, merged from the lagging instance list, reclaim notices, and updates from
+ * the instances themselves and from peers.
  *
- * A word orders by incarnation, then by state: Live < Leaving < Gone. A later word is never undone by an earlier one,
- * whatever order they arrive in. Absence from the list is not a word: it only stops work, and a list that names the
- * instance again ends it.
+ * Updates of an instance are ordered by incarnation, then by state: Live < Leaving < Gone. A later update is
+ * never overridden by an earlier one, in whatever order they arrive. Absence from the list is not an update:
+ * after several lists the instance only gets no new work, until a list contains it again.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 import { type InstanceRecord, InstanceRole, InstanceState } from "./types.js";
 
-/** Who said something about an instance. */
+/** Source of an update. */
 export enum UpdateSource {
   List = 1,
   Notice = 2,
@@ -17,31 +18,34 @@
   Peer = 4,
 }
 
-/** One word about an instance. */
+/** A membership update: one report of an instance's incarnation and state. Peers send it to each other. */
 export interface InstanceUpdate {
   readonly id: string;
   readonly incarnation: number;
   readonly state: InstanceState;
   readonly source: UpdateSource;
-  /** Milliseconds until the instance is taken, where known. */
+  /** Milliseconds until the instance is reclaimed, if known. */
   readonly remaining?: number | undefined;
-  /** Full record, where the source has one. */
+  /** Full record of the instance, if the source has it. */
   readonly record?: InstanceRecord | undefined;
 }
 
-/** What the view holds of an instance. */
+/** State of one instance in the view. */
 export interface InstanceStatus {
   readonly record: InstanceRecord;
   readonly state: InstanceState;
-  /** Who said so first. */
+  /** Source of the update that set the state. */
   readonly source: UpdateSource;
-  /** Monotonic time at which it will be taken, where known. */
+  /** Monotonic time at which the instance will be reclaimed, if known. */
   readonly reclaimAt: number | undefined;
-  /** Lists in a row that did not name it. */
+  /** Number of consecutive lists that did not contain the instance. */
   readonly missedLists: number;
 }
 
-/** Called when an instance is new or its state changed. */
+/**
+ * Called when an instance is new, changes its state, misses too many lists, or is in a list again after a
+ * missed one.
+ */
 export type MembershipListener = (instance: InstanceStatus) => void;
 
 interface PendingWord {
@@ -52,10 +56,10 @@
 const absencesUntilIgnored = 3;
 const goneKept = 600_000;
 
-/** The merged view. */
+/** Merges updates and lists into the state of each instance, and notifies listeners of changes. */
 export class MembershipView {
   private readonly instances = new Map<string, InstanceStatus>();
-  /** Words about instances whose record is not known yet. */
+  /** Updates of instances whose record is not known yet. */
   private readonly pending = new Map<string, PendingWord>();
   private readonly goneAt = new Map<string, number>();
   private readonly listeners = new Set<MembershipListener>();
@@ -66,23 +70,23 @@
     return new MembershipView(clock);
   }
 
-  /** Calls back on each change until the returned function is called. */
+  /** Registers a listener; the returned function removes it. */
   onChange(listener: MembershipListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Returns what is known of an instance. */
+  /** Returns the state of an instance; undefined if it is not known. */
   get(id: string): InstanceStatus | undefined {
     return this.instances.get(id);
   }
 
-  /** Returns all instances, those that left too while they are remembered. */
+  /** Returns all instances, including those that are gone and not yet forgotten. */
   getAll(): readonly InstanceStatus[] {
     return [...this.instances.values()];
   }
 
-  /** Returns the instances of a role that take new work. */
+  /** Returns the instances of a role that accept new work. */
   getLive(role: InstanceRole): readonly InstanceRecord[] {
     const live: InstanceRecord[] = [];
     for (const view of this.instances.values()) {
@@ -91,7 +95,7 @@
     return live;
   }
 
-  /** Merges one word; true where it changed the view. */
+  /** Merges one update; returns whether it changed the state of the instance. */
   merge(word: InstanceUpdate): boolean {
     const present = this.instances.get(word.id);
     if (!present || word.incarnation > present.record.incarnation) return this.addFirst(word);
@@ -106,9 +110,9 @@
     return true;
   }
 
-  /** Merges a whole list: a word about each instance it names, an absence of each that it does not. */
+  /** Merges a complete list: an update of each instance that it contains, and an absence of each other instance. */
   mergeList(records: readonly InstanceRecord[]): void {
-    // An empty list while instances are known is a fault of the list, not the loss of the fleet.
+    // An empty list while instances are known indicates a fault of the list, not the loss of all instances.
     if (records.length === 0) return;
     const named = new Set<string>();
     for (const record of records) {
@@ -170,7 +174,7 @@
   private forgetGone(): void {
     const limit = this.clock.getTime() - goneKept;
     for (const [id, time] of this.goneAt) {
-      // A list that still names it would bring it back as live.
+      // While the list still contains the instance, forgetting it would bring it back as live.
       if (time > limit || this.instances.get(id)?.missedLists === 0) continue;
       this.goneAt.delete(id);
       this.instances.delete(id);
@@ -181,7 +185,7 @@
   }
 }
 
-/** Tells whether an instance takes new work. */
+/** Returns whether an instance accepts new work. */
 export function isUsable(view: InstanceStatus): boolean {
   return view.state === InstanceState.Live && view.missedLists < absencesUntilIgnored;
 }
--- a/packages/coordination/src/peerConnection.ts
+++ b/packages/coordination/src/peerConnection.ts
@@ -1,6 +1,6 @@
 /**
- * One authenticated connection to a peer: handshake, frames both ways, calls and answers, and an outbox that is
- * bounded in bytes.
+ * One authenticated connection to a peer: handshake, messages in both directions, calls with replies, and a send buffer
+ * that is bounded in bytes.
  * @module
  */
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
@@ -17,29 +17,29 @@
   type ReplyMessage,
 } from "./peerMessages.js";
 
-/** Who speaks on a connection. */
+/** Identity of a peer: its name, and an incarnation that grows with each restart. */
 export interface PeerIdentity {
   readonly name: string;
   readonly incarnation: number;
 }
 
-/** Names one life of a peer. */
+/** Returns `name/incarnation`, which identifies a peer between two restarts. */
 export function getIncarnationKey({ name, incarnation }: PeerIdentity): string {
   return `${name}/${incarnation}`;
 }
 
-/** What a connection needs of its side. */
+/** Options of the local side of a connection. */
 export interface ConnectionOptions {
   readonly own: PeerIdentity;
   readonly secret: string;
   readonly clock: Clock;
-  /** Milliseconds for the handshake. */
+  /** Milliseconds within which the handshake must complete. */
   readonly handshakeTimeoutMs: number;
-  /** Bytes that may wait to be sent; a slower peer loses messages, never memory. */
+  /** Bytes that may wait to be sent. Above this, messages to a slow peer are dropped, so that memory stays bounded. */
   readonly maxOutboxBytes: number;
 }
 
-/** Bytes and frames that went over a connection. */
+/** Counts of bytes and frames sent and received. */
 export interface ConnectionTraffic {
   sentBytes: number;
   sentFrames: number;
@@ -54,9 +54,9 @@
   readonly settle: (result: Result<unknown, Failure>) => void;
 }
 
-/** One connection, after its handshake. */
+/** One connection whose handshake has completed. */
 export class PeerConnection {
-  /** Monotonic time of the last frame from the peer. */
+  /** Monotonic time at which the last message from the peer was received. */
   lastReceivedAt: number;
   private readonly calls = new Map<number, PendingCall>();
   private nextCall = 1;
@@ -66,7 +66,7 @@
     private readonly socket: Socket,
     private readonly options: ConnectionOptions,
     readonly peer: PeerIdentity,
-    /** Whether this side opened it. */
+    /** Whether this side opened the connection. */
     readonly isDialed: boolean,
     private readonly messages: AsyncGenerator<PeerMessage>,
     private readonly traffic: ConnectionTraffic,
@@ -74,7 +74,9 @@
     this.lastReceivedAt = options.clock.getTime();
   }
 
-  /** Greets the other side and checks its proof; the socket is destroyed where that fails. */
+  /**
+   * Runs the handshake. Fails with `PeerUnauthenticated` or `PeerVersion`; the socket is then destroyed.
+   */
   static async create(
     socket: Socket,
     isDialed: boolean,
@@ -90,17 +92,17 @@
     return peer.map((identity) => new PeerConnection(socket, options, identity, isDialed, messages, traffic));
   }
 
-  /** Sends a message; false where the connection is closed or its outbox is full. */
+  /** Sends a message; returns false if the connection is closed or its send buffer is full. */
   send(message: PeerMessage): boolean {
     if (!this.isOpen || this.socket.writableLength > this.options.maxOutboxBytes) return false;
     return sendMessage(this.socket, message, this.traffic);
   }
 
-  /** Sends a message and waits for its answer; fails with `PeerUnreachable`. */
+  /** Sends a message and waits `timeout` milliseconds for the reply; fails with `PeerUnreachable`. */
   call(message: PeerMessage, timeout: number): Promise<Result<unknown, Failure>> {
     const call = this.nextCall++;
     return new Promise((resolve) => {
-      // Made only when it is needed: an Err takes a stack trace, which costs more than the call.
+      // The failure is created only when needed, because an Err captures a stack trace, which costs more than the call.
       const fail = (): void =>
         settle(Err(Failure.create(FailureCode.PeerUnreachable, { peer: this.peer.name })));
       const timer = this.options.clock.startTimer(timeout, fail);
@@ -114,13 +116,13 @@
     });
   }
 
-  /** Answers a call. */
+  /** Sends the reply to a call. */
   reply(call: number, body: unknown): void {
     const message: ReplyMessage = { kind: LinkMessageKind.Reply, call, body };
     this.send(message);
   }
 
-  /** Hands each message to `handle` until the connection ends. */
+  /** Passes each message other than a reply to `handle`. Resolves when the connection has ended. */
   async serve(handle: (message: PeerMessage) => void): Promise<void> {
     for await (const message of this.messages) {
       this.lastReceivedAt = this.options.clock.getTime();
@@ -130,7 +132,7 @@
     this.close();
   }
 
-  /** Ends the connection; calls without an answer fail. */
+  /** Closes the connection; pending calls fail with `PeerUnreachable`. */
   close(): void {
     if (!this.isOpen) return;
     this.isOpen = false;
@@ -164,12 +166,13 @@
         traffic.receivedFrames += 1;
         if (!isMessage(message)) return;
         yield message;
-        // Asked for more than the greeting: the peer has proved itself, and may make this side hold large frames.
+        // The handshake has checked the proof by the time more messages are requested. Only an authenticated
+        // peer may make this side buffer large frames.
         if (message.kind === Number(LinkMessageKind.Proof)) decoder.setLimit(maxFrameBytes);
       }
     }
   } catch {
-    // A reset ends the connection like an end does.
+    // A reset ends the stream in the same way as an orderly end.
   }
 }
 
@@ -205,7 +208,7 @@
   const given = (await messages.next()).value as ProofMessage | undefined;
   const expected = createProof(options.secret, !isDialed, hello, own);
   const isProved = given?.kind === LinkMessageKind.Proof && isEqual(given.proof, expected);
-  // A peer that carries our own name is ourselves or an impostor.
+  // A peer with this entry's own name is either this entry itself or an impostor.
   if (!isProved || hello.name === own.name) return refusePeer(hello.name);
   return Ok({ name: hello.name, incarnation: hello.incarnation });
 }
@@ -214,7 +217,7 @@
   return Err(Failure.create(FailureCode.PeerUnauthenticated, { peer }));
 }
 
-/** The side is part of what is proved, so that a proof cannot be sent back to who gave it. */
+/** Computes a side's proof. The role of the side is included, so that a proof cannot be reflected to its sender. */
 function createProof(secret: string, isDialer: boolean, own: HelloMessage, other: HelloMessage): Buffer {
   const hmac = createHmac("sha256", secret);
   hmac.update(isDialer ? "dialer" : "listener");
--- a/packages/coordination/src/peerLinks.ts
+++ b/packages/coordination/src/peerLinks.ts
@@ -1,7 +1,7 @@
 /**
- * Links to peers: a task for each peer that is wanted and for each connection; pings, loss after silence, reconnects
- * with jitter. With few peers every pair is linked; with many, each links a bounded set chosen by hash, and others on
- * demand.
+ * Maintains the links to peers: dials and accepts connections, sends pings, closes links that receive nothing,
+ * and reconnects with backoff and jitter. A small fleet is fully meshed. In a larger one each entry keeps links
+ * to a bounded set of peers chosen by hash, and links others on demand.
  * @module
  */
 import { connect, createServer, type Server, type Socket } from "node:net";
@@ -29,29 +29,32 @@
 
 /** A peer that may be linked. */
 export interface PeerAddress extends PeerIdentity {
-  /** `host:port` of its peers' port. */
+  /** `host:port` on which the peer accepts links. */
   readonly address: string;
 }
 
-/** Options of the links. */
+/** Options of peer links. Times are in milliseconds. */
 export interface LinkOptions extends ConnectionOptions {
   readonly listen: string;
   readonly pingIntervalMs: number;
-  /** Silence after which a peer counts as lost, milliseconds. */
+  /** Time without a message after which a link counts as lost, in milliseconds. */
   readonly lossTimeoutMs: number;
-  /** Links kept open without a cause. */
+  /** Maximum number of links that are kept open even if nobody sends over them. */
   readonly maxPersistentLinks: number;
   readonly logger: Logger;
   /** Returns a number from 0 to 1, for jitter. */
   readonly getRandom: () => number;
-  /** Fields that each ping carries. */
+  /** Returns the fields that each ping carries. */
   readonly getPingFields: () => Readonly<Record<string, unknown>>;
 }
 
-/** Handles a message of one kind; what it returns is the answer, where one is awaited. */
+/**
+ * Handles messages of one kind. If the message is a call, the returned value (or the value of a promise) is the
+ * reply.
+ */
 export type MessageHandler = (message: PeerMessage, peer: PeerIdentity) => unknown;
 
-/** Called when a link comes up or goes down. */
+/** Called with the peer whose link was established or lost. */
 export type LinkListener = (peer: PeerIdentity) => void;
 
 interface Peer {
@@ -63,7 +66,7 @@
 const firstBackoff = 50;
 const highestBackoff = 1_000;
 
-/** All links of one entry. */
+/** Links of one entry to its peers, at most one per peer. */
 export class PeerLinks implements Closeable {
   readonly traffic: ConnectionTraffic = { sentBytes: 0, sentFrames: 0, receivedBytes: 0, receivedFrames: 0 };
   private readonly handlers = new Map<number, MessageHandler>();
@@ -74,7 +77,7 @@
   private readonly upListeners = new Set<LinkListener>();
   private readonly downListeners = new Set<LinkListener>();
   private readonly server: Server;
-  /** Ends of connections that are used no more. */
+  /** Timers that close connections which were replaced by another. */
   private readonly retiring = new Set<Timer>();
   private readonly stop = new AbortController();
   private pingTask: Promise<void> = Promise.resolve();
@@ -87,31 +90,31 @@
     return new PeerLinks(options);
   }
 
-  /** Starts to listen and to ping; returns `host:port`. */
+  /** Starts listening and pinging; returns the `host:port` it listens on. Rejects if the address is not available. */
   async open(): Promise<string> {
     await listen(this.server, this.options.listen);
     this.pingTask = this.ping();
     return getListenAddress(this.server);
   }
 
-  /** Sets what a kind of message does. */
+  /** Sets the handler for a kind of message. Messages without a handler are ignored. */
   setHandler(kind: number, handler: MessageHandler): void {
     this.handlers.set(kind, handler);
   }
 
-  /** Calls back when a link comes up. */
+  /** Registers a listener for established links. */
   onLinkUp(listener: LinkListener): void {
     this.upListeners.add(listener);
   }
 
-  /** Calls back when a link goes down. */
+  /** Registers a listener for lost links. */
   onLinkDown(listener: LinkListener): void {
     this.downListeners.add(listener);
   }
 
   /**
-   * Says which peers there are and which of them to keep links to; where that is left out, they are chosen by hash.
-   * Links to peers that are no longer there, or no longer named, are closed.
+   * Sets the existing peers, and the names of those to keep links to; if `named` is omitted, they are chosen by hash.
+   * Links to peers that no longer exist or are no longer named are closed.
    */
   setPeers(addresses: readonly PeerAddress[], named?: readonly string[]): void {
     this.known.clear();
@@ -126,12 +129,12 @@
     for (const name of standing) this.wantPeer(name);
   }
 
-  /** Names of linked peers. */
+  /** Returns the names of the linked peers. */
   getLinked(): readonly string[] {
     return [...this.connections.keys()];
   }
 
-  /** Resolves when so many peers are linked. */
+  /** Resolves when at least `count` peers are linked. */
   async waitForLinks(count: number): Promise<void> {
     while (this.connections.size < count) {
       await new Promise<void>((resolve) => {
@@ -144,17 +147,17 @@
     }
   }
 
-  /** Whether a peer is linked now. */
+  /** Returns whether a peer is linked now. */
   isLinked(name: string): boolean {
     return this.connections.has(name);
   }
 
-  /** Peers that should be linked. */
+  /** Returns the number of peers that this entry tries to be linked to. */
   getExpectedCount(): number {
     return this.peers.size;
   }
 
-  /** Sends to one peer; false where it is not linked. A link is then opened for the next time. */
+  /** Sends a message to a peer; returns false if it is not linked, and then starts to link it for later messages. */
   send(name: string, message: PeerMessage): boolean {
     const connection = this.connections.get(name);
     if (connection) return connection.send(message);
@@ -162,7 +165,10 @@
     return false;
   }
 
-  /** Calls one peer and waits for its answer; fails with `PeerUnreachable`. */
+  /**
+   * Calls a peer and waits `timeout` milliseconds for the reply; fails with `PeerUnreachable`, also if it is
+   * not linked.
+   */
   async call(name: string, message: PeerMessage, timeout: number): Promise<Result<unknown, Failure>> {
     const connection = this.connections.get(name);
     if (connection) return connection.call(message, timeout);
@@ -170,7 +176,7 @@
     return Err(Failure.create(FailureCode.PeerUnreachable, { peer: name }));
   }
 
-  /** Sends to every linked peer but one. */
+  /** Sends a message to every linked peer other than `except`. */
   broadcast(message: PeerMessage, except?: string): void {
     for (const [name, connection] of this.connections) {
       if (name !== except) connection.send(message);
@@ -187,7 +193,10 @@
     await this.pingTask;
   }
 
-  /** Chooses the standing links: all peers while they are few, else those nearest by a hash of the pair. */
+  /**
+   * Selects the peers for persistent links: all while there are few, otherwise those with the highest scores. The score
+   * hashes the pair of names and is the same for both sides.
+   */
   private selectStanding(): readonly string[] {
     const names = [...this.known.keys()];
     if (names.length <= this.options.maxPersistentLinks) return names;
@@ -211,7 +220,7 @@
     this.connections.get(name)?.close();
   }
 
-  /** The task of one wanted peer: connects, serves the connection, and connects again. */
+  /** Keeps one peer linked: connects, serves the connection until it ends, and reconnects with backoff. */
   private async maintain(peer: Peer): Promise<void> {
     const { clock, getRandom } = this.options;
     const { signal } = peer.stop;
@@ -227,7 +236,7 @@
     }
   }
 
-  /** Opens a connection and serves it to its end; false where it did not come about. */
+  /** Opens a connection and serves it until it ends; returns false if it was not established. */
   private async dial({ address, stop }: Peer): Promise<boolean> {
     const { host, port } = parseAddress(address.address);
     const socket = connect(port, host);
@@ -244,7 +253,7 @@
       this.logRefusal(connection.error);
       return false;
     }
-    // The peer may have been dropped while the connection came about.
+    // The peer may have been dropped while the connection was being established.
     if (stop.signal.aborted || connection.value.peer.name !== address.name) {
       connection.value.close();
       return false;
@@ -261,7 +270,7 @@
 
   private track(socket: Socket): void {
     this.sockets.add(socket);
-    // The reading task sees the error too; an error event without a listener would end the process.
+    // The reader of the socket gets the error too, but an error event without a listener would end the process.
     socket.on("error", () => socket.destroy());
     socket.on("close", () => this.sockets.delete(socket));
   }
@@ -271,7 +280,7 @@
     this.options.logger.warn("peer.refused", { failure: failure.name, text: failure.text });
   }
 
-  /** The task of one connection. */
+  /** Serves one connection until it ends; returns false if another connection to the peer is kept instead. */
   private async serve(connection: PeerConnection): Promise<boolean> {
     const { peer } = connection;
     if (this.stop.signal.aborted) {
@@ -286,7 +295,8 @@
     }
     this.connections.set(peer.name, connection);
     if (present) this.retire(present);
-    // A new life knows nothing, also where its former life's connection is not known to be lost yet.
+    // A restarted peer has no state. It is therefore announced even if the link of its previous incarnation
+    // still counts as established.
     const isNewPeer = !present || present.peer.incarnation < peer.incarnation;
     if (isNewPeer) this.announce(this.upListeners, peer);
     connection.send(this.createPing());
@@ -298,7 +308,10 @@
     return true;
   }
 
-  /** Uses a connection no more, but lets what is under way on it be answered: the peer may not know yet. */
+  /**
+   * Stops sending on a connection and closes it after the loss timeout. Until then calls in flight on it are answered,
+   * because the peer may not have switched to the other connection yet.
+   */
   private retire(connection: PeerConnection): void {
     const timer = this.options.clock.startTimer(this.options.lossTimeoutMs, () => {
       this.retiring.delete(timer);
@@ -307,7 +320,10 @@
     this.retiring.add(timer);
   }
 
-  /** Of two connections of one pair both sides keep the same: the newer incarnation's, then the lower name's. */
+  /**
+   * Returns whether a new connection replaces the present one of the same peer. Both sides keep the same
+   * connection: the one of the newer incarnation, or else the one dialed by the side with the lower name.
+   */
   private isBetter(connection: PeerConnection, present: PeerConnection): boolean {
     if (connection.peer.incarnation !== present.peer.incarnation) {
       return connection.peer.incarnation > present.peer.incarnation;
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -1,12 +1,13 @@
 /**
- * Shapes of what peers say to each other. Version and kinds are numbered; a kind that is not known is passed over.
+ * Messages that the links between peers exchange themselves. The protocol version and the kinds are numbers;
+ * messages of an unknown kind are ignored.
  * @module
  */
 
-/** Version of the protocol; peers of other versions are not linked. */
+/** Version of the protocol; peers with another version are refused. */
 export const peerProtocolVersion = 1;
 
-/** Kinds of message that the links themselves use; users of links number theirs from 16. */
+/** Kinds of message that the links use themselves; users of the links number theirs from `firstApplicationKind`. */
 export enum LinkMessageKind {
   Hello = 1,
   Proof = 2,
@@ -14,32 +15,32 @@
   Reply = 4,
 }
 
-/** First kind number free for the users of links. */
+/** First kind number that is available to users of the links. */
 export const firstApplicationKind = 16;
 
-/** Any message. `call` is set where an answer is awaited. */
+/** Base of all messages. `call` is the number of a call and is set if the sender awaits a reply. */
 export interface PeerMessage {
   readonly kind: number;
   readonly call?: number | undefined;
 }
 
-/** First message of both sides. */
+/** First handshake message, sent by both sides. */
 export interface HelloMessage extends PeerMessage {
   readonly kind: LinkMessageKind.Hello;
   readonly version: number;
   readonly name: string;
   readonly incarnation: number;
-  /** Random bytes that the other side proves the secret over. */
+  /** Random bytes that the proofs of both sides include. */
   readonly nonce: Uint8Array;
 }
 
-/** Proof of the shared secret over both hellos. */
+/** Second handshake message: an HMAC over both hello messages that proves knowledge of the shared secret. */
 export interface ProofMessage extends PeerMessage {
   readonly kind: LinkMessageKind.Proof;
   readonly proof: Uint8Array;
 }
 
-/** Answer to a call. */
+/** Reply to a call. */
 export interface ReplyMessage extends PeerMessage {
   readonly kind: LinkMessageKind.Reply;
   readonly call: number;
--- a/packages/coordination/src/serviceBudget.ts
+++ b/packages/coordination/src/serviceBudget.ts
@@ -1,13 +1,13 @@
 /**
- * A key-value service within a budget of calls: this process's part of the service's rates. Urgent kinds of call go
- * first; one that would wait too long fails at once with `ServiceBudgetSpent`.
+ * Limits the rate of calls that this process makes to the key-value service. Calls of a more urgent kind go
+ * first; a call that has waited too long fails with `ServiceBudgetSpent`, without reaching the service.
  * @module
  */
 import { type Clock, Failure, FailureCode, type Metrics, TokenBucket } from "@gladewall/kernel";
 import { Err, type Result } from "ts-results-es";
 import type { GrantedLease, KeyValueService, StoredValue } from "./types.js";
 
-/** Kinds of call, the most urgent first. */
+/** Kinds of call, most urgent first. */
 export enum CallKind {
   Lease = 1,
   Claim = 2,
@@ -22,7 +22,7 @@
   [CallKind.Other]: "other",
 };
 
-/** Milliseconds between two looks at what waits, at least. */
+/** Minimum milliseconds between two checks of the waiting calls. */
 const leastPause = 1;
 
 interface Waiting {
@@ -30,7 +30,7 @@
   readonly settle: (isGranted: boolean) => void;
 }
 
-/** The budget, shared by all users of the service in a process. */
+/** Call budget, shared by all users of the service in a process. */
 export class ServiceBudget {
   private readonly bucket: TokenBucket;
   private waiting: Waiting[] = [];
@@ -45,17 +45,17 @@
     this.bucket = TokenBucket.create(clock, rate);
   }
 
-  /** `rate`: calls a second; `patience`: milliseconds that a call may wait. */
+  /** `rate`: calls per second; `patience`: maximum milliseconds that a call waits. */
   static create(clock: Clock, rate: number, patience: number, metrics: Metrics): ServiceBudget {
     return new ServiceBudget(clock, rate, patience, metrics);
   }
 
-  /** Returns the service as a user of one kind sees it. */
+  /** Returns the service with each call subject to the budget, as a call of one kind. */
   wrap(service: KeyValueService, kind: CallKind): KeyValueService {
     return BudgetedService.create(service, this, kind);
   }
 
-  /** Waits for a call's turn; false where it would take too long. */
+  /** Waits until a call may be made; resolves to false if it has waited too long. */
   acquire(kind: CallKind): Promise<boolean> {
     if (this.waiting.length === 0 && this.bucket.tryTake(1)) {
       this.count(kind);
@@ -102,7 +102,7 @@
   }
 }
 
-/** One kind of user's view of the service. */
+/** Key-value service whose calls are subject to the budget. */
 class BudgetedService implements KeyValueService {
   private constructor(
     private readonly service: KeyValueService,
@@ -147,7 +147,7 @@
     return this.spend(() => this.service.releaseLease(session));
   }
 
-  /** The service itself is closed by its owner. */
+  /** Does nothing: the underlying service is closed by its owner. */
   close(): Promise<void> {
     return Promise.resolve();
   }
--- a/packages/coordination/src/sharedLimits.ts
+++ b/packages/coordination/src/sharedLimits.ts
@@ -1,49 +1,50 @@
 /**
- * Limits over all entries, lent in shares: for each name one entry (by rendezvous hash over the live entries) lends
- * parts of the limit to the entries that ask, for a short time. Shares follow demand; a share that is not asked for
- * again comes back by itself.
+ * Divides limits among all entries. For each name one entry, the allocator (chosen by rendezvous hashing over the live
+ * entries), allocates shares of the limit to the entries that ask. Shares follow demand and expire after a short time
+ * unless they are renewed.
  *
- * How much can be let through too much, and when:
- * - one lender, everybody linked: nothing. What is lent out and not yet over is never above the limit.
- * - entries cut off from each other: nothing beyond rounding. A lender lends only the part of the limit that belongs
- *   to the entries it reaches; the others fall to the equal split, which is the part it left to them.
- * - an entry's first request of a name: its equal split once, until the lender has answered.
- * - the lender lost or replaced: the new one renews what askers still hold and lends nothing else until every share
- *   of the old one is over. Entries that ask it without a share have the equal split: at most the limit once more,
- *   for at most one loan's time.
+ * How far the limit can be exceeded, and when:
+ * - One allocator, all entries linked: not at all. The unexpired allocations never add up to more than the limit.
+ * - Entries partitioned from each other: not beyond rounding. An allocator divides only the part of the limit
+ *   that belongs to the entries that it reaches. The others fall back to the equal split, which is the part it
+ *   does not divide.
+ * - First request of a name at an entry: by its equal split, once, until the allocator has answered.
+ * - Allocator lost or replaced: the new one renews the shares that entries still hold, and allocates nothing
+ *   else until all shares of the old one have expired. Entries without a share use the equal split: in total at
+ *   most the limit once more, for at most the duration of one allocation.
  * @module
  */
 import { type Clock, sortByRendezvous } from "@gladewall/kernel";
 
-/** Amounts of one limit or share, one a dimension. */
+/** Amounts of a limit or share, one per dimension. */
 export type Amounts = readonly number[];
 
-/** Whether a dimension can be divided or is a whole number of things. */
+/** Whether the amounts of a dimension are real numbers or whole numbers. */
 export enum AmountKind {
   Divisible = 1,
   Whole = 2,
 }
 
-/** Who the entries are, as this one sees it. */
+/** Live and reachable entries, as this entry sees them. */
 export interface LimitMembers {
-  /** Names of all live entries, this one too. */
+  /** Returns the names of all live entries, including this one. */
   getLive(): readonly string[];
-  /** Whether an entry can be reached now; this one always can. */
+  /** Returns whether an entry can be reached now; this one always can. */
   isReachable(name: string): boolean;
 }
 
-/** An entry's wish. */
+/** Demand of an entry for a share. */
 export interface ShareDemand {
-  /** What it could use. */
+  /** Amounts that the entry could use. */
   readonly wanted: Amounts;
-  /** What it still holds, zeros where nothing. */
+  /** Amounts that the entry still holds; zeros if none. */
   readonly held: Amounts;
 }
 
 interface Loan {
   readonly amounts: Amounts;
   readonly wanted: Amounts;
-  /** Monotonic time at which it ends. */
+  /** Monotonic time at which the allocation expires. */
   readonly until: number;
 }
 
@@ -52,12 +53,15 @@
   readonly loans: Map<string, Loan>;
 }
 
-/** Returns the entry that lends a name's limit. */
+/** Returns the entry that allocates the limit of a name; undefined if no entry is live. */
 export function getAllocator(name: string, live: readonly string[]): string | undefined {
   return sortByRendezvous(`lender/${name}`, live, (entry) => entry)[0];
 }
 
-/** Returns the part of a limit that an entry has without asking: an equal split; wholes that are left go by hash. */
+/**
+ * Returns the part of a limit that an entry may use without an allocation: an equal split. The remainder of a
+ * whole number is given, one unit each, to the entries that come first by rendezvous hashing.
+ */
 export function getEqualSplit(
   name: string,
   limit: Amounts,
@@ -75,7 +79,7 @@
   });
 }
 
-/** Lends limits to entries. One object serves all names whose lender this entry is. */
+/** Allocates shares to entries. One object serves all names whose allocator this entry is. */
 export class ShareAllocator {
   private readonly ledgers = new Map<string, Ledger>();
 
@@ -87,7 +91,7 @@
     private readonly duration: number,
   ) {}
 
-  /** `duration`: milliseconds for which a share is lent. */
+  /** `duration`: milliseconds after which an allocation expires. */
   static create(
     clock: Clock,
     own: string,
@@ -98,12 +102,15 @@
     return new ShareAllocator(clock, own, members, kinds, duration);
   }
 
-  /** Names that something is lent of. */
+  /** Number of names that this entry keeps allocations for. */
   get size(): number {
     return this.ledgers.size;
   }
 
-  /** Lends an entry a share of a limit; undefined where another entry is the lender, or this one is it too newly. */
+  /**
+   * Allocates a share of a limit to an entry, and replaces its previous one. Returns undefined if another entry is the
+   * allocator, or if this one has become it too recently and the entry holds no share.
+   */
   allocate(name: string, limit: Amounts, borrower: string, demand: ShareDemand): Amounts | undefined {
     const live = this.members.getLive();
     if (getAllocator(name, live) !== this.own) {
@@ -115,7 +122,7 @@
     dropOver(ledger, now);
     const pool = this.getPool(limit, live);
     const isNew = now - ledger.startedAt < this.duration;
-    // What the lender before this one lent is not known here: who holds nothing has the equal split for now.
+    // The allocations of the previous allocator are not known here, so an entry without a share uses the equal split.
     if (isNew && demand.held.every((amount) => amount === 0)) return undefined;
     const amounts = pool.map((amount, dimension) =>
       isNew
@@ -132,7 +139,7 @@
     return ledger;
   }
 
-  /** The part of a limit that belongs to the entries that can be reached. */
+  /** Returns the part of a limit that belongs to the reachable entries. */
   private getPool(limit: Amounts, live: readonly string[]): Amounts {
     const reachable = live.filter((name) => name === this.own || this.members.isReachable(name)).length;
     const part = reachable / Math.max(1, live.length);
@@ -140,8 +147,9 @@
   }
 
   /**
-   * A share in proportion to demand, as far as it is free. What nobody wants is spread over all live entries, not over
-   * those that have asked, and one part is kept back: whoever asks next, or joins, must find something.
+   * Returns a share in proportion to demand, limited to the amount that is free. Surplus is spread over all
+   * live entries, not only over those that have asked, and one part is held back, so that the next entry that
+   * asks or joins gets a share.
    */
   private getGrant(
     ledger: Ledger,
--- a/packages/coordination/src/types.ts
+++ b/packages/coordination/src/types.ts
@@ -1,133 +1,137 @@
 /**
- * Shapes shared by the coordination parts, and the interfaces of what stands outside them.
+ * Types shared by the modules of this package, and the interfaces of the external systems that they use.
  * @module
  */
 import type { Failure } from "@gladewall/kernel";
 import type { Result } from "ts-results-es";
 
-/** A value of the key-value service and the revision it was read at. */
+/** A value of the key-value service and its revision. */
 export interface StoredValue {
   readonly value: Uint8Array;
-  /** Grows with every change of the key; 0 means that the key does not exist. */
+  /** Grows with every change of the key. A revision of 0 means that the key does not exist. */
   readonly revision: number;
 }
 
-/** A lease on a name, as the service granted it. */
+/** A lease on a name, as granted by the service. */
 export interface GrantedLease {
-  /** The service's handle of the lease. */
+  /** Handle of the lease at the service. */
   readonly session: string;
-  /** Grows each time the name changes hands; orders carry it. */
+  /** Fencing token: grows with each change of holder, and is sent with every command. */
   readonly fence: number;
 }
 
-/** Leases on names, as a store gives them. Failures as for `KeyValueService`. */
+/** Leases on names. Fails in the same ways as `KeyValueService`. */
 export interface LeaseService {
-  /** Takes the lease on a name for `ttl` milliseconds; undefined where another holds it. */
+  /** Acquires the lease on a name for `ttl` milliseconds; undefined if another holder has it. */
   acquireLease(name: string, holder: string, ttl: number): Promise<Result<GrantedLease | undefined, Failure>>;
-  /** Renews a lease; fails with `LeaseLost` where it has lapsed. */
+  /** Renews a lease; fails with `LeaseLost` if it has expired. */
   renewLease(session: string): Promise<Result<void, Failure>>;
-  /** Gives a lease back. */
+  /** Releases a lease. */
   releaseLease(session: string): Promise<Result<void, Failure>>;
 }
 
 /**
- * The platform's key-value service. Every method is one call on its budget, a waiting watch too.
+ * The platform's key-value service. Every method counts as one call against the service's rate limit, including a watch
+ * that waits.
  *
- * Failures: `ServiceUnavailable` where the call cannot have taken effect, `ServiceAnswerLost` where it may have,
- * `ServiceConflict` where the expected revision was not the present one.
+ * Fails with `ServiceUnavailable` if the call cannot have taken effect, `ServiceAnswerLost` if it may have, and
+ * `ServiceConflict` if the expected revision was not the current one.
  */
 export interface KeyValueService extends LeaseService {
-  /** Reads a key; undefined where it does not exist. */
+  /** Reads a key; undefined if it does not exist. */
   read(key: string): Promise<Result<StoredValue | undefined, Failure>>;
-  /** Writes a key if its revision is still `expected` (0: it does not exist); returns the new revision. */
+  /** Writes a key if its revision is still `expected` (0: the key does not exist); returns the new revision. */
   compareAndSwap(key: string, value: Uint8Array, expected: number): Promise<Result<number, Failure>>;
-  /** Waits until the revision of a key is above `revision`, or `wait` milliseconds pass; returns what it is then. */
+  /**
+   * Waits until the revision of a key is above `revision`, at most `wait` milliseconds; returns the value of
+   * that time.
+   */
   watch(
     key: string,
     revision: number,
     wait: number,
     signal: AbortSignal,
   ): Promise<Result<StoredValue | undefined, Failure>>;
-  /** Closes connections. */
+  /** Closes the connections to the service. */
   close(): Promise<void>;
 }
 
-/** What an instance does. */
+/** Role of an instance. */
 export enum InstanceRole {
   Entry = 1,
   Endpoint = 2,
 }
 
-/** State of an instance as somebody saw it. Higher numbers are later in its life. */
+/** State of an instance. An instance only moves to higher numbers. */
 export enum InstanceState {
   Live = 1,
   Leaving = 2,
   Gone = 3,
 }
 
-/** How an instance is paid for. */
+/** Pricing model of an instance. */
 export enum PriceClass {
   Reclaimable = 1,
   OnDemand = 2,
 }
 
-/** Kind of service that an endpoint gives. */
+/** Kind of service that an endpoint provides. */
 export enum ServiceKind {
   Model = 1,
   Web = 2,
 }
 
-/** One instance as the platform's list describes it. */
+/** One instance as described by the platform's list. */
 export interface InstanceRecord {
   readonly id: string;
-  /** Told apart when an address or id is used again; a higher one replaces a lower one. */
+  /** Distinguishes instances that reuse an address or id; a higher incarnation replaces a lower one. */
   readonly incarnation: number;
   readonly role: InstanceRole;
-  /** Service it gives; empty for entries. */
+  /** Service that the instance provides; empty for entries. */
   readonly service: string;
-  /** Name of the endpoint plug-in that speaks with it; empty for entries. */
+  /** Name of the endpoint plug-in that implements its protocol; empty for entries. */
   readonly protocol: string;
-  /** `host:port`: for entries the peers' port, for endpoints the service port. */
+  /** `host:port`: the port for peers of an entry, or the service port of an endpoint. */
   readonly address: string;
   readonly hall: string;
   readonly priceClass: PriceClass;
-  /** Price of an hour in cents. */
+  /** Price in cents per hour. */
   readonly price: number;
   readonly state: InstanceState;
 }
 
-/** A platform's word that an instance will be taken. */
+/** Notice from the platform that it will reclaim an instance. */
 export interface ReclaimNotice {
   readonly instance: string;
   readonly incarnation: number;
-  /** Milliseconds left when the notice was read. */
+  /** Milliseconds until the reclaim, counted from when the notice was read. */
   readonly remaining: number;
 }
 
-/** One reading of the list. */
+/** Result of reading the list. */
 export interface ListReading {
   readonly records: readonly InstanceRecord[];
-  /** Nothing changed since the reading before. */
+  /** True if nothing changed since the previous read. */
   readonly isUnchanged: boolean;
 }
 
-/** The lagging list of instances. */
+/** The platform's list of instances, which lags behind the actual state. */
 export interface InstanceList {
-  /** Reads the whole list, or that it is unchanged; fails with `ListUnavailable`. */
+  /** Reads the complete list, or learns that it is unchanged; fails with `ListUnavailable`. */
   read(): Promise<Result<ListReading, Failure>>;
   close(): Promise<void>;
 }
 
-/** Notices and their place in the sequence. */
+/** Notices and the sequence number of the last one. */
 export interface NoticeBatch {
   readonly notices: readonly ReclaimNotice[];
-  /** To be passed as `after` of the next call. */
+  /** Sequence number to pass as `after` to the next call. */
   readonly last: number;
 }
 
-/** The cloud's interface as far as notices go. */
+/** Source of reclaim notices. */
 export interface NoticeSource {
-  /** Waits for notices after a place in the sequence, at most `wait` milliseconds. */
+  /** Waits for notices after a sequence number, at most `wait` milliseconds. */
   waitForNotices(after: number, wait: number, signal: AbortSignal): Promise<Result<NoticeBatch, Failure>>;
   close(): Promise<void>;
 }
--- a/packages/coordination/src/versionedDocument.ts
+++ b/packages/coordination/src/versionedDocument.ts
@@ -1,39 +1,41 @@
 /**
- * A versioned document under one key: followed by a watch and by peers' word, changed by compare-and-swap.
+ * A versioned document stored under one key. It is followed by a watch and by messages from peers, and changed by
+ * compare-and-swap.
  *
- * A follower never steps back: of two documents the one with the higher version is in force, whoever brought it and
- * in whatever order they came. A service that holds an older document than the one in force has come back from a copy: what
- * it says is no word on what is current, and the follower writes the document again.
+ * A follower never goes back to a lower version: the document with the highest version is active, whatever its
+ * source and the order of arrival. A service that holds an older document than the active one was restored from
+ * a backup. Its response does not confirm what is current, and the follower writes the active document to it
+ * again.
  * @module
  */
 import { type Clock, Failure, FailureCode, type Logger, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 import type { KeyValueService, StoredValue } from "./types.js";
 
-/** How a document is read from and written to bytes. */
+/** Encodes and decodes a document. */
 export interface DocumentCodec<Document> {
   encode(document: Document): Uint8Array;
   decode(bytes: Uint8Array): Result<Document, Failure>;
-  /** Version of a document; grows by one with each change. */
+  /** Returns the version of a document, which grows by one with each change. */
   getVersion(document: Document): number;
 }
 
-/** Where a document stands and how it is followed. */
+/** Options of a document follower. */
 export interface DocumentFollowerOptions<Document> {
   readonly service: KeyValueService;
   readonly key: string;
   readonly codec: DocumentCodec<Document>;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Longest wait of one watch, milliseconds. */
+  /** Maximum wait of one watch, in milliseconds. */
   readonly watchWaitMs: number;
-  /** Milliseconds without word from service or peers after which the document may be out of date. */
+  /** Milliseconds without a confirmation from the service or a peer after which the document may be out of date. */
   readonly maxAgeMs: number;
   /** Returns a number from 0 to 1, for jitter. */
   readonly getRandom: () => number;
 }
 
-/** A document in force. */
+/** The active document of a follower, with its encoded form. */
 export interface ActiveDocument<Document> {
   readonly document: Document;
   readonly version: number;
@@ -43,7 +45,7 @@
 const firstBackoff = 100;
 const highestBackoff = 2_000;
 
-/** Follows one document. */
+/** Follows one document and keeps the latest version of it active. */
 export class DocumentFollower<Document> {
   private inForce: ActiveDocument<Document> | undefined;
   private revision = 0;
@@ -59,53 +61,54 @@
     return new DocumentFollower(options);
   }
 
-  /** Starts the watch. */
+  /** Starts following the document. */
   start(): void {
     this.task = this.follow();
   }
 
-  /** Returns what is in force, undefined before the first document. */
+  /** Returns the active document; undefined before the first one. */
   get(): ActiveDocument<Document> | undefined {
     return this.inForce;
   }
 
-  /** Version in force; 0 before the first document. */
+  /** Version of the active document; 0 before the first one. */
   get version(): number {
     return this.inForce?.version ?? 0;
   }
 
-  /** Calls back on each new document. */
+  /** Registers a listener that is called with each new active document. */
   onChange(listener: (inForce: ActiveDocument<Document>) => void): void {
     this.listeners.add(listener);
   }
 
-  /** Resolves when a document is in force. */
+  /** Resolves when a document is active, or when the follower is closed. */
   async waitForFirst(): Promise<void> {
     while (!this.inForce && !this.stop.signal.aborted) {
       await new Promise<void>((resolve) => this.firstWakers.push(resolve));
     }
   }
 
-  /** Whether somebody who could know of a newer document was heard lately. */
+  /** Returns whether the document was confirmed recently by a source that would know of a newer one. */
   isCurrent(): boolean {
     if (!this.inForce || this.heardAt === undefined) return false;
     return this.options.clock.getTime() - this.heardAt < this.options.maxAgeMs;
   }
 
-  /** Milliseconds since the service or a peer spoke; undefined before. */
+  /** Returns the milliseconds since the last confirmation by the service or a peer; undefined before the first one. */
   getAgeMs(): number | undefined {
     return this.heardAt === undefined ? undefined : this.options.clock.getTime() - this.heardAt;
   }
 
   /**
-   * Takes a peer's word that its version was in force `age` milliseconds ago: our own is current if it is not lower.
-   * The age is the peer's own silence, so that two entries cut off together cannot keep each other current.
+   * Takes a peer's message that `version` was current `age` milliseconds ago. This confirms the own document if
+   * its version is not lower. The age is the time since the peer's own last confirmation, so that two entries
+   * that are partitioned together cannot keep each other current.
    */
   confirmVersion(version: number, age: number): void {
     if (version <= this.version) this.hear(age);
   }
 
-  /** Takes a document a peer has; true where it is now in force. */
+  /** Takes a document from a peer that was current `age` milliseconds ago; returns whether it became active. */
   offer(bytes: Uint8Array, age: number): boolean {
     const decoded = this.options.codec.decode(bytes);
     if (decoded.isErr()) {
@@ -117,7 +120,7 @@
     return isNew;
   }
 
-  /** Ends the watch. */
+  /** Stops following the document. */
   async close(): Promise<void> {
     this.stop.abort();
     this.wakeFirst();
@@ -137,7 +140,7 @@
         continue;
       }
       logger.debug("document.silent", { key, failure: read.error.name });
-      // Full jitter: entries that lost the service together must not come back together.
+      // Jitter, because entries that lost the service at the same time must not return to it at the same time.
       await waitFor(clock, backoff * (0.5 + getRandom() / 2), this.stop.signal);
       backoff = Math.min(highestBackoff, backoff * 2);
     }
@@ -153,14 +156,14 @@
     const { clock, watchWaitMs: watchWait } = this.options;
     const elapsed = clock.getTime() - sentAt;
     const isUnchanged = (value?.revision ?? 0) === this.revision;
-    // What the service says was true at some time after the call was sent; a watch that saw no change said so at the
-    // end of its wait.
+    // A response reflects the state at some time after the call was sent. A watch without a change confirms the
+    // state at the end of its wait.
     const age = isUnchanged && elapsed >= watchWait ? elapsed - watchWait : elapsed;
     const isWord = value ? value.revision === this.revision || this.takeStored(value) : this.takeAbsent();
     if (isWord) this.hear(age);
   }
 
-  /** Takes that the service holds no document; false where one was in force. */
+  /** Handles that the service has no document; returns false if one is active, because the service then lost it. */
   private takeAbsent(): boolean {
     this.revision = 0;
     if (!this.inForce) return true;
@@ -168,7 +171,7 @@
     return false;
   }
 
-  /** Takes what the service holds; false where that says nothing of what is current. */
+  /** Handles the document of the service; returns false if it does not confirm what is current. */
   private takeStored({ value, revision }: StoredValue): boolean {
     const { codec, logger, key } = this.options;
     this.revision = revision;
@@ -187,7 +190,7 @@
     return true;
   }
 
-  /** Writes the document in force over an older one, unless another has done so. */
+  /** Writes the active document over an older one, unless another entry has done so. */
   private async writeAgain(revision: number): Promise<void> {
     const { service, key, logger } = this.options;
     if (!this.inForce) return;
@@ -222,31 +225,31 @@
   }
 }
 
-/** One change of a document. */
+/** A change to a document. */
 export interface DocumentUpdate<Document> {
-  /** Returns the changed document, or why the change cannot be made to this one. */
+  /** Returns the changed document; fails if the change cannot be applied to this one. */
   apply(present: Document): Result<Document, Failure>;
-  /** Whether a document already holds this change: settles a lost answer. */
+  /** Returns whether a document already includes this change, which resolves the outcome after a lost response. */
   isApplied(document: Document): boolean;
 }
 
-/** Where and how to change a document. */
+/** Options for changing a document. */
 export interface DocumentUpdateOptions<Document> {
   readonly service: KeyValueService;
   readonly key: string;
   readonly codec: DocumentCodec<Document>;
-  /** The document that stands for no document. */
+  /** Document to start from if none is stored. */
   readonly empty: Document;
   readonly clock: Clock;
-  /** Milliseconds after which the outcome is given up as unknown. */
+  /** Milliseconds after which no further attempt is made. */
   readonly patience: number;
 }
 
 /**
- * Changes a document by compare-and-swap until it is known whether the change took effect.
+ * Changes a document by compare-and-swap, and retries until it is known whether the change took effect.
  *
- * Fails with what `apply` says, with `ServiceUnavailable` where the change surely did not take effect, or with
- * `ServiceAnswerLost` where that stayed unknown.
+ * Fails with the failure of `apply` or of decoding, with `ValueTooLarge`, with `ServiceUnavailable` if the
+ * change certainly did not take effect, or with `ServiceAnswerLost` if that remained unknown.
  */
 export async function updateDocument<Document>(
   options: DocumentUpdateOptions<Document>,
@@ -261,7 +264,9 @@
       const present = readDocument(stored.value, options);
       if (present.isErr()) return present;
       if (update.isApplied(present.value)) return Ok(present.value);
-      // Read back without the change: no swap of ours can land any more, its expected revision is gone or present.
+      // The document that was read does not include the change. An earlier swap of this call can only take
+      // effect if its expected revision is still the current one, and then at most one of it and the swap below
+      // takes effect.
       const next = update.apply(present.value);
       if (next.isErr()) return next;
       const swapped = await service.compareAndSwap(
--- a/packages/coordination/test/claimStore.test.ts
+++ b/packages/coordination/test/claimStore.test.ts
@@ -43,7 +43,7 @@
   return all;
 }
 
-t.test("the first claim of a key wins, another is shown whose claim stands", async (t) => {
+t.test("the first claim of a key wins, and a second one gets the claim that holds the key", async (t) => {
   const { clock, createLedger } = createTestBench();
   const [left, right] = [createLedger(), createLedger()];
   const [won] = await settleAll(clock, [left.claim(createClaim("k", "left"))]);
@@ -53,7 +53,7 @@
   t.equal(lost?.unwrap().claim.writer, "left");
 });
 
-t.test("claims that come together go into one swap a shard", async (t) => {
+t.test("concurrent claims of one shard are committed in one swap", async (t) => {
   const { clock, createLedger } = createTestBench();
   const ledger = createLedger({ shards: 1 });
   const claims = Array.from({ length: 200 }, (_, index) => ledger.claim(createClaim(`k${index}`, "w")));
@@ -62,7 +62,7 @@
   t.ok(ledger.swapCount <= 2, `${ledger.swapCount} swaps`);
 });
 
-t.test("a claim whose answer was lost is settled by reading it back", async (t) => {
+t.test("a claim whose response was lost is resolved by reading the segment again", async (t) => {
   for (const fate of [CallOutcome.ResponseLost, CallOutcome.DelayedEffect, CallOutcome.RequestLost]) {
     const { clock, service, createLedger } = createTestBench();
     let calls = 0;
@@ -72,7 +72,7 @@
   }
 });
 
-t.test("with the service down a claim fails in time, and is never said to be won", async (t) => {
+t.test("a claim fails within its timeout and is not reported as won while the service is down", async (t) => {
   const { clock, service, createLedger } = createTestBench();
   service.nextOutcome = () => CallOutcome.Refused;
   const [outcome] = await settleAll(clock, [createLedger().claim(createClaim("k", "w"))]);
@@ -81,7 +81,7 @@
 });
 
 t.test(
-  "a key stays claimed when its head is put away, and a new ledger finds it in the archive",
+  "a key stays claimed when its segment is archived, and a new store finds it in the archive",
   async (t) => {
     const { clock, service, createLedger } = createTestBench();
     const ledger = createLedger({ shards: 1, maxActiveBytes: 1_000 });
@@ -94,7 +94,7 @@
   },
 );
 
-t.test("an archive that cannot be read makes the claim fail, not win", async (t) => {
+t.test("a claim fails instead of winning if an archive cannot be read", async (t) => {
   const { clock, service, createLedger } = createTestBench();
   const ledger = createLedger({ shards: 1, maxActiveBytes: 400 });
   for (let index = 0; index < 20; index++)
@@ -106,7 +106,7 @@
   t.ok(outcome?.isErr());
 });
 
-t.test("a key that was given back can be claimed again, by its owner's word only", async (t) => {
+t.test("a released key can be claimed again, but only its owner can release it", async (t) => {
   const { clock, createLedger } = createTestBench();
   const [left, right] = [createLedger(), createLedger()];
   const own = createClaim("k", "left");
@@ -124,7 +124,7 @@
 });
 
 t.test(
-  "a claim that comes while the ledger looks others up is itself looked up before it is written",
+  "a claim that arrives while others are being looked up is itself looked up before it is written",
   async (t) => {
     const { clock, createLedger } = createTestBench();
     const first = createLedger({ shards: 1, maxActiveBytes: 300 });
@@ -132,7 +132,7 @@
       await settleAll(clock, [first.claim(createClaim(`k${index}`, "first"))]);
     const other = createLedger({ shards: 1 });
     const looked = other.claim(createClaim("new", "other"));
-    // One millisecond a call: after the head's read the archives are read, one by one.
+    // Each call takes one millisecond: first the segment is read, then the archives one by one.
     await clock.advance(2);
     const late = other.claim(createClaim("k11", "other"));
     const outcomes = await settleAll(clock, [looked, late]);
@@ -143,7 +143,7 @@
   },
 );
 
-t.test("a value that is none of ours is a failure, and is left as it is", async (t) => {
+t.test("a claim fails if the stored value cannot be decoded, and the value is not overwritten", async (t) => {
   const { clock, service, createLedger } = createTestBench();
   const bytes = Uint8Array.from([0xff, 0x00, 0x13]);
   service.store.tryCompareAndSwap("claims/0", bytes, 0);
@@ -163,7 +163,7 @@
   CallOutcome.RequestLost,
 );
 
-t.test("whatever fails, no key is won twice (differential against one map)", async (t) => {
+t.test("no key is won twice, whichever calls fail (checked against a map)", async (t) => {
   const attempt = fc.record({ ledger: fc.nat(2), key: fc.nat(4), pause: fc.nat(60) });
   const scenario = fc.record({
     fates: fc.array(fates, { minLength: 1, maxLength: 60 }),
@@ -191,7 +191,7 @@
         if (winners.has(claim.key)) return false;
         winners.set(claim.key, claim.request);
       }
-      // Whoever was told that another's claim stands was told the truth.
+      // Every refused claim must name the actual winner.
       return outcomes.every((outcome) => {
         if (outcome.isErr() || outcome.value.isWon) return true;
         const winner = winners.get(outcome.value.claim.key);
--- a/packages/coordination/test/document.test.ts
+++ b/packages/coordination/test/document.test.ts
@@ -67,7 +67,7 @@
 }
 
 t.test(
-  "a service that comes back with an older document is no word on it, and gets the newer one again",
+  "a service restored to an older document confirms nothing, and the newer one is written to it again",
   async (t) => {
     const { clock, service, createFollower } = createTestBench();
     await Promise.all([edit(clock, service, "row", "one"), clock.advance(100)]);
@@ -84,10 +84,10 @@
     );
     t.ok(fallen);
     await clock.advance(100);
-    t.equal(follower.version, 2, "it never falls");
-    t.ok((service.store.get("sheet")?.revision ?? 0) > fallen!, "it is written again");
+    t.equal(follower.version, 2, "the version never decreases");
+    t.ok((service.store.get("sheet")?.revision ?? 0) > fallen!, "the document is written again");
     await Promise.all([edit(clock, service, "row", "three"), clock.advance(200)]);
-    t.equal(follower.version, 3, "the next change comes after it");
+    t.equal(follower.version, 3, "the next change follows the rewritten document");
     t.same(follower.get()?.document.edits, ["one", "two", "three"]);
     const closed = follower.close();
     await clock.advance(10_000);
@@ -95,7 +95,7 @@
   },
 );
 
-t.test("a save is in force at a follower as soon as its watch returns", async (t) => {
+t.test("a saved document is active at a follower as soon as its watch returns", async (t) => {
   const { clock, service, createFollower } = createTestBench();
   const follower = createFollower();
   follower.start();
@@ -110,7 +110,7 @@
   await closed;
 });
 
-t.test("a follower never steps back, whoever brings the older document", async (t) => {
+t.test("a follower never activates an older or unreadable document offered by a peer", async (t) => {
   const { createFollower } = createTestBench();
   const follower = createFollower();
   const offer = (version: number): boolean => follower.offer(codec.encode({ ...empty, version }), 0);
@@ -136,7 +136,7 @@
 });
 
 t.test(
-  "word counts from when its source knew it: two that are cut off do not keep each other current",
+  "a confirmation counts from when its source was confirmed: two partitioned followers do not keep each other current",
   async (t) => {
     const { clock, service, createFollower } = createTestBench();
     const [left, right] = [createFollower(), createFollower()];
@@ -156,7 +156,7 @@
   },
 );
 
-t.test("a version that a peer has and this one has not is no word that this one is current", async (t) => {
+t.test("a newer version at a peer does not confirm the own document", async (t) => {
   const { clock, createFollower } = createTestBench();
   const follower = createFollower();
   follower.offer(codec.encode({ ...empty, version: 1 }), 0);
@@ -165,37 +165,40 @@
   t.notOk(follower.isCurrent());
 });
 
-t.test("edits that race all land once, whatever answers are lost", async (t) => {
-  const fate = fc.constantFrom(
-    CallOutcome.Answered,
-    CallOutcome.Answered,
-    CallOutcome.Refused,
-    CallOutcome.ResponseLost,
-    CallOutcome.DelayedEffect,
-    CallOutcome.RequestLost,
-  );
-  await fc.assert(
-    fc.asyncProperty(
-      fc.array(fate, { minLength: 1, maxLength: 30 }),
-      fc.integer({ min: 1, max: 6 }),
-      async (script, count) => {
-        const { clock, service } = createTestBench();
-        let call = 0;
-        service.nextOutcome = () => script[call++ % script.length] ?? CallOutcome.Answered;
-        const ids = Array.from({ length: count }, (_, index) => `e${index}`);
-        const running = ids.map((id) => edit(clock, service, id, id));
-        const results = await settle(clock, Promise.all(running));
-        await clock.advance(200);
-        const entry = service.store.get("sheet");
-        const stored = entry ? codec.decode(entry.value).unwrap() : empty;
-        return results.every((result, index) => {
-          const times = stored.edits.filter((id) => id === ids[index]).length;
-          if (result.isOk()) return times === 1;
-          return result.error.code === FailureCode.ServiceAnswerLost ? times <= 1 : times === 0;
-        });
-      },
-    ),
-    { seed: 7, numRuns: 120 },
-  );
-  t.pass();
-});
+t.test(
+  "each concurrent edit is applied exactly once if it succeeds, and not at all if it certainly failed",
+  async (t) => {
+    const fate = fc.constantFrom(
+      CallOutcome.Answered,
+      CallOutcome.Answered,
+      CallOutcome.Refused,
+      CallOutcome.ResponseLost,
+      CallOutcome.DelayedEffect,
+      CallOutcome.RequestLost,
+    );
+    await fc.assert(
+      fc.asyncProperty(
+        fc.array(fate, { minLength: 1, maxLength: 30 }),
+        fc.integer({ min: 1, max: 6 }),
+        async (script, count) => {
+          const { clock, service } = createTestBench();
+          let call = 0;
+          service.nextOutcome = () => script[call++ % script.length] ?? CallOutcome.Answered;
+          const ids = Array.from({ length: count }, (_, index) => `e${index}`);
+          const running = ids.map((id) => edit(clock, service, id, id));
+          const results = await settle(clock, Promise.all(running));
+          await clock.advance(200);
+          const entry = service.store.get("sheet");
+          const stored = entry ? codec.decode(entry.value).unwrap() : empty;
+          return results.every((result, index) => {
+            const times = stored.edits.filter((id) => id === ids[index]).length;
+            if (result.isOk()) return times === 1;
+            return result.error.code === FailureCode.ServiceAnswerLost ? times <= 1 : times === 0;
+          });
+        },
+      ),
+      { seed: 7, numRuns: 120 },
+    );
+    t.pass();
+  },
+);
--- a/packages/coordination/test/leaseHolder.test.ts
+++ b/packages/coordination/test/leaseHolder.test.ts
@@ -3,7 +3,7 @@
 import { FailureCode, Logger, VirtualClock, type Clock, type Timer } from "@gladewall/kernel";
 import { CallOutcome, MemoryKeyValue } from "@gladewall/standins";
 
-/** A holder's own clock, which can be stopped as a paused process's timers are, while time goes on. */
+/** Clock of one holder whose timers can be paused while time advances, as in a paused process. */
 class PausableClock implements Clock {
   private isPaused = false;
   private readonly waiting: (() => void)[] = [];
@@ -55,7 +55,7 @@
   return { clock, service, createHolder };
 }
 
-t.test("one holds the lease; after it gives it back another does, with a higher fence", async (t) => {
+t.test("only one holder has the lease; after its release another gets a higher fencing token", async (t) => {
   const { clock, createHolder } = createTestBench();
   const [left, right] = [createHolder("left"), createHolder("right")];
   left.start();
@@ -74,7 +74,7 @@
 });
 
 t.test(
-  "a paused holder finds its lease out of date before it acts, and nobody ever holds it with another",
+  "a paused holder finds its lease expired before it acts, and no two holders are ever valid at once",
   async (t) => {
     const { clock, createHolder } = createTestBench();
     const own = new PausableClock(clock);
@@ -102,7 +102,7 @@
   },
 );
 
-t.test("a lease is over by the time for which the holder's machine was suspended", async (t) => {
+t.test("a lease expires while the holder's machine is suspended", async (t) => {
   const { clock, createHolder } = createTestBench();
   const holder = createHolder("left");
   holder.start();
@@ -112,27 +112,30 @@
   t.equal(
     holder.getFencingToken().unwrapErr().code,
     FailureCode.LeaseLost,
-    "at once, before any timer has run",
+    "immediately, before any timer has run",
   );
   const closed = holder.close();
   await clock.advance(5_000);
   await closed;
 });
 
-t.test("validity counts from when a renewal was sent: a slow answer does not lengthen it", async (t) => {
-  const { clock, service, createHolder } = createTestBench();
-  const holder = createHolder("left");
-  holder.start();
-  await clock.advance(10);
-  t.ok(holder.getFencingToken().isOk());
-  // From now on renewals take effect but their answers are lost: the holder may not rely on them.
-  service.nextOutcome = () => CallOutcome.ResponseLost;
-  await clock.advance(2_600);
-  t.ok(holder.getFencingToken().isErr());
-  service.nextOutcome = () => CallOutcome.Answered;
-  await clock.advance(1_500);
-  t.ok(holder.getFencingToken().isOk());
-  const closed = holder.close();
-  await clock.advance(5_000);
-  await closed;
-});
+t.test(
+  "the validity of a lease counts from when the renewal was sent, so a late response does not extend it",
+  async (t) => {
+    const { clock, service, createHolder } = createTestBench();
+    const holder = createHolder("left");
+    holder.start();
+    await clock.advance(10);
+    t.ok(holder.getFencingToken().isOk());
+    // Renewals take effect from here on, but their responses are lost, so the holder must not rely on them.
+    service.nextOutcome = () => CallOutcome.ResponseLost;
+    await clock.advance(2_600);
+    t.ok(holder.getFencingToken().isErr());
+    service.nextOutcome = () => CallOutcome.Answered;
+    await clock.advance(1_500);
+    t.ok(holder.getFencingToken().isOk());
+    const closed = holder.close();
+    await clock.advance(5_000);
+    await closed;
+  },
+);
--- a/packages/coordination/test/membershipView.test.ts
+++ b/packages/coordination/test/membershipView.test.ts
@@ -34,7 +34,7 @@
   return view.getLive(InstanceRole.Endpoint).map(({ id }) => id);
 }
 
-t.test("a leaving word is not undone by a later live one from the lagging list", async (t) => {
+t.test("a live state from the lagging list does not override a leaving update", async (t) => {
   const view = MembershipView.create(VirtualClock.create());
   view.mergeList([createRecord("a", 1)]);
   view.merge({
@@ -50,7 +50,7 @@
 });
 
 t.test(
-  "a new instance under an old id is another one, and words about the old one do not touch it",
+  "a newer incarnation replaces an instance with the same id, and updates of the old incarnation are ignored",
   async (t) => {
     const view = MembershipView.create(VirtualClock.create());
     view.merge(createWord(1, InstanceState.Gone));
@@ -61,7 +61,7 @@
   },
 );
 
-t.test("a notice that comes before the list knows the instance is not lost", async (t) => {
+t.test("a notice that arrives before the list contains the instance is kept", async (t) => {
   const view = MembershipView.create(VirtualClock.create());
   view.merge({
     id: "a",
@@ -74,7 +74,7 @@
   t.same(getLiveIds(view), []);
 });
 
-t.test("absence stops work after three lists and ends when the list names the instance again", async (t) => {
+t.test("an instance gets no work after three missed lists, until a list contains it again", async (t) => {
   const view = MembershipView.create(VirtualClock.create());
   view.mergeList([createRecord("a", 1), createRecord("b", 1)]);
   for (let list = 0; list < 2; list++) view.mergeList([createRecord("b", 1)]);
@@ -87,7 +87,7 @@
   t.same(getLiveIds(view), ["a", "b"]);
 });
 
-t.test("an instance that is gone is forgotten only when the list no longer names it", async (t) => {
+t.test("an instance that is gone is removed only once the list no longer contains it", async (t) => {
   const clock = VirtualClock.create();
   const view = MembershipView.create(clock);
   view.mergeList([createRecord("a", 1), createRecord("b", 1)]);
@@ -100,7 +100,7 @@
   t.equal(view.get("a"), undefined);
 });
 
-t.test("words lead to the same view in whatever order and however often they come", async (t) => {
+t.test("updates lead to the same view in any order and with any number of repetitions", async (t) => {
   const word = fc.record({
     incarnation: fc.integer({ min: 1, max: 3 }),
     state: fc.constantFrom(InstanceState.Live, InstanceState.Leaving, InstanceState.Gone),
@@ -114,7 +114,7 @@
   fc.assert(
     fc.property(fc.array(word, { minLength: 1, maxLength: 8 }), fc.integer(), (words, seed) => {
       const shuffled = [...words, ...words].sort((left, right) => hash(left, seed) - hash(right, seed));
-      // Naive version: the highest incarnation, and in it the latest state.
+      // Reference result: the highest incarnation, and the latest state within it.
       const highest = Math.max(...words.map(({ incarnation }) => incarnation));
       const latest = Math.max(
         ...words.filter((each) => each.incarnation === highest).map(({ state }) => state),
--- a/packages/coordination/test/peerLinks.test.ts
+++ b/packages/coordination/test/peerLinks.test.ts
@@ -35,7 +35,7 @@
   return { links, peer: { name, incarnation: 1, address } };
 }
 
-t.test("frames survive any cutting of the stream", async (t) => {
+t.test("frames are decoded however the stream is split into chunks", async (t) => {
   const message = fc.record({
     kind: fc.nat(100),
     text: fc.string(),
@@ -62,14 +62,14 @@
   t.end();
 });
 
-t.test("a frame that is too large or no CBOR is a typed failure", async (t) => {
+t.test("a frame that is too large or not valid CBOR fails with its code", async (t) => {
   const large = FrameDecoder.create(10).push(Buffer.from([0, 0, 1, 0]));
   t.equal(large.unwrapErr().code, FailureCode.FrameTooLarge);
   const bad = FrameDecoder.create().push(Buffer.from([0, 0, 0, 2, 0x5f, 0x1c]));
   t.equal(bad.unwrapErr().code, FailureCode.FrameMalformed);
 });
 
-t.test("two that dial each other keep one link, and calls are answered both ways", async (t) => {
+t.test("two peers that dial each other keep one link, and calls are answered", async (t) => {
   const [left, right] = [await createLinks("left"), await createLinks("right")];
   for (const { links } of [left, right])
     links.setHandler(firstApplicationKind, (message, peer) => ({ message, from: peer.name }));
@@ -77,7 +77,7 @@
   right.links.setPeers([left.peer]);
   await Promise.all([left.links.waitForLinks(1), right.links.waitForLinks(1)]);
   let answer = await left.links.call("right", { kind: firstApplicationKind }, 1_000);
-  // While the two sides agree on the one link, a call may be cut with the other.
+  // Until both sides have agreed on one connection, a call may fail with the other one.
   while (answer.isErr()) answer = await left.links.call("right", { kind: firstApplicationKind }, 1_000);
   t.match(answer.unwrap(), { from: "left" });
   t.same(left.links.getLinked(), ["right"]);
@@ -85,7 +85,7 @@
   await Promise.all([left.links.close(), right.links.close()]);
 });
 
-t.test("a peer with another secret is refused, before it can send anything", async (t) => {
+t.test("a peer without the shared secret is refused before any of its messages is handled", async (t) => {
   const [left, right] = [await createLinks("left"), await createLinks("right", { secret: "another secret" })];
   let heard = 0;
   left.links.setHandler(firstApplicationKind, () => (heard += 1));
@@ -108,7 +108,7 @@
   await Promise.all([left.links.close(), right.links.close()]);
 });
 
-t.test("a large frame before the proof is refused", async (t) => {
+t.test("a large frame before the handshake has completed is refused", async (t) => {
   const left = await createLinks("left");
   const socket = connect(Number(left.peer.address.split(":")[1]), "127.0.0.1");
   await once(socket, "connect");
@@ -119,7 +119,7 @@
   await left.links.close();
 });
 
-t.test("a lost peer is told, its calls fail, and it is linked again when it is back", async (t) => {
+t.test("a lost peer is reported, calls to it fail, and it is linked again after its restart", async (t) => {
   const left = await createLinks("left");
   const right = await createLinks("right");
   right.links.setHandler(firstApplicationKind, () => new Promise(() => undefined));
@@ -138,32 +138,36 @@
 });
 
 /*
- * A peer that starts again may link before the connection of its former life is known to be lost. No up event came then, and
- * what newcomers are told (endpoints that ended, or that leave) the new life was not told.
+ * A restarted peer may link before the connection of its previous incarnation is known to be lost. No link-up
+ * event was raised in this case, so that the new incarnation did not receive the state that a new peer gets
+ * (endpoints that ended or are leaving).
  */
-t.test("a new life that links while the former one's link still stands comes up as well", async (t) => {
-  const left = await createLinks("left");
-  const lives = [await createLinks("right"), await createLinks("right", { incarnation: 2 })];
-  const up: number[] = [];
-  left.links.onLinkUp(({ incarnation }) => up.push(incarnation));
-  for (const { links } of lives) {
-    links.setPeers([left.peer]);
-    await links.waitForLinks(1);
-    while (up.length === 0) await new Promise((resolve) => setImmediate(resolve));
-  }
-  const answered = await lives[1]!.links.call("left", { kind: firstApplicationKind }, 50);
-  t.ok(answered.isErr(), "no handler answers; by then the link is in use");
-  t.same(up, [1, 2]);
-  await Promise.all([left, ...lives].map(({ links }) => links.close()));
-});
+t.test(
+  "a new incarnation raises a link-up event even while the previous one's link is established",
+  async (t) => {
+    const left = await createLinks("left");
+    const lives = [await createLinks("right"), await createLinks("right", { incarnation: 2 })];
+    const up: number[] = [];
+    left.links.onLinkUp(({ incarnation }) => up.push(incarnation));
+    for (const { links } of lives) {
+      links.setPeers([left.peer]);
+      await links.waitForLinks(1);
+      while (up.length === 0) await new Promise((resolve) => setImmediate(resolve));
+    }
+    const answered = await lives[1]!.links.call("left", { kind: firstApplicationKind }, 50);
+    t.ok(answered.isErr(), "no handler replies; by then the link is in use");
+    t.same(up, [1, 2]);
+    await Promise.all([left, ...lives].map(({ links }) => links.close()));
+  },
+);
 
-t.test("a peer that is silent, not closed, counts as lost", async (t) => {
+t.test("a peer that sends nothing counts as lost even if its connection stays open", async (t) => {
   const left = await createLinks("left", { lostAfter: 100 });
   const right = await createLinks("right");
   left.links.setPeers([right.peer]);
   await left.links.waitForLinks(1);
   const down = new Promise<void>((resolve) => left.links.onLinkDown(() => resolve()));
-  // A frozen process keeps its connections and says nothing.
+  // A frozen process keeps its connections open and sends nothing.
   const [socket] = [
     ...(right.links as unknown as { sockets: Set<{ pause(): void; write(): boolean }> }).sockets,
   ];
--- a/packages/coordination/test/serviceBudget.test.ts
+++ b/packages/coordination/test/serviceBudget.test.ts
@@ -4,7 +4,7 @@
 import { MemoryKeyValue } from "@gladewall/standins";
 
 t.test(
-  "calls stay within the rate, urgent kinds go first, and who waits too long fails without a call",
+  "calls stay within the rate, urgent kinds go first, and a call that waits too long fails without being made",
   async (t) => {
     const clock = VirtualClock.create();
     const service = MemoryKeyValue.create(clock);
--- a/packages/coordination/test/sharedLimits.test.ts
+++ b/packages/coordination/test/sharedLimits.test.ts
@@ -20,7 +20,7 @@
 const lenderName = getAllocator("row", live)!;
 const borrowers = live.filter((name) => name !== lenderName);
 
-/** Lets the time pass in which a new lender only renews. */
+/** Creates an allocator and waits for the period in which a new allocator only renews shares. */
 async function createSettled(clock: VirtualClock, limit: readonly number[]): Promise<ShareAllocator> {
   const lender = createLender(lenderName, live, clock);
   lender.allocate("row", limit, lenderName, { wanted: [0, 0], held: [0, 0] });
@@ -28,7 +28,7 @@
   return lender;
 }
 
-t.test("equal splits add up to the limit, wholes without a rest lost", async (t) => {
+t.test("equal splits add up to the limit, including the remainder of whole amounts", async (t) => {
   for (const limit of [0, 1, 2, 10, 11]) {
     const parts = live.map((name) => getEqualSplit("row", [limit, limit], kinds, name, live));
     for (const dimension of [0, 1]) {
@@ -37,7 +37,7 @@
   }
 });
 
-t.test("all demand at one entry gets the whole limit once the others' shares are over", async (t) => {
+t.test("one entry with all the demand gets the whole limit once the other shares have expired", async (t) => {
   const clock = VirtualClock.create();
   const lender = await createSettled(clock, [90, 9]);
   await clock.advance(duration);
@@ -50,7 +50,7 @@
   t.same(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [500, 50], held: [0, 0] }), [45, 4]);
 });
 
-t.test("while nobody wants the whole, whoever asks later finds something", async (t) => {
+t.test("an entry that asks later gets a share if the total demand is below the limit", async (t) => {
   const clock = VirtualClock.create();
   const lender = await createSettled(clock, [900, 900]);
   await clock.advance(duration);
@@ -60,22 +60,25 @@
   }
 });
 
-t.test("one that is not the lender lends nothing", async (t) => {
+t.test("an entry that is not the allocator allocates nothing", async (t) => {
   const clock = VirtualClock.create();
   const other = createLender(borrowers[0]!, live, clock);
   t.equal(other.allocate("row", [9, 9], lenderName, { wanted: [1, 1], held: [0, 0] }), undefined);
 });
 
-t.test("a new lender renews what is held and lends nothing else until the old shares are over", async (t) => {
-  const clock = VirtualClock.create();
-  const lender = createLender(lenderName, live, clock);
-  t.same(lender.allocate("row", [90, 9], borrowers[0]!, { wanted: [90, 9], held: [30, 3] }), [30, 3]);
-  t.equal(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), undefined);
-  await clock.advance(duration + 1);
-  t.same(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), [90, 9]);
-});
+t.test(
+  "a new allocator renews held shares and allocates nothing else until the old shares have expired",
+  async (t) => {
+    const clock = VirtualClock.create();
+    const lender = createLender(lenderName, live, clock);
+    t.same(lender.allocate("row", [90, 9], borrowers[0]!, { wanted: [90, 9], held: [30, 3] }), [30, 3]);
+    t.equal(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), undefined);
+    await clock.advance(duration + 1);
+    t.same(lender.allocate("row", [90, 9], borrowers[1]!, { wanted: [90, 9], held: [0, 0] }), [90, 9]);
+  },
+);
 
-t.test("entries that are cut off keep the part that a lender leaves to them", async (t) => {
+t.test("partitioned entries keep the part of the limit that an allocator does not divide", async (t) => {
   const clock = VirtualClock.create();
   const cut = borrowers[1]!;
   const lender = createLender(lenderName, live, clock, [cut]);
@@ -91,7 +94,7 @@
 });
 
 t.test(
-  "whatever is asked when, what is lent and not over is never above the limit (one central counter)",
+  "unexpired allocations never add up to more than the limit, whatever is asked when (central counter)",
   async (t) => {
     const question = fc.record({
       borrower: fc.nat(2),
