--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * Time behind an interface, so that tests run on a virtual clock.
+ * Clocks and timers behind an interface, so that tests can run on a virtual clock.
  * @module
  */
 
@@ -10,24 +10,27 @@
 
 /** Source of time. All durations are milliseconds. */
 export interface Clock {
-  /** Wall clock, milliseconds since 1970; only for people and for stamps between machines. */
+  /**
+   * Wall-clock time in milliseconds since 1970. Use it only for display and for timestamps that other machines
+   * read.
+   */
   getWallTime(): number;
   /**
-   * Monotonic clock, milliseconds from an arbitrary start; for every duration. It stands still while a machine is
-   * suspended.
+   * Monotonic time in milliseconds from an arbitrary start; use it for durations. It does not advance while the
+   * machine is suspended.
    */
   getTime(): number;
   /**
-   * Time that a suspension is not missing from, milliseconds from an arbitrary start; for what must not be believed too
-   * long, such as a proof or a lease. It runs ahead where the time of day was set forward, and never falls behind
-   * `getTime`.
+   * Monotonic time that includes suspensions of the machine, in milliseconds from an arbitrary start. Use it
+   * for the validity of leases and similar proofs, which must not be trusted for too long. It runs ahead if the
+   * time of day is set forward, and never falls behind `getTime`.
    */
   getBootTime(): number;
-  /** Calls back once after `delay` milliseconds. */
+  /** Calls `callback` once after `delay` milliseconds. */
   startTimer(delay: number, callback: () => void): Timer;
 }
 
-/** Resolves after `delay` milliseconds, or at once when the signal is aborted. */
+/** Resolves after `delay` milliseconds, or as soon as the signal is aborted. */
 export function waitFor(clock: Clock, delay: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal?.aborted) return resolve();
@@ -41,13 +44,14 @@
   });
 }
 
-/** Less than this may be rounding, or the time of day being drawn slowly: 0.5 ms a second at the most. */
+/** A smaller gain may be rounding, or the time of day being slewed, which adds at most 0.5 ms per second. */
 const leastGainMs = 50;
 
 /**
- * Adds to a monotonic clock what the time of day gains on it. Node reads no clock that counts suspensions; the time of day
- * does, and where it was set forward instead, what is believed ends early. Without it a proof of 4.6 s still held after a
- * suspension of any length.
+ * Monotonic clock that includes suspensions: adds to a monotonic clock what the time of day gains on it.
+ * Node.js has no clock that counts suspensions, but the time of day does. If the time of day was set forward
+ * instead, leases and proofs only expire too early. Without this clock, a proof valid for 4.6 s was still
+ * accepted after a suspension of any length.
  */
 export class BootClock {
   private gained = 0;
@@ -74,7 +78,7 @@
   }
 }
 
-/** The machine's clock. */
+/** Clock of the machine. */
 export class SystemClock implements Clock {
   private readonly bootTime = BootClock.create(
     () => this.getTime(),
@@ -111,7 +115,7 @@
   readonly callback: () => void;
 }
 
-/** A clock that moves only when told to. Timers fire in order of due time, then of creation. */
+/** Clock for tests that advances only on request. Timers fire in order of due time, then of creation. */
 export class VirtualClock implements Clock {
   private time = 0;
   private order = 0;
@@ -139,7 +143,7 @@
     return this.bootTime.get();
   }
 
-  /** Moves the time of day alone: a machine that was suspended for so long, or whose time was set. */
+  /** Shifts only the time of day, as if the machine had been suspended for `duration` or its time had been set. */
   shiftWallTime(duration: number): void {
     this.wallStart += duration;
   }
@@ -150,7 +154,7 @@
     return { cancel: () => (this.timers = this.timers.filter((other) => other !== timer)) };
   }
 
-  /** Moves time forward, letting promises settle between timers. */
+  /** Advances the time by `duration` and runs the timers that become due. Lets promises settle between timers. */
   async advance(duration: number): Promise<void> {
     const end = this.time + duration;
     await flushPromises();
@@ -177,7 +181,7 @@
 
 const settleRounds = 4;
 
-/** Lets every promise that can settle without time passing settle. */
+/** Waits until the promises that can settle without the clock advancing have settled. */
 export async function flushPromises(): Promise<void> {
   for (let round = 0; round < settleRounds; round++) {
     await new Promise((resolve) => setImmediate(resolve));
--- a/packages/kernel/src/commandLine.ts
+++ b/packages/kernel/src/commandLine.ts
@@ -1,5 +1,6 @@
 /**
- * The command line of the daemons and what their exit codes mean. Loaded apart: a daemon without arguments needs none.
+ * Command line and exit codes of the daemons. A separate module, so that a daemon without arguments does not
+ * load yargs.
  * @module
  */
 import yargs from "yargs";
@@ -8,7 +9,7 @@
 export enum ExitCode {
   Success = 0,
   Failed = 1,
-  /** Settings or command line are wrong; nothing was opened. */
+  /** The settings or the command line are invalid; no port was opened. */
   InvalidSettings = 2,
 }
 
@@ -21,10 +22,10 @@
   readonly set: readonly string[];
 }
 
-/** Settings file where neither the command line nor the environment names one. */
+/** Settings file that is used if neither the command line nor the environment names one. */
 export const defaultSettingsFile = "gladewall.ini";
 
-/** Parses the command line; ends the process with `BadSettings` where it is wrong. */
+/** Parses the command line; ends the process with `InvalidSettings` if it is invalid. */
 export async function parseArguments(
   words: readonly string[],
   settingsFile: string = defaultSettingsFile,
--- a/packages/kernel/src/daemonLogs.ts
+++ b/packages/kernel/src/daemonLogs.ts
@@ -1,5 +1,5 @@
 /**
- * Logs of a daemon: to standard output, bounded in lines a second, never waiting for the reader.
+ * Logging of a daemon: writes to standard output, limits the lines per second, and never waits for the reader.
  * @module
  */
 import type { Clock, Timer } from "./clock.js";
@@ -7,12 +7,12 @@
 import { LogRateLimiter } from "./logRateLimiter.js";
 import { type LogFields, Logger, type LogLevel } from "./logs.js";
 
-/** Lines of one event in a second. */
+/** Maximum lines per second of one event. */
 const linesPerSecond = 60;
 const sayIntervalMs = 1_000;
 const flushMs = 60;
 
-/** A daemon's logger, and what keeps it. */
+/** The logger of a daemon, with its rate limiter and its writer. Reports dropped lines once per second. */
 export class DaemonLogs {
   readonly logger: Logger;
   private timer: Timer | undefined;
@@ -38,7 +38,7 @@
     return new DaemonLogs(clock, writer, gate, level, base);
   }
 
-  /** Says what was left out, and waits a moment for what is under way. */
+  /** Logs the counts of dropped lines, and waits up to `flushMs` milliseconds for pending lines. */
   async close(): Promise<void> {
     this.timer?.cancel();
     this.sayDropped();
--- a/packages/kernel/src/failures.ts
+++ b/packages/kernel/src/failures.ts
@@ -1,13 +1,14 @@
 /**
- * The one numbered table of failures: code, HTTP status, outcome and text of every failure a person can meet.
+ * Definitions of all failures: code, HTTP status, outcome and text. Every failure shown to a caller or operator
+ * has one.
  *
- * Numbers are stable: callers and logs quote them. 1xxx settings, 2xxx callers, 3xxx decisions,
- * 4xxx endpoints, 5xxx platform and peers, 6xxx operators.
+ * The codes are stable, because callers and logs refer to them. 1xxx: settings, 2xxx: callers, 3xxx: decisions,
+ * 4xxx: endpoints, 5xxx: platform and peers, 6xxx: operators.
  * @module
  */
 import { Outcome } from "./types.js";
 
-/** Stable number of a failure. */
+/** Stable code of a failure. */
 export enum FailureCode {
   SettingsFileMissing = 1001,
   SettingsUnknownSection = 1002,
@@ -81,7 +82,7 @@
   Internal = 9001,
 }
 
-/** One line of the table. `text` may hold `{name}` places. */
+/** Definition of one failure code. `text` may contain `{name}` placeholders. */
 export interface FailureDefinition {
   readonly status: number;
   readonly outcome: Outcome;
@@ -96,7 +97,7 @@
   return { status, outcome, text };
 }
 
-/** The table itself: every user-facing failure message stands here and nowhere else. */
+/** Definitions by code. Every failure message that users see is defined here and nowhere else. */
 export const failureDefinitions: Readonly<Record<FailureCode, FailureDefinition>> = {
   [FailureCode.SettingsFileMissing]: createRow(500, notRun, "{file}: the settings file cannot be read"),
   [FailureCode.SettingsUnknownSection]: createRow(
@@ -282,31 +283,31 @@
   [FailureCode.Internal]: createRow(500, unknown, "an internal fault: {detail}"),
 };
 
-/** Values for the `{name}` places of a failure's text. */
+/** Values for the `{name}` placeholders of a failure's text. */
 export type FailureArguments = Readonly<Record<string, string | number>>;
 
-/** A typed failure: a code of the table and the values its text needs. Never thrown across modules. */
+/** A typed failure: a code and the values for its text. Returned in a `Result`, not thrown across modules. */
 export class Failure {
   private constructor(
     readonly code: FailureCode,
     readonly values: FailureArguments,
-    /** Outcome told to a caller; the table's unless the thrower knows better. */
+    /** Outcome reported to the caller; that of the definition unless the creator of the failure knows more. */
     readonly outcome: Outcome,
-    /** Milliseconds after which asking again may help; undefined where it does not. */
+    /** Milliseconds after which a retry may succeed; undefined if no time is known. */
     readonly retryAfterMs: number | undefined,
   ) {}
 
-  /** Creates a failure whose outcome is the table's. */
+  /** Creates a failure with the outcome of its definition. */
   static create(code: FailureCode, values: FailureArguments = {}, retryAfterMs?: number): Failure {
     return new Failure(code, values, failureDefinitions[code].outcome, retryAfterMs);
   }
 
-  /** Returns the same failure with another outcome, where more is known than the table can say. */
+  /** Returns a copy with another outcome, for cases in which more is known than the definition says. */
   withOutcome(outcome: Outcome): Failure {
     return new Failure(this.code, this.values, outcome, this.retryAfterMs);
   }
 
-  /** Returns the same failure with a hint when to come back. */
+  /** Returns a copy with the time after which a retry may succeed. */
   withRetryAfter(retryAfterMs: number): Failure {
     return new Failure(this.code, this.values, this.outcome, retryAfterMs);
   }
@@ -321,7 +322,7 @@
     return FailureCode[this.code];
   }
 
-  /** The text with its places filled in. */
+  /** The text with its placeholders filled in; a missing value shows as `?`. */
   get text(): string {
     return failureDefinitions[this.code].text.replace(/\{(\w+)\}/g, (_, place: string) =>
       String(this.values[place] ?? "?"),
@@ -329,7 +330,7 @@
   }
 }
 
-/** Throws when something that cannot be is; for the project's own mistakes, never the user's. */
+/** Throws if a condition that must always hold does not. For bugs in this code, not for invalid input. */
 export function assertThat(condition: boolean, detail: string): asserts condition {
   if (!condition) throw new Error(`assertion failed: ${detail}`);
 }
--- a/packages/kernel/src/hashing.ts
+++ b/packages/kernel/src/hashing.ts
@@ -1,5 +1,5 @@
 /**
- * Hashes that every process computes alike: fast text hashes and rendezvous scores.
+ * Hash functions with the same results in every process: fast text hashes and scores for rendezvous hashing.
  * @module
  */
 // `>>> 0` turns a signed 32-bit number into an unsigned one.
@@ -8,8 +8,9 @@
 const fnvPrime = 0x01000193;
 
 /**
- * Returns a 32-bit hash of text: FNV-1a over its UTF-16 units, then a finalizer, as FNV alone spreads short names badly.
- * Plain code, so that a start compiles no WebAssembly.
+ * Returns a 32-bit hash of a text: FNV-1a over its UTF-16 code units, then a finalizer, because FNV alone
+ * distributes short names badly. Implemented in plain code, so that no WebAssembly has to be compiled at
+ * startup.
  */
 export function hashText(text: string, seed = 0): number {
   let hash = fnvOffset ^ seed;
@@ -19,16 +20,22 @@
   return mixHashes(hash, 0);
 }
 
-/** Mixes two 32-bit hashes into a rendezvous score; cheap enough for every endpoint of a decision. */
+/**
+ * Mixes two 32-bit hashes into a rendezvous score. Cheap enough to be computed for every endpoint in every
+ * decision.
+ */
 export function mixHashes(left: number, right: number): number {
-  // The finalizer of MurmurHash3: every input bit changes half of the output bits.
+  // Finalizer of MurmurHash3: each input bit affects half of the output bits on average.
   let mixed = left ^ right;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
   return (mixed ^ (mixed >>> 16)) >>> unsignedBits;
 }
 
-/** Returns the candidates in order of their rendezvous score for a key, best first. */
+/**
+ * Returns the candidates sorted by their rendezvous score for a key, highest first. Equal scores are sorted by
+ * name.
+ */
 export function sortByRendezvous<Candidate>(
   key: string,
   candidates: readonly Candidate[],
--- a/packages/kernel/src/hopByHopHeaders.ts
+++ b/packages/kernel/src/hopByHopHeaders.ts
@@ -1,9 +1,9 @@
 /**
- * Headers that speak of one connection only and are not passed on (RFC 9110, 7.6.1), in lower case.
+ * Hop-by-hop headers: they apply to a single connection and must not be forwarded (RFC 9110, section 7.6.1).
  * @module
  */
 
-/** The headers' names. */
+/** Names of the hop-by-hop headers, in lower case. */
 export const hopByHopHeaders: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
--- a/packages/kernel/src/idleSockets.ts
+++ b/packages/kernel/src/idleSockets.ts
@@ -1,10 +1,10 @@
 /**
- * Kept connections of an HTTP agent that no request uses.
+ * Handles idle connections of an HTTP agent, which are kept alive and not used by a request.
  * @module
  */
 import type { Agent } from "node:http";
 
-/** Destroys the connections of an agent that rest; those in use end with their requests. */
+/** Destroys the idle connections of an agent. Connections in use are not affected. */
 export function destroyIdleSockets(agent: Agent): void {
   for (const sockets of Object.values(agent.freeSockets)) {
     for (const socket of sockets ?? []) socket.destroy();
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The kernel: what every other package stands on.
+ * Common base of all packages: clock, failures, settings, logs, metrics, plug-in registry and network helpers.
  * @module
  */
 export * from "./types.js";
--- a/packages/kernel/src/latencyCodec.ts
+++ b/packages/kernel/src/latencyCodec.ts
@@ -1,17 +1,17 @@
 /**
- * Latencies in HDR's compressed form, so that several processes' can be added up. Apart from the metrics: what only
- * compresses is not read at a start.
+ * Encodes latency histograms in the compressed HDR format, so that those of several processes can be added up. Separate
+ * from the metrics, so that the compression code is not loaded at startup.
  * @module
  */
 import { decodeFromCompressedBase64, encodeIntoCompressedBase64 } from "hdr-histogram-js";
 import type { LatencyHistogram } from "./metrics.js";
 
-/** Returns latencies in HDR's compressed form. */
+/** Returns a histogram in the compressed HDR format, as base64. */
 export function encodeLatency({ histogram }: LatencyHistogram): string {
   return encodeIntoCompressedBase64(histogram);
 }
 
-/** Adds latencies that `encodeLatency` wrote. */
+/** Adds a histogram that `encodeLatency` returned. */
 export function addEncodedLatency(latency: LatencyHistogram, encoded: string): void {
   latency.add(decodeFromCompressedBase64(encoded));
 }
--- a/packages/kernel/src/lineWriter.ts
+++ b/packages/kernel/src/lineWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Writes lines to a stream without ever waiting for its reader: what would have to wait for longer than a bound of
- * bytes allows is left out and counted.
+ * Writes lines to a stream without ever waiting for its reader. Lines are dropped and counted while more than a fixed
+ * number of bytes is waiting to be written.
  * @module
  */
 import { createWriteStream, fstatSync } from "node:fs";
@@ -9,7 +9,7 @@
 
 const mostWaitingBytes = 262_144;
 
-/** Writes lines. */
+/** Line writer with a bounded buffer. */
 export class LineWriter {
   private dropped = 0;
 
@@ -17,7 +17,7 @@
     private readonly stream: Writable,
     private readonly mostBytes: number,
   ) {
-    // A reader that has gone must not end the process; its lines are lost.
+    // The process must not end because its reader closed the stream; the lines are lost instead.
     stream.on("error", () => undefined);
   }
 
@@ -25,25 +25,25 @@
     return new LineWriter(stream, mostBytes);
   }
 
-  /** Creates a writer to standard output, which Node itself would write to synchronously where it is a pipe. */
+  /** Creates a writer to standard output that does not block. Node.js itself writes to pipes synchronously. */
   static createStandardOutput(): LineWriter {
     return new LineWriter(openStandardOutput(), mostWaitingBytes);
   }
 
-  /** Writes a line, or counts it where too much waits. */
+  /** Writes a line, or drops and counts it if too many bytes are waiting. */
   write(line: string): void {
     if (this.stream.writableLength > this.mostBytes || this.stream.destroyed) this.dropped += 1;
     else this.stream.write(`${line}\n`);
   }
 
-  /** Returns the lines left out since the last call. */
+  /** Returns the number of lines dropped since the last call. */
   takeDroppedCount(): number {
     const { dropped } = this;
     this.dropped = 0;
     return dropped;
   }
 
-  /** Resolves when everything written so far has left, or after a time. */
+  /** Resolves when all lines written so far are flushed, or after `timeoutMs` milliseconds. */
   flush(mostMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, mostMs);
--- a/packages/kernel/src/logRateLimiter.ts
+++ b/packages/kernel/src/logRateLimiter.ts
@@ -1,18 +1,18 @@
 /**
- * Bounds how many lines of one event are written in a second: a flood of one kind never hides the others, and what was
- * left out is counted and said.
+ * Limits the log lines per second of each event, so that a flood of one event does not hide the others. Dropped
+ * lines are counted and can be reported.
  * @module
  */
 import type { Clock } from "./clock.js";
 import { TokenBucket } from "./tokenBucket.js";
 
-/** Lines of one event. */
+/** Allowance and count of dropped lines of one event. */
 interface EventLines {
   readonly allowance: TokenBucket;
   dropped: number;
 }
 
-/** Admits lines. */
+/** Rate limiter for log lines, per event. */
 export class LogRateLimiter {
   private readonly events = new Map<string, EventLines>();
 
@@ -21,17 +21,17 @@
     private readonly linesPerSecond: number,
   ) {}
 
-  /** A gate that lets so many lines of each event through in a second. */
+  /** Creates a limiter that admits `linesPerSecond` lines of each event per second. */
   static create(clock: Clock, linesPerSecond: number): LogRateLimiter {
     return new LogRateLimiter(clock, linesPerSecond);
   }
 
-  /** A gate that lets everything through. */
+  /** Creates a limiter that admits every line. */
   static createUnlimited(): LogRateLimiter {
     return new LogRateLimiter(undefined, 0);
   }
 
-  /** Whether one more line of an event is written; counts it where it is not. */
+  /** Returns whether one more line of an event may be written; counts it as dropped otherwise. */
   tryAcquire(event: string): boolean {
     if (!this.clock) return true;
     let lines = this.events.get(event);
@@ -44,7 +44,7 @@
     return isAdmitted;
   }
 
-  /** Returns the lines left out since the last call, by event. */
+  /** Returns the number of lines dropped since the last call for each event that had any. */
   takeDroppedCounts(): readonly (readonly [event: string, count: number])[] {
     const dropped: [string, number][] = [];
     for (const [event, lines] of this.events) {
--- a/packages/kernel/src/logs.ts
+++ b/packages/kernel/src/logs.ts
@@ -1,8 +1,8 @@
 /**
- * Logs: one line of key=value pairs an event, in logfmt, written through consola.
+ * Structured logs: one logfmt line of key=value pairs per event, written through consola.
  *
- * Quoting rule: a value stands bare when it holds only printable characters other than space, `"`, `=` and
- * backslash; otherwise it is quoted as a JSON string, so a caller's control bytes never reach the terminal.
+ * A value is written unquoted if it contains only printable ASCII characters other than space, `"`, `=` and backslash.
+ * Otherwise it is quoted as a JSON string, so that control characters from a caller never reach a terminal.
  * @module
  */
 import { LogRateLimiter } from "./logRateLimiter.js";
@@ -16,7 +16,7 @@
   Debug = 4,
 }
 
-/** Names of levels, as settings and lines give them. */
+/** Names of the levels in settings and log lines. */
 export const logLevelNames: Readonly<Record<LogLevel, string>> = {
   [LogLevel.Error]: "error",
   [LogLevel.Warn]: "warn",
@@ -24,11 +24,11 @@
   [LogLevel.Debug]: "debug",
 };
 
-/** Fields of one event; undefined fields are left out. */
+/** Fields of one event; undefined fields are omitted. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 const bareValue = /^[\x21\x23-\x3c\x3e-\x5b\x5d-\x7e]+$/;
-// JSON leaves these as they are; a terminal may act on them.
+// Characters that JSON does not escape, but that a terminal may interpret.
 
 const unsafeInJson = /[\x7f-\x9f\u2028\u2029\u200e\u200f\u202a-\u202e\u2066-\u2069]/g;
 
@@ -36,14 +36,14 @@
   return `\\u${character.charCodeAt(0).toString(16).padStart(4, "0")}`;
 }
 
-/** Returns a value as logfmt writes it. */
+/** Formats a value for logfmt. */
 export function formatValue(value: string | number | boolean): string {
   const text = String(value);
   if (bareValue.test(text)) return text;
   return JSON.stringify(text).replace(unsafeInJson, formatEscape);
 }
 
-/** Returns one line of `key=value` pairs. */
+/** Formats fields as one line of `key=value` pairs. */
 export function formatLine(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
@@ -52,7 +52,7 @@
   return parts.join(" ");
 }
 
-/** Writes events. Each has a fixed name and typed fields. */
+/** Writes events, each of which has a fixed name and typed fields. */
 export class Logger {
   private constructor(
     private readonly sink: ConsolaInstance,
@@ -60,7 +60,10 @@
     private readonly gate: LogRateLimiter,
   ) {}
 
-  /** Creates a logger that writes lines through `write`, stderr by default; the gate bounds how many. */
+  /**
+   * Creates a logger that passes lines to `write` (standard error by default), as far as the rate limiter
+   * admits them.
+   */
   static create(
     level: LogLevel,
     base: LogFields = {},
@@ -71,12 +74,12 @@
     return new Logger(createConsola({ level, reporters: [reporter] }), base, gate);
   }
 
-  /** A logger that writes nothing, for tests and embedders. */
+  /** Creates a logger that writes nothing, for tests and embedders. */
   static createSilent(): Logger {
     return Logger.create(LogLevel.Error, {}, () => undefined);
   }
 
-  /** Returns a logger whose lines carry more fields. */
+  /** Returns a logger that adds fields to each line. */
   with(fields: LogFields): Logger {
     return new Logger(this.sink, { ...this.base, ...fields }, this.gate);
   }
@@ -97,12 +100,12 @@
     if (this.isWritten(LogLevel.Debug, event)) this.sink.debug(this.format(LogLevel.Debug, event, fields));
   }
 
-  /** Asked before a line is made: what is left out costs next to nothing. */
+  /** Checked before a line is formatted, so that lines which are not written cost almost nothing. */
   private isWritten(level: LogLevel, event: string): boolean {
     return this.sink.level >= Number(level) && this.gate.tryAcquire(event);
   }
 
-  /** Changes the level from now on, for this logger and all made from it. */
+  /** Changes the level of this logger and of all loggers that share its sink through `with`. */
   setLevel(level: LogLevel): void {
     this.sink.level = level;
   }
--- a/packages/kernel/src/metrics.ts
+++ b/packages/kernel/src/metrics.ts
@@ -1,17 +1,17 @@
 /**
- * Metrics of a process: counters, gauges and latencies (HDR histograms), written in the Prometheus text format.
+ * Metrics of a process: counters, gauges and latency histograms (HDR), exported in the Prometheus text format.
  * @module
  */
 import type { Histogram } from "hdr-histogram-js";
-// The package's index brings its compression and its WebAssembly: 150 of the 505 KB that a start read.
+// The index of the package also loads its compression code and its WebAssembly: 150 of the 505 KB read at startup.
 import int32Histogram from "hdr-histogram-js/dist/Int32Histogram.js";
 
-/** Label values of one series. */
+/** Label names and values of one series. */
 export type Labels = Readonly<Record<string, string>>;
 
 const quantiles = [0.5, 0.95, 0.99] as const;
 const highestMicroseconds = 3_600_000_000;
-// Histograms start small and grow: most series never see a minute.
+// Histograms start small and grow on demand, because most series never record a minute.
 const initialHighestMicroseconds = 2_000_000;
 const significantDigits = 3;
 const microsecondsPerMs = 1_000;
@@ -25,7 +25,7 @@
   return value.replace(/\\/g, "\\\\").replace(/"/g, '\\"').replace(/\n/g, "\\n");
 }
 
-/** A count that only grows. */
+/** A counter that never decreases. */
 export class Counter {
   private value = 0;
 
@@ -38,7 +38,7 @@
   }
 }
 
-/** Latencies in milliseconds, kept in microseconds with three significant digits. */
+/** Histogram of latencies. Takes milliseconds and stores microseconds with three significant digits. */
 export class LatencyHistogram {
   /** Durations in microseconds. */
   readonly histogram: Histogram = createHistogram();
@@ -64,7 +64,7 @@
     return this.sum;
   }
 
-  /** Duration in milliseconds below which `share` (0..1) of the durations lie; 0 when there is none. */
+  /** Duration in milliseconds below which `share` (0 to 1) of the durations lie; 0 if none is recorded. */
   getQuantile(share: number): number {
     if (this.histogram.totalCount === 0) return 0;
     return this.histogram.getValueAtPercentile(share * 100) / microsecondsPerMs;
@@ -88,7 +88,10 @@
   readonly series: Map<string, T>;
 }
 
-/** All metrics of one process. Names follow Prometheus: `gladewall_..._total`, `..._milliseconds`. */
+/**
+ * All metrics of one process. Names follow the conventions of Prometheus: `gladewall_..._total`,
+ * `..._milliseconds`.
+ */
 export class Metrics {
   private readonly counters = new Map<string, Family<Counter>>();
   private readonly gauges = new Map<string, Family<() => number>>();
@@ -100,22 +103,22 @@
     return new Metrics();
   }
 
-  /** Returns the counter of a name and labels, made at first use. */
+  /** Returns the counter for a name and labels, and creates it on first use. */
   getCounter(name: string, help: string, labels: Labels = {}): Counter {
     return getSeries(this.counters, name, help, labels, () => new Counter());
   }
 
-  /** Returns the latency histogram of a name and labels, made at first use. */
+  /** Returns the latency histogram for a name and labels, and creates it on first use. */
   getLatencyHistogram(name: string, help: string, labels: Labels = {}): LatencyHistogram {
     return getSeries(this.latencies, name, help, labels, () => new LatencyHistogram());
   }
 
-  /** Registers a value that is read when the page is. */
+  /** Registers a gauge whose value is read each time the metrics are exported. */
   registerGauge(name: string, help: string, read: () => number, labels: Labels = {}): void {
     getSeries(this.gauges, name, help, labels, () => read);
   }
 
-  /** Returns the page in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   format(): string {
     const lines: string[] = [];
     for (const [name, family] of this.counters) {
--- a/packages/kernel/src/registry.ts
+++ b/packages/kernel/src/registry.ts
@@ -1,12 +1,12 @@
 /**
- * The plug-in registry: plug-ins register themselves by kind and name, and are found by name from the settings.
+ * Plug-in registry. Plug-ins register themselves by kind and name; the settings select them by name.
  * @module
  */
 import { Err, Ok, type Result } from "ts-results-es";
 import { Failure, FailureCode } from "./failures.js";
 import { type PluginKind, pluginKindNames } from "./types.js";
 
-/** A plug-in: a named maker of one outside system's interface. */
+/** A plug-in: a named factory for the interface to one external system. */
 export interface Plugin<Options, Instance> {
   readonly kind: PluginKind;
   readonly name: string;
@@ -17,19 +17,19 @@
 
 const pluginsByKind = new Map<PluginKind, Map<string, AnyPlugin>>();
 
-/** Registers a plug-in; modules call it when they are loaded. */
+/** Registers a plug-in, and replaces one of the same kind and name. Modules call it when they are loaded. */
 export function registerPlugin<Options, Instance>(plugin: Plugin<Options, Instance>): void {
   const named = pluginsByKind.get(plugin.kind) ?? new Map<string, AnyPlugin>();
   pluginsByKind.set(plugin.kind, named);
   named.set(plugin.name, plugin);
 }
 
-/** Returns the names registered for a kind, sorted. */
+/** Returns the registered names of a kind, sorted. */
 export function getPluginNames(kind: PluginKind): readonly string[] {
   return [...(pluginsByKind.get(kind)?.keys() ?? [])].sort();
 }
 
-/** Creates an instance by the plug-in of that name; fails with `PluginUnknown`. */
+/** Creates an instance with the plug-in of this name; fails with `PluginUnknown`. */
 export function createFromPlugin<Options, Instance>(
   kind: PluginKind,
   name: string,
--- a/packages/kernel/src/settings.ts
+++ b/packages/kernel/src/settings.ts
@@ -1,8 +1,9 @@
 /**
- * Reads settings: one INI file, then environment, then flags; each value checked against the schema.
+ * Reads settings from an INI file, the environment and command-line flags, each of which overrides the one before, and
+ * checks every value against a schema.
  *
- * The `ini` library parses values. It silently merges sections and keys that stand twice, so a scan of the lines
- * finds those first.
+ * The `ini` library parses the values. It silently merges duplicate sections and keys, so a scan of the lines detects
+ * those first.
  * @module
  */
 import { readFileSync } from "node:fs";
@@ -17,7 +18,7 @@
   SettingType,
 } from "./settingsSchema.js";
 
-/** Where settings come from. */
+/** Sources of settings. */
 export interface SettingsSource {
   /** Path of the INI file. */
   readonly file: string;
@@ -25,7 +26,7 @@
   readonly environment: Readonly<Record<string, string | undefined>>;
   /** `section.key=value` flags; they override the environment. */
   readonly overrides: readonly string[];
-  /** What earlier names of sections (`section`) and keys (`section.key`) are called now; those are refused. */
+  /** Current names by former name, for sections (`section`) and keys (`section.key`). Former names are refused. */
   readonly renamed?: ReadonlyMap<string, string>;
 }
 
@@ -41,7 +42,7 @@
 const millisecondsPerSecond = 1_000;
 const highestPort = 65_535;
 
-/** Reads and checks settings. Returns every mistake found, so that one run shows them all. */
+/** Reads and checks settings. Returns all errors found, so that one run shows them all. */
 export function readSettings<Schema extends SettingSchema>(
   schema: Schema,
   source: SettingsSource,
@@ -52,7 +53,7 @@
   return parseSettings(schema, text, source);
 }
 
-/** Checks settings already read as text; `source.file` is only named in failures. */
+/** Parses and checks settings given as text; `source.file` is only used in failures. */
 export function parseSettings<Schema extends SettingSchema>(
   schema: Schema,
   text: string,
@@ -291,7 +292,7 @@
   [SettingType.Secret]: "text (kept secret)",
 };
 
-/** Returns what a key allows, in words. */
+/** Describes the values that a key allows. */
 export function formatAllowed(key: SettingKey): string {
   const name = typeNames[key.type];
   if (key.choices) return `${name} ${key.choices.join(", ")}`;
@@ -299,7 +300,7 @@
   return `${name} from ${key.lowest} to ${key.highest}${key.unit === "" ? "" : ` ${key.unit}`}`;
 }
 
-/** Returns the reference of a schema as Markdown, one table a section. */
+/** Returns the reference of a schema as Markdown, with one table per section. */
 export function formatSettingsReference(schema: SettingSchema): string {
   const lines: string[] = [];
   for (const [section, keys] of Object.entries(schema)) {
@@ -322,7 +323,7 @@
   return `${lines.join("\n")}`;
 }
 
-/** Returns the settings that differ from their defaults, by `section.key`, with secrets masked; for a log line. */
+/** Returns the settings that differ from their defaults, by `section.key`, for a log line. Secrets are masked. */
 export function listChangedSettings<Schema extends SettingSchema>(
   schema: Schema,
   settings: SettingsOf<Schema>,
@@ -342,7 +343,7 @@
   return key.type === SettingType.Secret && value !== "" ? secretMask : String(value);
 }
 
-/** Returns settings as INI text with secrets masked. */
+/** Formats settings as INI text. Secrets are masked. */
 export function formatSettings<Schema extends SettingSchema>(
   schema: Schema,
   settings: SettingsOf<Schema>,
--- a/packages/kernel/src/settingsSchema.ts
+++ b/packages/kernel/src/settingsSchema.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes that describe settings: every key with its type, unit, range and default.
+ * Schema of settings: describes each key with its type, unit, range and default, and derives the types of the values.
  * @module
  */
 
@@ -8,31 +8,31 @@
   Text = 1,
   Integer = 2,
   Flag = 3,
-  /** One of a list of words. */
+  /** One of a list of values. */
   Choice = 4,
-  /** `host:port`, by IP number or name. */
+  /** `host:port`, where the host is an IP address or a name. */
   Address = 5,
   /** Several addresses, separated by commas. */
   AddressList = 6,
   /** Text that is never printed. */
   Secret = 7,
   Decimal = 8,
-  /** Milliseconds; written as a number of them, or with a unit: `1500`, `1500ms`, `1.5s`. */
+  /** Milliseconds, written as a plain number or with a unit: `1500`, `1500ms`, `1.5s`. */
   Duration = 9,
 }
 
 /** One key of a section. */
 export interface SettingKey {
   readonly type: SettingType;
-  /** Unit for people: `ms`, `bytes`, `requests`; empty when it has none. */
+  /** Unit for display, such as `ms`, `bytes` or `requests`; empty if there is none. */
   readonly unit: string;
-  /** Default as it would stand in the file; undefined makes the key required. */
+  /** Default value as it would be written in the file; the key is required if undefined. */
   readonly fallback: string | undefined;
   readonly help: string;
   readonly lowest?: number;
   readonly highest?: number;
   readonly choices?: readonly string[];
-  /** Whether a re-read puts a new value in force without a restart. */
+  /** Whether a new value takes effect on a reload, without a restart. */
   readonly isReloadable?: boolean;
 }
 
@@ -81,7 +81,7 @@
   return { type: SettingType.Decimal, unit, fallback: String(fallback), lowest, highest, help };
 }
 
-/** Creates a duration key; fallback and range are in milliseconds, and so is its value, a whole number. */
+/** Creates a duration key. The fallback, the range and the value are whole numbers of milliseconds. */
 export function createDuration(
   fallback: number,
   range: readonly [lowest: number, highest: number],
@@ -91,22 +91,22 @@
   return { type: SettingType.Duration, unit: "ms", fallback: String(fallback), lowest, highest, help };
 }
 
-/** Creates a text key; without a fallback it is required. */
+/** Creates a text key, which is required if it has no fallback. */
 export function createText(help: string, fallback?: string): SettingKey & { type: SettingType.Text } {
   return { type: SettingType.Text, unit: "", fallback, help };
 }
 
-/** Creates an address key; without a fallback it is required. */
+/** Creates an address key, which is required if it has no fallback. */
 export function createAddress(help: string, fallback?: string): SettingKey & { type: SettingType.Address } {
   return { type: SettingType.Address, unit: "host:port", fallback, help };
 }
 
-/** Creates a key of several addresses; empty by default. */
+/** Creates a key for a list of addresses, which is empty by default. */
 export function createAddressList(help: string): SettingKey & { type: SettingType.AddressList } {
   return { type: SettingType.AddressList, unit: "host:port, …", fallback: "", help };
 }
 
-/** Creates a secret key; without a fallback it is required. */
+/** Creates a secret key, which is required if it has no fallback. */
 export function createSecret(help: string, fallback?: string): SettingKey & { type: SettingType.Secret } {
   return { type: SettingType.Secret, unit: "", fallback, help };
 }
@@ -116,7 +116,7 @@
   return { type: SettingType.Flag, unit: "", fallback: String(fallback), help };
 }
 
-/** Creates a key that takes one of some words. */
+/** Creates a key that takes one of the given values. */
 export function createChoice(
   choices: readonly string[],
   fallback: string,
@@ -125,7 +125,7 @@
   return { type: SettingType.Choice, unit: "", fallback, choices, help };
 }
 
-/** Marks a key as one that a re-read puts in force. */
+/** Marks a key as one whose new value takes effect on a reload. */
 export function markReloadable<Key extends SettingKey>(key: Key): Key {
   return { ...key, isReloadable: true };
 }
--- a/packages/kernel/src/tokenBucket.ts
+++ b/packages/kernel/src/tokenBucket.ts
@@ -1,12 +1,12 @@
 /**
- * Token bucket: a rate that lets a second's worth through at once.
+ * Token bucket rate limiter whose burst is the amount of one second.
  * @module
  */
 import type { Clock } from "./clock.js";
 
 const millisecondsPerSecond = 1000;
 
-/** A rate with a burst of one second's worth, at least one unit. */
+/** Token bucket with a burst of one second at its rate, at least one unit. */
 export class TokenBucket {
   private level: number;
   private filledAt: number;
@@ -19,19 +19,22 @@
     this.filledAt = clock.getTime();
   }
 
-  /** Creates a full bucket; `rate` in units a second. */
+  /** Creates a full bucket; `rate` is in units per second. */
   static create(clock: Clock, rate: number): TokenBucket {
     return new TokenBucket(clock, rate);
   }
 
-  /** Changes the rate; what is already in the bucket stays, up to the new burst. */
+  /** Changes the rate. The units in the bucket are kept, up to the new burst. */
   setRate(rate: number): void {
     this.fill();
     this.rate = rate;
     this.level = Math.min(this.level, this.burst);
   }
 
-  /** Takes units if they are there; an amount above the burst waits for a full bucket and leaves a debt. */
+  /**
+   * Takes units if enough are available, and returns whether it did. An amount above the burst is taken from a
+   * full bucket and leaves the level negative, so that later calls wait for the rest.
+   */
   tryTake(amount: number): boolean {
     if (this.rate <= 0) return false;
     this.fill();
@@ -40,12 +43,12 @@
     return true;
   }
 
-  /** Gives back units that were taken but not used. */
+  /** Returns units to the bucket that were taken and not used. */
   refund(amount: number): void {
     this.level = Math.min(this.burst, this.level + amount);
   }
 
-  /** Milliseconds until `amount` can be taken; undefined where it never can. */
+  /** Returns the milliseconds until `amount` can be taken; undefined if it never can. */
   getWaitMs(amount: number): number | undefined {
     if (this.rate <= 0) return undefined;
     this.fill();
--- a/packages/kernel/src/types.ts
+++ b/packages/kernel/src/types.ts
@@ -1,26 +1,26 @@
 /**
- * Data shapes shared by every package: outcomes, request classes, and the plug-in contract.
+ * Types shared by all packages: outcomes of requests, kinds of plug-in, and objects that must be closed.
  * @module
  */
 
-/** What a caller may conclude about a request that got no whole answer. */
+/** What is known about the execution of a request that got no complete response. */
 export enum Outcome {
-  /** No byte of the request reached an endpoint, or the endpoint's own word says it never started. */
+  /** No byte of the request reached an endpoint, or the endpoint reported that it never started the request. */
   NotRun = 1,
-  /** It may or may not have run. */
+  /** The request may or may not have run. */
   Unknown = 2,
-  /** It ran. */
+  /** The request ran. */
   Ran = 3,
 }
 
-/** Names of outcomes as callers read them in `Gladewall-Outcome`. */
+/** Names of the outcomes in the header `Gladewall-Outcome`. */
 export const outcomeNames: Readonly<Record<Outcome, string>> = {
   [Outcome.NotRun]: "not-run",
   [Outcome.Unknown]: "unknown",
   [Outcome.Ran]: "ran",
 };
 
-/** Kinds of plug-in; each kind names one outside system. */
+/** Kinds of plug-in, one for each external system. */
 export enum PluginKind {
   KeyValue = 1,
   InstanceList = 2,
@@ -30,7 +30,7 @@
   Platform = 6,
 }
 
-/** Names of plug-in kinds, as settings and messages give them. */
+/** Names of the plug-in kinds in settings and messages. */
 export const pluginKindNames: Readonly<Record<PluginKind, string>> = {
   [PluginKind.KeyValue]: "key-value",
   [PluginKind.InstanceList]: "instance-list",
@@ -40,8 +40,8 @@
   [PluginKind.Platform]: "platform",
 };
 
-/** Something that holds sockets or timers and must be closed once. */
+/** An object that owns sockets or timers and must be closed once. */
 export interface Closeable {
-  /** Ends every task of the object; resolves when none is left. */
+  /** Stops all tasks of the object; resolves when none is running. */
   close(): Promise<void>;
 }
--- a/packages/kernel/test/daemonLogs.test.ts
+++ b/packages/kernel/test/daemonLogs.test.ts
@@ -2,12 +2,12 @@
 import t from "tap";
 import { DaemonLogs, LineWriter, LogRateLimiter, LogLevel, VirtualClock } from "@gladewall/kernel";
 
-/** A stream whose reader takes nothing. */
+/** Creates a stream whose reader reads nothing. */
 function createStalledStream(): Writable {
   return new Writable({ write: () => undefined });
 }
 
-t.test("a flood of one event is thinned, counted and said, and hides no other", async (t) => {
+t.test("a flood of one event is limited, counted and reported, and does not hide other events", async (t) => {
   const clock = VirtualClock.create();
   const stream = new PassThrough();
   const logs = DaemonLogs.create(clock, LogLevel.Info, { instance: "n" }, LineWriter.create(stream));
@@ -21,7 +21,7 @@
   await logs.close();
 });
 
-t.test("an open gate thins nothing, and a line below the level costs no allowance", async (t) => {
+t.test("an unlimited limiter admits every line, and a line below the level uses no allowance", async (t) => {
   const clock = VirtualClock.create();
   const open = LogRateLimiter.createUnlimited();
   t.ok(Array.from({ length: 500 }, () => open.tryAcquire("e")).every(Boolean));
@@ -33,7 +33,7 @@
   await logs.close();
 });
 
-t.test("a reader that takes nothing holds up nobody and grows no memory", async (t) => {
+t.test("a reader that reads nothing blocks no writer, and the buffer stays bounded", async (t) => {
   const stream = createStalledStream();
   const writer = LineWriter.create(stream, 1_000);
   for (let count = 0; count < 10_000; count++) writer.write("x".repeat(99));
@@ -43,7 +43,7 @@
   await writer.flush(1);
 });
 
-t.test("a reader that has gone ends nothing", async (t) => {
+t.test("a closed reader does not end the process", async (t) => {
   const stream = new Writable({ write: (_chunk, _encoding, done) => done(new Error("EPIPE")) });
   const writer = LineWriter.create(stream);
   writer.write("one");
--- a/packages/kernel/test/kernel.test.ts
+++ b/packages/kernel/test/kernel.test.ts
@@ -18,12 +18,12 @@
 } from "../src/index.js";
 import { addEncodedLatency, encodeLatency } from "../src/latencyCodec.js";
 
-t.test("a logfmt line quotes what could break it and keeps control bytes out", async (t) => {
+t.test("a logfmt line quotes special characters and escapes control characters", async (t) => {
   t.equal(formatLine({ a: 1, b: "x y", c: 'q"', d: undefined, e: "a=b" }), 'a=1 b="x y" c="q\\"" e="a=b"');
   t.equal(formatLine({ a: "line\nbreak\u001b[31m\u009b" }), 'a="line\\nbreak\\u001b[31m\\u009b"');
 });
 
-t.test("a logger writes one line an event, at its level", async (t) => {
+t.test("a logger writes one line per event at or above its level", async (t) => {
   const lines: string[] = [];
   const logger = Logger.create(LogLevel.Info, { entry: "e" }, (line) => lines.push(line));
   logger.debug("hidden");
@@ -32,7 +32,7 @@
   t.match(lines[0], /^ts=\S+ level=warn event=shown entry=e request=r n=2$/);
 });
 
-t.test("every failure has a row, and its text has no place unfilled when its values are given", async (t) => {
+t.test("every failure code has a definition, and its text is filled with the given values", async (t) => {
   for (const code of Object.values(FailureCode).filter((value) => typeof value === "number")) {
     t.ok(failureDefinitions[code].status >= 400 && failureDefinitions[code].status < 600, FailureCode[code]);
   }
@@ -50,7 +50,7 @@
   t.matchSnapshot(metrics.format());
 });
 
-t.test("latencies of several entries add up", async (t) => {
+t.test("latency histograms of several entries can be added up", async (t) => {
   const [left, right] = [new LatencyHistogram(), new LatencyHistogram()];
   for (let value = 1; value <= 50; value++) left.record(value);
   for (let value = 51; value <= 100; value++) right.record(value);
@@ -70,7 +70,7 @@
   t.equal(unknown.text, "no weight-store plug-in is named triple; known: double");
 });
 
-t.test("the virtual clock fires timers in order and ends waits that are aborted", async (t) => {
+t.test("the virtual clock fires timers in order, and an aborted wait ends early", async (t) => {
   const clock = VirtualClock.create();
   const fired: string[] = [];
   clock.startTimer(20, () => fired.push("b"));
@@ -86,7 +86,7 @@
   t.equal(clock.getTime(), 25);
 });
 
-t.test("rendezvous hashing moves only what the lost candidate had", async (t) => {
+t.test("removing a candidate from rendezvous hashing moves only the keys of that candidate", async (t) => {
   const names = ["a", "b", "c", "d", "e"];
   let moved = 0;
   for (let key = 0; key < 500; key++) {
--- a/packages/kernel/test/settings.test.ts
+++ b/packages/kernel/test/settings.test.ts
@@ -36,7 +36,7 @@
   t.equal(all.unwrap().front.width, 7);
 });
 
-t.test("each mistake names file, section, key and what is allowed", async (t) => {
+t.test("each error names the file, the section, the key and the allowed values", async (t) => {
   const cases: readonly [string, FailureCode, string][] = [
     [
       "[front]\nwidth = x\n",
@@ -94,7 +94,7 @@
   }
 });
 
-t.test("a duration is a number of milliseconds, whole or not, or has a unit", async (t) => {
+t.test("a duration is a number of milliseconds or has a unit, and may have decimals", async (t) => {
   const timed = { calls: { timeout: createDuration(1_500, [100, 60_000], "Timeout.") } };
   const read = (value: string) =>
     parseSettings(timed, `[calls]\ntimeout = ${value}\n`, { file: "f.ini", environment: {}, overrides: [] });
@@ -113,13 +113,13 @@
   t.match(late?.text, "[calls] timeout is out of range; allowed: a duration from 100 to 60000 ms");
 });
 
-t.test("a missing required key and a missing file are told", async (t) => {
+t.test("a missing required key and a missing file are reported", async (t) => {
   t.equal(parse("[front]\n").unwrapErr()[0]?.code, FailureCode.SettingsMissingKey);
   const missing = readSettings(schema, { file: "/nonexistent/f.ini", environment: {}, overrides: [] });
   t.equal(missing.unwrapErr()[0]?.code, FailureCode.SettingsFileMissing);
 });
 
-t.test("all mistakes are told at once", async (t) => {
+t.test("all errors are reported at once", async (t) => {
   t.equal(parse("[front]\nwidth = 0\nmode = odd\n[x]\n").unwrapErr().length, 4);
 });
 
@@ -129,16 +129,16 @@
   t.match(printed, "secret = (secret)");
 });
 
-t.test("what differs from the defaults is listed for the log, secrets masked", async (t) => {
+t.test("settings that differ from the defaults are listed for the log, with secrets masked", async (t) => {
   const settings = parse(`${good}[front]\nwidth = 5\n`).unwrap();
   t.same(listChangedSettings(schema, settings), { "front.width": "5", "peers.secret": "(secret)" });
 });
 
-t.test("names of Object's own are not taken for keys", async (t) => {
+t.test("property names inherited from Object are not accepted as keys", async (t) => {
   t.equal(parse(`${good}[front]\nconstructor = 1\n`).unwrapErr()[0]?.code, FailureCode.SettingsUnknownKey);
 });
 
-t.test("earlier names of sections and keys are refused with what they are called now", async (t) => {
+t.test("former names of sections and keys are refused with their current names", async (t) => {
   const renamed = new Map([
     ["back", "front"],
     ["front.size", "front.width"],
