--- a/deploy/gladewalld.ts
+++ b/deploy/gladewalld.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon as it runs on the operators' platform: the gateway with the platform's plug-in.
+ * Entry point of the daemon on the operators' platform: runs the gateway with the platform's plug-in.
  * @module
  */
 import "@gladewall/platform";
