--- a/packages/coordination/src/peerConnection.ts
+++ b/packages/coordination/src/peerConnection.ts
@@ -74,9 +74,7 @@
     this.lastReceivedAt = options.clock.getTime();
   }
 
-  /**
-   * Runs the handshake. Fails with `PeerUnauthenticated` or `PeerVersion`; the socket is then destroyed.
-   */
+  /** Runs the handshake. Fails with `PeerUnauthenticated` or `PeerVersion`; the socket is then destroyed. */
   static async create(
     socket: Socket,
     isDialed: boolean,
--- a/packages/coordination/src/serviceBudget.ts
+++ b/packages/coordination/src/serviceBudget.ts
@@ -45,9 +45,9 @@
     this.bucket = TokenBucket.create(clock, rate);
   }
 
-  /** `rate`: calls per second; `patience`: maximum milliseconds that a call waits. */
-  static create(clock: Clock, rate: number, patience: number, metrics: Metrics): ServiceBudget {
-    return new ServiceBudget(clock, rate, patience, metrics);
+  /** `rate`: calls per second; `maxWaitMs`: maximum milliseconds that a call waits. */
+  static create(clock: Clock, rate: number, maxWaitMs: number, metrics: Metrics): ServiceBudget {
+    return new ServiceBudget(clock, rate, maxWaitMs, metrics);
   }
 
   /** Returns the service with each call subject to the budget, as a call of one kind. */
--- a/packages/policy/src/endpointLoadEstimate.ts
+++ b/packages/policy/src/endpointLoadEstimate.ts
@@ -112,7 +112,7 @@
   }
 
   /**
-   * Records a failure and starts a backoff that doubles with each consecutive failure, up to `highest`
+   * Records a failure and starts a backoff that doubles with each consecutive failure, up to `maxBackoffMs`
    * milliseconds.
    */
   recordFailure(initialBackoffMs: number, maxBackoffMs: number): void {
--- a/packages/policy/src/prefillRate.ts
+++ b/packages/policy/src/prefillRate.ts
@@ -40,8 +40,8 @@
   const slopes = getSlopes(observations);
   if (slopes.length < minPairs) return undefined;
   const slope = getMedian(slopes);
-  const { min: least, max: most } = prefillRateBounds;
-  return slope <= 1 / most ? most : Math.max(least, 1 / slope);
+  const { min, max } = prefillRateBounds;
+  return slope <= 1 / max ? max : Math.max(min, 1 / slope);
 }
 
 /** Returns the median of a non-empty list; for an even length, the mean of the two middle values. */
