--- a/packages/coordination/src/membershipView.ts
+++ b/packages/coordination/src/membershipView.ts
@@ -89,8 +89,8 @@
   /** Returns the instances of a role that accept new work. */
   getLive(role: InstanceRole): readonly InstanceRecord[] {
     const live: InstanceRecord[] = [];
-    for (const view of this.instances.values()) {
-      if (view.record.role === role && isUsable(view)) live.push(view.record);
+    for (const status of this.instances.values()) {
+      if (status.record.role === role && isUsable(status)) live.push(status.record);
     }
     return live;
   }
@@ -118,11 +118,11 @@
     for (const record of records) {
       listed.add(record.id);
       this.merge({ ...record, source: UpdateSource.List, record });
-      const view = this.instances.get(record.id);
-      if (view && view.missedLists > 0) this.setStatus({ ...view, missedLists: 0 });
+      const status = this.instances.get(record.id);
+      if (status && status.missedLists > 0) this.setStatus({ ...status, missedLists: 0 });
     }
-    for (const view of this.instances.values()) {
-      if (!listed.has(view.record.id)) this.recordMissedList(view);
+    for (const status of this.instances.values()) {
+      if (!listed.has(status.record.id)) this.recordMissedList(status);
     }
     this.removeExpired();
   }
@@ -153,18 +153,18 @@
     return false;
   }
 
-  private recordMissedList(view: InstanceStatus): void {
-    const missedLists = view.missedLists + 1;
-    const next = { ...view, missedLists };
+  private recordMissedList(status: InstanceStatus): void {
+    const missedLists = status.missedLists + 1;
+    const next = { ...status, missedLists };
     if (missedLists === missedListsUntilUnusable) this.setStatus(next);
-    else this.instances.set(view.record.id, next);
+    else this.instances.set(status.record.id, next);
   }
 
-  private setStatus(view: InstanceStatus): void {
-    this.instances.set(view.record.id, view);
-    if (view.state === InstanceState.Gone) this.goneAt.set(view.record.id, this.clock.getTime());
-    else this.goneAt.delete(view.record.id);
-    for (const listener of this.listeners) listener(view);
+  private setStatus(status: InstanceStatus): void {
+    this.instances.set(status.record.id, status);
+    if (status.state === InstanceState.Gone) this.goneAt.set(status.record.id, this.clock.getTime());
+    else this.goneAt.delete(status.record.id);
+    for (const listener of this.listeners) listener(status);
   }
 
   private getReclaimAt(update: InstanceUpdate): number | undefined {
@@ -186,6 +186,6 @@
 }
 
 /** Returns whether an instance accepts new work. */
-export function isUsable(view: InstanceStatus): boolean {
-  return view.state === InstanceState.Live && view.missedLists < missedListsUntilUnusable;
+export function isUsable(status: InstanceStatus): boolean {
+  return status.state === InstanceState.Live && status.missedLists < missedListsUntilUnusable;
 }
--- a/packages/coordination/src/peerLinks.ts
+++ b/packages/coordination/src/peerLinks.ts
@@ -121,12 +121,12 @@
     for (const address of addresses) {
       if (address.name !== this.options.own.name) this.known.set(address.name, address);
     }
-    const persistent = new Set(named ?? this.selectPersistent());
+    const wanted = new Set(named ?? this.selectPersistent());
     for (const [name, peer] of this.peers) {
-      const isDropped = named !== undefined && !persistent.has(name);
+      const isDropped = named !== undefined && !wanted.has(name);
       if (isDropped || !isSameAddress(this.known.get(name), peer.address)) this.dropPeer(name);
     }
-    for (const name of persistent) this.ensurePeer(name);
+    for (const name of wanted) this.ensurePeer(name);
   }
 
   /** Returns the names of the linked peers. */
--- a/packages/coordination/src/sharedLimits.ts
+++ b/packages/coordination/src/sharedLimits.ts
@@ -121,11 +121,11 @@
     const table = this.getTable(name, now);
     removeExpired(table, now);
     const reachablePart = this.getReachablePart(limit, live);
-    const isNew = now - table.startedAt < this.duration;
+    const isRenewingOnly = now - table.startedAt < this.duration;
     // The allocations of the previous allocator are not known here, so an entry without a share uses the equal split.
-    if (isNew && demand.held.every((amount) => amount === 0)) return undefined;
+    if (isRenewingOnly && demand.held.every((amount) => amount === 0)) return undefined;
     const amounts = reachablePart.map((amount, dimension) =>
-      isNew
+      isRenewingOnly
         ? Math.min(demand.held[dimension] ?? 0, this.getFreeAmount(table, amount, dimension, requester))
         : this.computeShare(table, amount, dimension, requester, demand, live.length),
     );
@@ -153,7 +153,7 @@
    */
   private computeShare(
     table: AllocationTable,
-    pool: number,
+    available: number,
     dimension: number,
     requester: string,
     demand: ShareDemand,
@@ -165,17 +165,23 @@
     }
     const wanted = demand.wanted[dimension] ?? 0;
     const total = others + wanted;
-    const fair = total <= pool ? wanted + (pool - total) / (liveCount + 1) : (pool * wanted) / total;
-    const free = this.getFreeAmount(table, pool, dimension, requester);
+    const fair =
+      total <= available ? wanted + (available - total) / (liveCount + 1) : (available * wanted) / total;
+    const free = this.getFreeAmount(table, available, dimension, requester);
     return Math.max(0, Math.min(this.roundAmount(fair, dimension), free));
   }
 
-  private getFreeAmount(table: AllocationTable, pool: number, dimension: number, requester: string): number {
+  private getFreeAmount(
+    table: AllocationTable,
+    available: number,
+    dimension: number,
+    requester: string,
+  ): number {
     let allocated = 0;
     for (const [name, allocation] of table.allocations) {
       if (name !== requester) allocated += allocation.amounts[dimension] ?? 0;
     }
-    return Math.max(0, pool - allocated);
+    return Math.max(0, available - allocated);
   }
 
   private roundAmount(amount: number, dimension: number): number {
--- a/packages/policy/src/fairQueue.ts
+++ b/packages/policy/src/fairQueue.ts
@@ -85,7 +85,7 @@
   /** Removes an item without serving it, for example because its caller disconnected; false if it is not queued. */
   cancel(item: Item): boolean {
     const level = this.getLevel(item.priority);
-    const index = level.queued.findIndex((waiting) => waiting.item === item);
+    const index = level.queued.findIndex((queued) => queued.item === item);
     if (index < 0) return false;
     level.queued.splice(index, 1);
     this.count -= 1;
@@ -97,7 +97,7 @@
     let work = 0;
     for (const [other, level] of this.levels) {
       if (other < priority) continue;
-      for (const waiting of level.queued) work += waiting.item.cost;
+      for (const queued of level.queued) work += queued.item.cost;
     }
     return work;
   }
@@ -109,9 +109,9 @@
     let found: { level: PriorityLevel<Item>; index: number } | undefined;
     let oldest = limit;
     for (const level of this.levels.values()) {
-      level.queued.forEach((waiting, index) => {
-        if (waiting.enqueuedAt > oldest || !isEligible(waiting.item)) return;
-        oldest = waiting.enqueuedAt;
+      level.queued.forEach((queued, index) => {
+        if (queued.enqueuedAt > oldest || !isEligible(queued.item)) return;
+        oldest = queued.enqueuedAt;
         found = { level, index };
       });
     }
@@ -119,12 +119,12 @@
   }
 
   private remove(level: PriorityLevel<Item>, index: number): Item | undefined {
-    const [waiting] = level.queued.splice(index, 1);
-    if (!waiting) return undefined;
+    const [queued] = level.queued.splice(index, 1);
+    if (!queued) return undefined;
     this.count -= 1;
-    level.virtualTime = Math.max(level.virtualTime, waiting.finishTag);
+    level.virtualTime = Math.max(level.virtualTime, queued.finishTag);
     if (level.queued.length === 0) level.finishTagByFlow.clear();
-    return waiting.item;
+    return queued.item;
   }
 
   private getLevel(priority: number): PriorityLevel<Item> {
@@ -141,9 +141,9 @@
 ): number {
   let best = -1;
   let lowest = Infinity;
-  level.queued.forEach((waiting, index) => {
-    if (waiting.finishTag >= lowest || !isEligible(waiting.item)) return;
-    lowest = waiting.finishTag;
+  level.queued.forEach((queued, index) => {
+    if (queued.finishTag >= lowest || !isEligible(queued.item)) return;
+    lowest = queued.finishTag;
     best = index;
   });
   return best;
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -73,9 +73,13 @@
     return Err(Failure.create(FailureCode.NoEndpoint, { service: request.service }));
   const cached = getCachedTokens(request, candidates, prefixes, options);
   const best: ScoredCandidate[] = [];
-  for (const load of candidates) {
-    const cachedTokens = cached.get(load.record.id) ?? 0;
-    insertByScore(best, { load, score: scoreEndpoint(request, load, cachedTokens, options), cachedTokens });
+  for (const candidate of candidates) {
+    const cachedTokens = cached.get(candidate.record.id) ?? 0;
+    insertByScore(best, {
+      load: candidate,
+      score: scoreEndpoint(request, candidate, cachedTokens, options),
+      cachedTokens,
+    });
   }
   const [first, ...rest] = best;
   if (!first) return Err(Failure.create(FailureCode.NoEndpoint, { service: request.service }));
--- a/packages/policy/src/prefillRate.ts
+++ b/packages/policy/src/prefillRate.ts
@@ -58,11 +58,11 @@
  */
 function getSlopes(observations: readonly PrefillObservation[]): readonly number[] {
   const slopes: number[] = [];
-  for (const [index, one] of observations.entries()) {
-    for (const other of observations.slice(index + 1)) {
-      const difference = other.tokens - one.tokens;
+  for (const [index, left] of observations.entries()) {
+    for (const right of observations.slice(index + 1)) {
+      const difference = right.tokens - left.tokens;
       if (Math.abs(difference) < minTokenDifference) continue;
-      slopes.push((other.elapsedMs - one.elapsedMs) / difference);
+      slopes.push((right.elapsedMs - left.elapsedMs) / difference);
     }
   }
   return slopes;
--- a/packages/policy/src/prefixes.ts
+++ b/packages/policy/src/prefixes.ts
@@ -42,13 +42,13 @@
 
   /** Returns, for each endpoint, how many leading blocks it probably has in its cache. */
   countCachedBlocks(blocks: readonly number[]): Map<string, number> {
-    const held = new Map<string, number>();
+    const cachedBlocks = new Map<string, number>();
     blocks.forEach((block, index) => {
       for (const endpoint of this.blocks.get(block) ?? []) {
-        if ((held.get(endpoint) ?? 0) === index) held.set(endpoint, index + 1);
+        if ((cachedBlocks.get(endpoint) ?? 0) === index) cachedBlocks.set(endpoint, index + 1);
       }
     });
-    return held;
+    return cachedBlocks;
   }
 
   /** Number of blocks in the index. */
