--- a/packages/coordination/src/claimStore.ts
+++ b/packages/coordination/src/claimStore.ts
@@ -32,7 +32,7 @@
   readonly run: string;
 }
 
-/** Result of a claim attempt. */
+/** Result of a claim attempt: whether it was won, and the claim that holds the key. */
 export interface ClaimOutcome {
   readonly isWon: boolean;
   /** The claim that holds the key. */
@@ -45,6 +45,7 @@
   readonly clock: Clock;
   /** Prefix of the keys in the key-value service. */
   readonly prefix: string;
+  /** Number of shards; must be the same in all processes, because it decides where a key is stored. */
   readonly shards: number;
   /** Minimum milliseconds between two swaps of a shard. */
   readonly minSwapIntervalMs: number;
--- a/packages/coordination/src/leaseHolder.ts
+++ b/packages/coordination/src/leaseHolder.ts
@@ -16,7 +16,9 @@
   readonly service: LeaseService;
   readonly clock: Clock;
   readonly logger: Logger;
+  /** Name on which the lease is held. */
   readonly name: string;
+  /** Name under which this process acquires the lease. */
   readonly holder: string;
   /** Milliseconds after which a lease expires unless it is renewed. */
   readonly ttlMs: number;
--- a/packages/coordination/src/membershipView.ts
+++ b/packages/coordination/src/membershipView.ts
@@ -53,7 +53,9 @@
   readonly receivedAt: number;
 }
 
+/** Consecutive missed lists after which an instance gets no new work. */
 const missedListsUntilUnusable = 3;
+/** Milliseconds after which instances that are gone, and updates without a record, are removed. */
 const goneRetentionMs = 600_000;
 
 /** Merges updates and lists into the state of each instance, and notifies listeners of changes. */
--- a/packages/coordination/src/peerLinks.ts
+++ b/packages/coordination/src/peerLinks.ts
@@ -183,6 +183,7 @@
     }
   }
 
+  /** Stops listening and closes all links; resolves when the tasks have ended. */
   async close(): Promise<void> {
     this.stop.abort();
     for (const timer of this.retireTimers) timer.cancel();
--- a/packages/coordination/src/versionedDocument.ts
+++ b/packages/coordination/src/versionedDocument.ts
@@ -23,6 +23,7 @@
 /** Options of a document follower. */
 export interface DocumentFollowerOptions<Document> {
   readonly service: KeyValueService;
+  /** Key of the document in the key-value service. */
   readonly key: string;
   readonly codec: DocumentCodec<Document>;
   readonly clock: Clock;
--- a/packages/coordination/test/claimStore.test.ts
+++ b/packages/coordination/test/claimStore.test.ts
@@ -164,7 +164,7 @@
 );
 
 t.test("no key is won twice, whichever calls fail (checked against a map)", async (t) => {
-  const attempt = fc.record({ ledger: fc.nat(2), key: fc.nat(4), pause: fc.nat(60) });
+  const attempt = fc.record({ storeIndex: fc.nat(2), key: fc.nat(4), pause: fc.nat(60) });
   const scenario = fc.record({
     fates: fc.array(fates, { minLength: 1, maxLength: 60 }),
     attempts: fc.array(attempt, { minLength: 1, maxLength: 25 }),
@@ -177,9 +177,9 @@
       service.nextOutcome = () => fateScript[call++ % fateScript.length] ?? CallOutcome.Answered;
       const stores = [0, 1, 2].map(() => createStore({ timeoutMs: 1_500, maxActiveBytes }));
       const running: Promise<Outcome>[] = [];
-      for (const [index, { ledger, key, pause }] of attempts.entries()) {
-        const claim = createClaim(`k${key}`, `w${ledger}`, `request-${index}`);
-        running.push(stores[ledger]!.claim(claim));
+      for (const [index, { storeIndex, key, pause }] of attempts.entries()) {
+        const claim = createClaim(`k${key}`, `w${storeIndex}`, `request-${index}`);
+        running.push(stores[storeIndex]!.claim(claim));
         await clock.advance(pause);
       }
       const outcomes = await settleAll(clock, running);
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -68,6 +68,7 @@
     return new BootClock(getTime, getWallTime);
   }
 
+  /** Returns the time in milliseconds from an arbitrary start. */
   get(): number {
     const time = this.getTime();
     const offset = this.getWallTime() - time;
--- a/packages/kernel/src/commandLine.ts
+++ b/packages/kernel/src/commandLine.ts
@@ -27,10 +27,10 @@
 
 /** Parses the command line; ends the process with `InvalidSettings` if it is invalid. */
 export async function parseArguments(
-  words: readonly string[],
+  args: readonly string[],
   settingsFile: string = defaultSettingsFile,
 ): Promise<DaemonArguments> {
-  const parsed = await yargs([...words])
+  const parsed = await yargs([...args])
     .scriptName("gladewalld")
     .usage("$0 [options]\n\nRuns one entry of gladewall.")
     .option("settings", { type: "string", default: settingsFile, describe: "INI file with the settings" })
--- a/packages/policy/src/fairQueue.ts
+++ b/packages/policy/src/fairQueue.ts
@@ -13,7 +13,7 @@
   readonly weight: number;
   /** 0 (lowest) to 9 (highest). */
   readonly priority: number;
-  /** Tokens of work. */
+  /** Cost of serving the request, in tokens of work. */
   readonly cost: number;
 }
 
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -29,6 +29,7 @@
 export interface PlacementRequest {
   readonly service: string;
   readonly hall: string;
+  /** Prompt tokens. */
   readonly tokens: number;
   /** Chained hashes of the prompt's blocks; empty for web services. */
   readonly blocks: readonly number[];
