--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -65,7 +65,7 @@
 }
 
 /** A configuration that was looked at. */
-interface TakenConfiguration {
+interface ExaminedConfiguration {
   readonly item: StoreItem;
   readonly position: StorePosition;
   /** Undefined where it can't be read. */
@@ -73,31 +73,31 @@
 }
 
 /** Reads that may be under way at once. */
-const mostReads = 4;
+const maxConcurrentReads = 4;
 /** Time between two looks at the age of the proof while others tell it. */
-const fedIntervalMs = 500;
+const viaReaderIntervalMs = 500;
 /** Share of a proof's lifetime after which peers are asked for theirs. */
-const askPeersShare = 0.45;
+const askPeersAgeShare = 0.45;
 /** A version that operators have not written again after this time of an era is not waited for any longer. */
-const longestRewriteMs = 5_000;
+const maxRewriteWaitMs = 5_000;
 
 /** Follows the operators' configuration. */
 export class ConfigurationFollower implements Closeable {
   private table: RouteTable | undefined;
   /** Boot time at which the read was sent that the proof rests on. */
-  private provenAt: number | undefined;
-  private readsUnderWay = 0;
+  private proofSentAt: number | undefined;
+  private pendingReads = 0;
   /** Newest configuration that was put in force or refused, for peers that ask. */
-  private taken: TakenConfiguration | undefined;
+  private taken: ExaminedConfiguration | undefined;
   /** Last one that was looked at, whatever became of it. */
-  private seen: TakenConfiguration | undefined;
+  private lastExamined: ExaminedConfiguration | undefined;
   /** Era in which a read was last said to prove nothing. */
   private withheldEra: number | undefined;
   private isAskingPeers = false;
   private isLost = false;
   private role = StoreRole.Direct;
   /** Boot time at which the last read was sent that the store answered. */
-  private storeReadAt = -Infinity;
+  private answeredReadSentAt = -Infinity;
   private lastTroubleAt = -Infinity;
   private readonly follower: PrefixFollower;
   /** Until then, an instance that is no reader may yet be told the configuration, and does not watch it. */
@@ -115,15 +115,15 @@
       clock,
       logger,
       listener: {
-        handlePut: (item) => void this.take(item, platform.store.eras.current),
+        handlePut: (item) => void this.examine(item, platform.store.eras.current),
         handleRemoved: () => undefined,
       },
       isListingNeeded: false,
     });
-    platform.store.eras.onEraChange((rise) => this.handleRise(rise));
+    platform.store.eras.onEraChange((rise) => this.handleEraChange(rise));
     options.settling.onSettled(() => void this.tryRead());
     this.watchesFrom = clock.getTime() + (options.firstWatchPauseMs ?? 0);
-    this.setFollowing();
+    this.updateFollowing();
   }
 
   static create(options: ConfigurationFollowerOptions): ConfigurationFollower {
@@ -132,7 +132,7 @@
 
   start(): void {
     this.follower.start();
-    this.task = this.prove();
+    this.task = this.runProofLoop();
   }
 
   /** Returns the configuration in force; undefined before the first. */
@@ -142,7 +142,7 @@
 
   /** Milliseconds since the proof of the configuration was asked for; infinite without one. */
   getProofAge(): number {
-    return this.provenAt === undefined ? Infinity : this.options.clock.getBootTime() - this.provenAt;
+    return this.proofSentAt === undefined ? Infinity : this.options.clock.getBootTime() - this.proofSentAt;
   }
 
   /** Whether the configuration is known to be young enough to decide about keys. */
@@ -162,23 +162,23 @@
 
   /** Milliseconds since a read was sent that the store answered to this instance itself; infinite before the first. */
   getStoreAge(): number {
-    return this.options.clock.getBootTime() - this.storeReadAt;
+    return this.options.clock.getBootTime() - this.answeredReadSentAt;
   }
 
   /** Says how this instance comes by what the store holds; one that is fed reads only where its proof grows old. */
   setRole(role: StoreRole): void {
-    const hasLost = this.isFed && role !== StoreRole.ViaReader;
+    const hasLost = this.isViaReader && role !== StoreRole.ViaReader;
     this.role = role;
-    this.setFollowing();
+    this.updateFollowing();
     if (hasLost) void this.tryRead();
   }
 
-  private setFollowing(): void {
+  private updateFollowing(): void {
     const mayBeFed = this.options.clock.getTime() < this.watchesFrom;
-    this.follower.setPassive(this.isFed || this.isLost || mayBeFed);
+    this.follower.setPassive(this.isViaReader || this.isLost || mayBeFed);
   }
 
-  private get isFed(): boolean {
+  private get isViaReader(): boolean {
     return this.role === StoreRole.ViaReader;
   }
 
@@ -201,12 +201,12 @@
     await Promise.all([this.follower.close(), this.task]);
   }
 
-  private async prove(): Promise<void> {
+  private async runProofLoop(): Promise<void> {
     const { clock, proofLifetimeMs } = this.options;
     while (!this.stop.signal.aborted) {
-      this.setFollowing();
-      const isOld = this.getProofAge() > proofLifetimeMs * askPeersShare;
-      if (isOld || !this.isFed) void this.tryRead();
+      this.updateFollowing();
+      const isOld = this.getProofAge() > proofLifetimeMs * askPeersAgeShare;
+      if (isOld || !this.isViaReader) void this.tryRead();
       if (isOld) void this.askPeers();
       await waitFor(clock, this.getInterval(), this.stop.signal);
     }
@@ -217,40 +217,41 @@
     const intervals: Readonly<Record<StoreRole, number>> = {
       [StoreRole.Direct]: proofIntervalMs,
       [StoreRole.Reader]: readerIntervalMs,
-      [StoreRole.ViaReader]: fedIntervalMs,
+      [StoreRole.ViaReader]: viaReaderIntervalMs,
     };
     return intervals[this.role];
   }
 
   /** Reads the configuration, unless so many reads are under way that one more would only load a slow store. */
   private async tryRead(): Promise<void> {
-    if (this.readsUnderWay >= mostReads) return;
+    if (this.pendingReads >= maxConcurrentReads) return;
     const { clock, platform } = this.options;
     const sentAt = clock.getBootTime();
-    this.readsUnderWay += 1;
+    this.pendingReads += 1;
     const reading = await platform.store.read(platform.configurationKey);
-    this.readsUnderWay -= 1;
+    this.pendingReads -= 1;
     if (this.stop.signal.aborted) return;
     if (reading.isErr()) {
-      this.setLost(reading.error.name);
+      this.handleReadFailure(reading.error.name);
       return;
     }
-    this.storeReadAt = Math.max(this.storeReadAt, sentAt);
-    this.setRegained();
+    this.answeredReadSentAt = Math.max(this.answeredReadSentAt, sentAt);
+    this.handleReadSuccess();
     const { item, era } = reading.value;
     if (!item) return;
-    const version = this.take(item, era);
-    if (this.isWhole(version, sentAt)) this.provenAt = Math.max(this.provenAt ?? -Infinity, sentAt);
+    const version = this.examine(item, era);
+    if (this.isCompleteRead(version, sentAt))
+      this.proofSentAt = Math.max(this.proofSentAt ?? -Infinity, sentAt);
   }
 
   /** Whether a read that showed a version proves that nothing newer than what is in force was acknowledged before. */
-  private isWhole(version: number | undefined, sentAt: number): boolean {
+  private isCompleteRead(version: number | undefined, sentAt: number): boolean {
     const { settling, platform, logger } = this.options;
     const { current: era } = platform.store.eras;
     const inForce = this.table?.version;
     const isLacking = version !== undefined && inForce !== undefined && version < inForce;
     // In one era, an older version than the one in force is an answer that was passed by another.
-    const isAwaited = isLacking && settling.ageMs < longestRewriteMs;
+    const isAwaited = isLacking && settling.ageMs < maxRewriteWaitMs;
     const isWhole = settling.isReadComplete(sentAt) && !isAwaited;
     if (!isWhole && this.withheldEra !== era) {
       this.withheldEra = era;
@@ -297,16 +298,16 @@
     const { logger, platform } = this.options;
     const { proofAgeMs, revision, era = initialEra, value } = vouch;
     platform.store.eras.advanceTo(era);
-    if (value) this.take({ key: platform.configurationKey, revision, value }, era);
-    if (!this.table || !this.isVouchComparable(vouch)) return;
+    if (value) this.examine({ key: platform.configurationKey, revision, value }, era);
+    if (!this.table || !this.isProofComparable(vouch)) return;
     if (this.isBehind(vouch)) {
       // There is a newer configuration, too large to be passed on.
       void this.tryRead();
       return;
     }
     const provenAt = askedAt - proofAgeMs;
-    if (provenAt <= (this.provenAt ?? -Infinity)) return;
-    this.provenAt = provenAt;
+    if (provenAt <= (this.proofSentAt ?? -Infinity)) return;
+    this.proofSentAt = provenAt;
     logger.debug("configuration.vouched", {
       version: this.table.version,
       revision,
@@ -316,32 +317,32 @@
   }
 
   /** Whether a peer's word says which configuration it proves: of an earlier build it does so in the first era only. */
-  private isVouchComparable({ version }: ConfigurationProof): boolean {
+  private isProofComparable({ version }: ConfigurationProof): boolean {
     return version !== undefined || this.options.platform.store.eras.current === initialEra;
   }
 
   private isBehind({ version, era = initialEra, revision }: ConfigurationProof): boolean {
-    const { taken, table } = this;
+    const { taken: taken, table } = this;
     if (taken && isSamePosition(taken.position, { era, revision })) return false;
     if (version !== undefined) return version > (table?.version ?? -Infinity);
     return revision > (taken?.position.revision ?? 0);
   }
 
   /** Takes a configuration that was read in an era; returns its version, undefined where it can't be read. */
-  private take(item: StoreItem, era: number): number | undefined {
+  private examine(item: StoreItem, era: number): number | undefined {
     const position = { era, revision: item.revision };
-    if (this.seen && Buffer.compare(this.seen.item.value, item.value) === 0) {
-      return this.moveSeen(this.seen, item, position);
+    if (this.lastExamined && Buffer.compare(this.lastExamined.item.value, item.value) === 0) {
+      return this.updatePosition(this.lastExamined, item, position);
     }
     const decoded = this.options.platform.decodeConfiguration(item.value);
     const version = decoded.isOk() ? decoded.value.version : undefined;
     const inForce = this.table?.version ?? -Infinity;
-    this.seen = { item, position, version };
+    this.lastExamined = { item, position, version };
     if (version !== undefined && version < inForce) {
-      this.logPassedOver(this.seen);
+      this.logSkipped(this.lastExamined);
       return version;
     }
-    this.taken = this.seen;
+    this.taken = this.lastExamined;
     if (decoded.isErr()) {
       this.options.logger.error("configuration.refused", { ...position, text: decoded.error.text });
     } else if (decoded.value.version > inForce) {
@@ -351,14 +352,18 @@
   }
 
   /** Takes note that a configuration that was looked at stands at another place now. */
-  private moveSeen(seen: TakenConfiguration, item: StoreItem, position: StorePosition): number | undefined {
+  private updatePosition(
+    seen: ExaminedConfiguration,
+    item: StoreItem,
+    position: StorePosition,
+  ): number | undefined {
     const moved = { item, position, version: seen.version };
     if (this.taken === seen) this.taken = moved;
-    this.seen = moved;
+    this.lastExamined = moved;
     return moved.version;
   }
 
-  private logPassedOver({ version, position }: TakenConfiguration): void {
+  private logSkipped({ version, position }: ExaminedConfiguration): void {
     const inForce = this.table?.version;
     const text = "a newer one is in force";
     this.options.logger.info("configuration.passed-over", { version, ...position, inForce, text });
@@ -377,21 +382,21 @@
   }
 
   /** What was lost with the era before is not proven by reads of this one yet, and its revisions are no order any more. */
-  private handleRise(rise: EraChange): void {
+  private handleEraChange(rise: EraChange): void {
     if (!isRestore(rise)) return;
     this.lastTroubleAt = this.options.clock.getTime();
     this.follower.restart();
-    if (!this.isFed) void this.tryRead();
+    if (!this.isViaReader) void this.tryRead();
   }
 
-  private setLost(failure: string): void {
+  private handleReadFailure(failure: string): void {
     this.lastTroubleAt = this.options.clock.getTime();
     if (this.isLost) return;
     this.isLost = true;
     this.options.logger.warn("store.lost", { failure, proofAgeMs: Math.round(this.getProofAge()) });
   }
 
-  private setRegained(): void {
+  private handleReadSuccess(): void {
     if (!this.isLost) return;
     this.isLost = false;
     this.lastTroubleAt = this.options.clock.getTime();
@@ -402,7 +407,7 @@
 }
 
 /** Earlier builds say what they hold by its revision only. */
-function isNewerThan({ position, version }: TakenConfiguration, held: HeldConfiguration): boolean {
+function isNewerThan({ position, version }: ExaminedConfiguration, held: HeldConfiguration): boolean {
   if (held.version === undefined || version === undefined) return position.revision > held.revision;
   return version > held.version;
 }
--- a/packages/gateway/src/countHandover.ts
+++ b/packages/gateway/src/countHandover.ts
@@ -5,11 +5,11 @@
  */
 
 /** Time for which the counts are asked for: four reports of a large fleet; where all begin together, nobody has them. */
-const askedForMs = 1_000;
+const requestPeriodMs = 1_000;
 
 /** Whether this instance still needs another one's counts. */
 export class CountHandover {
-  private hearsAll = false;
+  private isCollector = false;
   private askingSince: number | undefined;
 
   private constructor() {}
@@ -20,14 +20,14 @@
 
   /** Takes up whether this instance hears the whole fleet now; asks from the moment on at which it begins to. */
   setRole(hearsAll: boolean, time: number): void {
-    if (hearsAll && !this.hearsAll) this.askingSince = time;
+    if (hearsAll && !this.isCollector) this.askingSince = time;
     if (!hearsAll) this.askingSince = undefined;
-    this.hearsAll = hearsAll;
+    this.isCollector = hearsAll;
   }
 
   /** Whether another instance's counts are still needed. */
   isAsking(time: number): boolean {
-    return this.askingSince !== undefined && time - this.askingSince <= askedForMs;
+    return this.askingSince !== undefined && time - this.askingSince <= requestPeriodMs;
   }
 
   /** Takes note that they have come. */
--- a/packages/gateway/src/disciplinedClock.ts
+++ b/packages/gateway/src/disciplinedClock.ts
@@ -14,7 +14,7 @@
 const peerJumpMs = 400;
 const driftShare = 0.1;
 /** How long a jump must last until it is believed without peers. */
-const beliefMs = 30_000;
+const jumpAcceptanceMs = 30_000;
 
 /** Time of day of this instance. */
 export class DisciplinedClock {
@@ -54,7 +54,7 @@
       return;
     }
     this.jumpSince ??= time;
-    if (hasPeers || time - this.jumpSince < beliefMs) return;
+    if (hasPeers || time - this.jumpSince < jumpAcceptanceMs) return;
     this.offset += difference;
     this.jumpSince = undefined;
   }
--- a/packages/gateway/src/eraReporting.ts
+++ b/packages/gateway/src/eraReporting.ts
@@ -7,7 +7,7 @@
 import { EraSource, DiscardCause, type StoreEras } from "./storeEras.js";
 
 /** Answers passed over in one era of which each has a line; the others are counted. */
-const mostLines = 20;
+const maxLoggedResponses = 20;
 
 /** Says when a new era is seen, and which answers are passed over. */
 export function reportEras(eras: StoreEras, logger: Logger, metrics: GatewayMetrics): void {
@@ -19,7 +19,7 @@
   eras.onDiscarded(({ cause, era, unreadable }) => {
     metrics.countDiscardedResponse(DiscardCause[cause]);
     lines += 1;
-    if (lines > mostLines) return;
+    if (lines > maxLoggedResponses) return;
     const answer = { cause: DiscardCause[cause], era, unreadable, current: eras.current };
     logger.warn("store.answer-passed-over", answer);
   });
--- a/packages/gateway/src/eraSettling.ts
+++ b/packages/gateway/src/eraSettling.ts
@@ -24,13 +24,13 @@
   readonly getTimeOfDay: () => number;
 }
 
-const markKey = `${gatewayPrefix}store-era`;
+const settledRecordKey = `${gatewayPrefix}store-era`;
 /** Operators and endpoints have written again what was lost within this time of the store's return. */
 const rewrittenWithinMs = 2_200;
 /** Time between two attempts to write the mark. */
 const retryMs = 1_000;
 
-const markSchema = v.object({
+const settledRecordSchema = v.object({
   era: v.number(),
   /** Time of day at which it was written. */
   at: v.number(),
@@ -39,19 +39,19 @@
 /** Follows the eras of one instance's store. */
 export class EraSettling {
   /** Boot time at which the present era was first seen here. */
-  private seenAt = -Infinity;
+  private eraSeenAt = -Infinity;
   /** Boot time from which on reads show everything; undefined while the era is not settled. */
   private settledAt: number | undefined = -Infinity;
-  private markItem: StoreItem | undefined;
-  private mark: v.InferOutput<typeof markSchema> | undefined;
+  private recordItem: StoreItem | undefined;
+  private settledRecord: v.InferOutput<typeof settledRecordSchema> | undefined;
   /** Whether this is the system's first life, in the first era that was told it. */
-  private isSystemsFirst = true;
-  private writtenAt = -Infinity;
-  private isFirst = true;
+  private isInitialSystemEra = true;
+  private lastWriteAt = -Infinity;
+  private isFirstChange = true;
   private readonly listeners: (() => void)[] = [];
 
   private constructor(private readonly options: EraSettlingOptions) {
-    options.store.eras.onEraChange((rise) => this.handleRise(rise));
+    options.store.eras.onEraChange((rise) => this.handleEraChange(rise));
   }
 
   static create(options: EraSettlingOptions): EraSettling {
@@ -69,7 +69,7 @@
 
   /** Milliseconds since the present era was first seen here; infinite in the first of a store that tells none. */
   get ageMs(): number {
-    return this.options.clock.getBootTime() - this.seenAt;
+    return this.options.clock.getBootTime() - this.eraSeenAt;
   }
 
   /** Calls back when an era is settled. */
@@ -79,13 +79,13 @@
 
   /** Takes an item of the store, or that it is gone; passes over those of others. */
   takeItem(key: string, item: StoreItem | undefined): void {
-    if (key !== markKey) return;
-    this.markItem = item;
-    this.mark = item && decodeItem(markSchema, item.value);
-    if (this.mark === undefined) return;
+    if (key !== settledRecordKey) return;
+    this.recordItem = item;
+    this.settledRecord = item && decodeItem(settledRecordSchema, item.value);
+    if (this.settledRecord === undefined) return;
     // Where the store tells no era, the mark is all that an instance which starts later can know it by.
-    this.eras.advanceTo(this.mark.era);
-    if (this.mark.era === this.eras.current) this.settle("mark");
+    this.eras.advanceTo(this.settledRecord.era);
+    if (this.settledRecord.era === this.eras.current) this.settle("mark");
   }
 
   /**
@@ -93,32 +93,32 @@
    * known.
    */
   getDurableSince(): number {
-    if (this.eras.current === initialEra || this.isSystemsFirst) return -Infinity;
-    return this.mark?.era === this.eras.current ? this.mark.at : Infinity;
+    if (this.eras.current === initialEra || this.isInitialSystemEra) return -Infinity;
+    return this.settledRecord?.era === this.eras.current ? this.settledRecord.at : Infinity;
   }
 
   /** Writes the mark where it is due; called several times a second. */
   review(): void {
     const { clock, isWriter } = this.options;
     const { current } = this.eras;
-    const isDue = current !== initialEra && this.isSettled && this.mark?.era !== current;
-    if (!isDue || !isWriter() || clock.getTime() - this.writtenAt < retryMs) return;
-    this.writtenAt = clock.getTime();
-    void this.writeMark(current);
+    const isDue = current !== initialEra && this.isSettled && this.settledRecord?.era !== current;
+    if (!isDue || !isWriter() || clock.getTime() - this.lastWriteAt < retryMs) return;
+    this.lastWriteAt = clock.getTime();
+    void this.writeSettledRecord(current);
   }
 
   private get eras(): StoreEras {
     return this.options.store.eras;
   }
 
-  private handleRise({ to, revisionBefore }: EraChange): void {
+  private handleEraChange({ to, revisionBefore }: EraChange): void {
     const { clock, isFirstStart } = this.options;
-    this.seenAt = clock.getBootTime();
-    this.isSystemsFirst = this.isFirst && isFirstStart && revisionBefore === 0;
-    this.isFirst = false;
+    this.eraSeenAt = clock.getBootTime();
+    this.isInitialSystemEra = this.isFirstChange && isFirstStart && revisionBefore === 0;
+    this.isFirstChange = false;
     this.settledAt = undefined;
-    if (this.isSystemsFirst) {
-      this.seenAt = -Infinity;
+    if (this.isInitialSystemEra) {
+      this.eraSeenAt = -Infinity;
       this.settledAt = -Infinity;
       return;
     }
@@ -138,13 +138,13 @@
     for (const listener of this.listeners) listener();
   }
 
-  private async writeMark(era: number): Promise<void> {
+  private async writeSettledRecord(era: number): Promise<void> {
     const { store, logger, getTimeOfDay } = this.options;
-    const expected = [{ key: markKey, revision: this.markItem?.revision ?? 0 }];
+    const expected = [{ key: settledRecordKey, revision: this.recordItem?.revision ?? 0 }];
     const mark = { era, at: getTimeOfDay() };
-    const put = [{ key: markKey, value: Buffer.from(JSON.stringify(mark)) }];
+    const put = [{ key: settledRecordKey, value: Buffer.from(JSON.stringify(mark)) }];
     const written = await store.transact({ expected, put, remove: [] });
-    if (written.isOk()) this.mark = mark;
+    if (written.isOk()) this.settledRecord = mark;
     logger.info("store.era-marked", { era, outcome: written.isOk() ? "written" : written.error.name });
   }
 }
--- a/packages/gateway/src/feedReplication.ts
+++ b/packages/gateway/src/feedReplication.ts
@@ -35,7 +35,7 @@
  * Larger configurations are not handed on to the many instances that a reader feeds: its link may be narrow, the
  * store's is not. Who asks for a peer's word because the store turns it away gets them all the same.
  */
-const largestPassedBytes = 32_768;
+const maxConfigurationBytes = 32_768;
 /** Stands for no trouble ever: infinity has no place in every codec. */
 const noTroubleMs = 1_000_000_000;
 
@@ -82,7 +82,7 @@
     }
     const { configuration } = this;
     return {
-      vouch: configuration.createProof({ revision, version }, largestPassedBytes),
+      vouch: configuration.createProof({ revision, version }, maxConfigurationBytes),
       era: this.eras.current,
       storeAgeMs: Math.min(noTroubleMs, configuration.getStoreAge()),
       troubleAgeMs: Math.min(noTroubleMs, configuration.getTimeSinceTrouble()),
--- a/packages/gateway/src/fleetRoles.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -21,7 +21,7 @@
 }
 
 /** Time for a link to come up, after which the next instance is asked too. */
-const patienceMs = 800;
+const linkTimeoutMs = 800;
 
 /** Chooses the readers, and knows who hears the whole fleet. */
 export class FleetRoles {
@@ -84,7 +84,7 @@
     for (const name of this.ranking) {
       if (reachable >= count) break;
       chosen.push(name);
-      if (name === own || !this.isHopeless(name)) reachable += 1;
+      if (name === own || !this.isUnreachable(name)) reachable += 1;
     }
     for (const name of this.unlinkedSince.keys()) {
       if (!chosen.includes(name)) this.unlinkedSince.delete(name);
@@ -94,7 +94,7 @@
     return isChanged;
   }
 
-  private isHopeless(name: string): boolean {
+  private isUnreachable(name: string): boolean {
     if (this.options.isLinked(name)) {
       this.unlinkedSince.delete(name);
       return false;
@@ -102,6 +102,6 @@
     const time = this.options.clock.getTime();
     const since = this.unlinkedSince.get(name) ?? time;
     this.unlinkedSince.set(name, since);
-    return time - since > patienceMs;
+    return time - since > linkTimeoutMs;
   }
 }
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -42,7 +42,7 @@
 import { UsageReporter } from "./usageReporter.js";
 import { ProofRequests } from "./proofRequests.js";
 
-const dutyKey = `${gatewayPrefix}duty`;
+const leaderLeaseKey = `${gatewayPrefix}duty`;
 const leaderMarkerKey = `${gatewayPrefix}duties-begun`;
 // Outside the prefix that all instances watch: each change there costs a call of every instance.
 const usageCheckpointKey = "gladewall-usage-draft";
@@ -51,7 +51,7 @@
 const firstWatchPauseMs = 800;
 
 /** What the fleet says, asked of parts that are created later. */
-interface FleetViews {
+interface FleetQueries {
   readonly askPeers: ConfigurationFollowerOptions["askPeers"];
   readonly getPeerWork: (endpoint: string) => PeerWork;
 }
@@ -65,7 +65,7 @@
 }
 
 /** What is known of the platform and counted with the other instances. */
-interface GatewayViews extends GatewayBase {
+interface GatewayState extends GatewayBase {
   readonly settling: EraSettling;
   /** Grows with each life of the instance. */
   readonly incarnation: number;
@@ -131,7 +131,7 @@
     isWriter: () => members.isReader && members.isListed,
     getTimeOfDay: () => time.get(),
   });
-  const views = createViews(
+  const views = createState(
     { ...base, settling: own.settling },
     {
       askPeers: (held) => vouching.ask(held),
@@ -209,10 +209,10 @@
   return follower.hasFreshProof() && directory.isListed && members.isListed;
 }
 
-function createViews(
-  base: Pick<GatewayViews, keyof GatewayBase | "settling">,
-  { askPeers, getPeerWork }: FleetViews,
-): GatewayViews {
+function createState(
+  base: Pick<GatewayState, keyof GatewayBase | "settling">,
+  { askPeers, getPeerWork }: FleetQueries,
+): GatewayState {
   const { settings, platform, clock, logger, settling } = base;
   const { configuration, retries, quotas, endpoints } = settings;
   const feedTimes = createFeedTimings(Math.min(endpoints.drain, configuration.apply_within));
@@ -273,7 +273,7 @@
 }
 
 function createReporter(
-  views: GatewayViews,
+  views: GatewayState,
   { committedWindows: fixed, settling }: GatewayItems,
   getItem: Members["items"]["get"],
 ): UsageReporter {
@@ -296,7 +296,7 @@
 }
 
 function createMembers(
-  views: GatewayViews,
+  views: GatewayState,
   reporter: UsageReporter,
   handlers: Pick<MembersOptions, "answerAsk" | "onItem" | "onTurn">,
 ): Members {
@@ -332,7 +332,7 @@
   return members;
 }
 
-function createPlacer({ clock, memory, rates, directory }: GatewayViews, members: Members): Placer {
+function createPlacer({ clock, memory, rates, directory }: GatewayState, members: Members): Placer {
   return Placer.create({
     clock,
     memory,
@@ -343,7 +343,7 @@
   });
 }
 
-function createCrashes(views: GatewayViews, members: Members, metrics: GatewayMetrics): CrashProtection {
+function createCrashes(views: GatewayState, members: Members, metrics: GatewayMetrics): CrashProtection {
   const { settings, platform, clock, logger, directory, follower } = views;
   const { connect_timeout: connectTimeoutMs, drain: drainMs } = settings.endpoints;
   return CrashProtection.create({
@@ -361,7 +361,7 @@
 }
 
 function createBudget(
-  { settings, counters }: GatewayViews,
+  { settings, counters }: GatewayState,
   members: Members,
   links: LimitGossip,
 ): RetryBudget {
@@ -382,7 +382,7 @@
 }
 
 function createLimits(
-  { settings, clock, logger, directory }: GatewayViews,
+  { settings, clock, logger, directory }: GatewayState,
   members: Members,
   metrics: GatewayMetrics,
 ): Pick<GatewayParts, "limits" | "permits"> & { readonly links: LimitGossip } {
@@ -407,7 +407,7 @@
   return { limits, permits, links };
 }
 
-function createAdmission(views: GatewayViews, getMembers: () => Members): Admission {
+function createAdmission(views: GatewayState, getMembers: () => Members): Admission {
   const { settings, clock, follower, counters } = views;
   return Admission.create({
     clock,
@@ -424,7 +424,7 @@
 }
 
 function createLeaderTasks(
-  views: GatewayViews,
+  views: GatewayState,
   members: Members,
   reporter: UsageReporter,
   leases: FencedLeases,
@@ -446,7 +446,7 @@
     clock,
     logger,
     name: instance.name,
-    leaseKey: dutyKey,
+    leaseKey: leaderLeaseKey,
     markerKey: leaderMarkerKey,
     alternationWindowMs: orders.turn,
     usage: reporter,
@@ -454,7 +454,7 @@
     isEligible: () => members.isCollector,
     isFenceRefused: (fence) => views.orders.isRefused(fence),
     isLeaseFree: () =>
-      members.isFleetStable && members.isListed && directory.isListed && !members.items.has(dutyKey),
+      members.isFleetStable && members.isListed && directory.isListed && !members.items.has(leaderLeaseKey),
     getServices: () => follower.getTable()?.configuration.services.values() ?? [],
   });
 }
--- a/packages/gateway/src/memberRecords.ts
+++ b/packages/gateway/src/memberRecords.ts
@@ -47,7 +47,7 @@
 /** Instances that start together record themselves within less; until they are known, the fleet looks smaller than it is. */
 const firstWatchPauseMs = 400;
 /** A vanished record is kept this long: records also vanish when the store is in trouble. */
-const vanishedMs = 15_000;
+const removalDelayMs = 15_000;
 
 /** Records of all instances. */
 export class MemberRecords implements Closeable {
@@ -59,14 +59,14 @@
   /** Timers after which vanished records are forgotten. */
   private readonly forgetTimers = new Map<string, Timer>();
   private lease: string | undefined;
-  private isChangeDue = false;
+  private isChangePending = false;
   /** When a name was listed that was not before. */
-  private grownAt: number;
+  private lastGrowthAt: number;
   private task: Promise<void> = Promise.resolve();
 
   private constructor(private readonly options: MemberRecordsOptions) {
     const { store, clock, logger } = options;
-    this.grownAt = clock.getTime();
+    this.lastGrowthAt = clock.getTime();
     const listener = {
       handlePut: (item: StoreItem) => this.handlePut(item),
       handleRemoved: (key: string, removal: Removal) => this.handleRemoved(key, removal),
@@ -87,7 +87,7 @@
 
   start(): void {
     this.follower.start();
-    this.task = this.keepRecord();
+    this.task = this.maintainRecord();
   }
 
   /** Names of all instances that are listed. */
@@ -116,7 +116,7 @@
 
   /** Milliseconds since an instance was found that was not known before. */
   getTimeSinceGrowth(): number {
-    return this.options.clock.getTime() - this.grownAt;
+    return this.options.clock.getTime() - this.lastGrowthAt;
   }
 
   /** Lists anew; for when the store comes back. */
@@ -131,16 +131,16 @@
     await Promise.all([this.follower.close(), this.task]);
   }
 
-  private async keepRecord(): Promise<void> {
+  private async maintainRecord(): Promise<void> {
     const { clock } = this.options;
     const { signal } = this.stop;
     while (!signal.aborted) {
-      await this.keepRecordOnce();
+      await this.maintainRecordOnce();
       await waitFor(clock, renewIntervalMs, signal);
     }
   }
 
-  private async keepRecordOnce(): Promise<void> {
+  private async maintainRecordOnce(): Promise<void> {
     if (this.lease === undefined || (await this.isLeaseLost(this.lease))) await this.writeRecord();
   }
 
@@ -193,20 +193,20 @@
       return;
     }
     const name = item.key.slice(memberPrefix.length);
-    if (!this.records.has(name)) this.grownAt = this.options.clock.getTime();
+    if (!this.records.has(name)) this.lastGrowthAt = this.options.clock.getTime();
     this.records.set(name, record);
-    this.announceChange();
+    this.scheduleChange();
   }
 
   /**
    * Says once that the list has changed, when all that came together is in it: said for each record of a listing, a large
    * fleet looks small for a moment, and every instance links with all that it knows by then.
    */
-  private announceChange(): void {
-    if (this.isChangeDue) return;
-    this.isChangeDue = true;
+  private scheduleChange(): void {
+    if (this.isChangePending) return;
+    this.isChangePending = true;
     queueMicrotask(() => {
-      this.isChangeDue = false;
+      this.isChangePending = false;
       if (!this.stop.signal.aborted) this.options.onChange();
     });
   }
@@ -220,10 +220,10 @@
     const name = key.slice(memberPrefix.length);
     const record = this.records.get(name);
     this.forgetTimers.get(name)?.cancel();
-    const timer = this.options.clock.startTimer(vanishedMs, () => {
+    const timer = this.options.clock.startTimer(removalDelayMs, () => {
       if (this.records.get(name) !== record || this.options.isLinked(name)) return;
       this.records.delete(name);
-      this.announceChange();
+      this.scheduleChange();
     });
     this.forgetTimers.set(name, timer);
   }
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -74,15 +74,15 @@
 
 /** Instances that ask the store for all: one may end and another be cut off from the store at the same time. */
 const readerCount = 3;
-const toldWindows = 4;
+const reportedWindows = 4;
 /** Reports between two that carry usage, in a large fleet. */
-const usageEvery = 2;
+const reportsPerUsage = 2;
 const pingIntervalMs = 1_000;
 const lostAfterMs = 2_500;
 const handshakeTimeoutMs = 1_000;
 const outboxBytes = 262_144;
 /** Time without a new instance after which the fleet counts as known. */
-const settledMs = 600;
+const fleetStableMs = 600;
 
 /** All members of the fleet. */
 export class Members implements Closeable {
@@ -90,10 +90,10 @@
   /** Who decides for the fleet. */
   readonly arbiters: Arbiters;
   private readonly records: MemberRecords;
-  private readonly collectors: FleetRoles;
+  private readonly roles: FleetRoles;
   private readonly feed: StoreFeed;
   private readonly work: FleetWork;
-  private readonly peerTimes: PeerClocks;
+  private readonly peerClocks: PeerClocks;
   private readonly silentPeers: SilentPeers;
   private readonly stop = new AbortController();
   private task: Promise<void> = Promise.resolve();
@@ -103,7 +103,7 @@
 
   private constructor(private readonly options: MembersOptions) {
     const { clock, logger, name, incarnation, secret, address, largestMesh } = options;
-    this.peerTimes = PeerClocks.create(clock);
+    this.peerClocks = PeerClocks.create(clock);
     this.silentPeers = SilentPeers.create(options.revokeWithinMs);
     this.links = PeerLinks.create({
       own: { name, incarnation },
@@ -122,7 +122,7 @@
     const isLinked = (peer: string): boolean => this.links.isLinked(peer);
     const onChange = (): void => this.setFleet();
     this.records = MemberRecords.create({ ...options, onChange, isLinked });
-    this.collectors = FleetRoles.create({
+    this.roles = FleetRoles.create({
       clock,
       own: name,
       largestMesh,
@@ -135,7 +135,7 @@
       clock,
       logger,
       own: name,
-      getReaders: () => this.collectors.getReaders(),
+      getReaders: () => this.roles.getReaders(),
       isLinked,
       call: (peer, message, timeoutMs) => this.links.call(peer, message, timeoutMs),
     });
@@ -153,13 +153,13 @@
       logger,
       counters: options.counters,
       getFleetSize: () => this.getFleetSize(),
-      countLinkedReaders: () => this.collectors.getLinkedReaders().length,
+      countLinkedReaders: () => this.roles.getLinkedReaders().length,
     });
     this.work = FleetWork.create({
       clock,
       own: name,
       getOwn: options.getWork,
-      findView: () => (this.collectors.isCollector ? undefined : this.views.find()?.work),
+      findView: () => (this.roles.isCollector ? undefined : this.views.find()?.work),
       send: (peer, message) => void this.links.send(peer, message),
     });
     this.listen();
@@ -188,17 +188,17 @@
 
   /** Whether this instance hears the whole fleet, as far as it knows. */
   get isCollector(): boolean {
-    return this.collectors.isCollector;
+    return this.roles.isCollector;
   }
 
   /** Whether the fleet is so small that every instance is linked with every other. */
   get isMesh(): boolean {
-    return this.collectors.isMesh;
+    return this.roles.isMesh;
   }
 
   /** Names of the readers that are linked. */
   getLinkedReaders(): readonly string[] {
-    return this.collectors.getLinkedReaders();
+    return this.roles.getLinkedReaders();
   }
 
   /** Name of the reader that decides for the fleet on a subject; undefined where none can be asked. */
@@ -208,12 +208,12 @@
 
   /** Whether this instance asks the store for others. */
   get isReader(): boolean {
-    return this.collectors.isReader;
+    return this.roles.isReader;
   }
 
   /** Whether no instance was found for a moment: while a fleet starts, it looks smaller than it is. */
   get isFleetStable(): boolean {
-    return this.records.getTimeSinceGrowth() > settledMs;
+    return this.records.getTimeSinceGrowth() > fleetStableMs;
   }
 
   /** Instances that are listed, this one included. */
@@ -227,7 +227,7 @@
    */
   getKnownShare(): number {
     const fleet = this.getFleetSize();
-    if (!this.collectors.isCollector) return this.views.find()?.knownShare ?? 1 / fleet;
+    if (!this.roles.isCollector) return this.views.find()?.knownShare ?? 1 / fleet;
     const time = this.options.clock.getTime();
     let silent = 0;
     for (const name of this.records.getNames()) {
@@ -249,11 +249,11 @@
       endpoint,
       tokens: Math.round(tokens),
     };
-    if (this.collectors.isMesh) {
+    if (this.roles.isMesh) {
       this.links.broadcast(message);
       return;
     }
-    for (const name of this.collectors.getLinkedReaders()) this.links.send(name, message);
+    for (const name of this.roles.getLinkedReaders()) this.links.send(name, message);
     this.work.notePlaced([endpoint, message.tokens]);
   }
 
@@ -276,10 +276,10 @@
   private listen(): void {
     const { logger } = this.options;
     this.links.setHandler(MemberMessageKind.Report, (message, peer) =>
-      this.takeReport(message as ReportMessage, peer),
+      this.applyReport(message as ReportMessage, peer),
     );
     this.links.setHandler(MemberMessageKind.View, (message, peer) =>
-      this.takeView(message as ViewMessage, peer),
+      this.applyView(message as ViewMessage, peer),
     );
     this.links.setHandler(MemberMessageKind.PlacementRelay, (message, peer) => {
       const relayed = message as PlacementRelayMessage;
@@ -288,19 +288,19 @@
     });
     this.links.setHandler(MemberMessageKind.Feed, (message) => {
       const { sequence, feed } = message as FeedAnswer;
-      this.takeFeed(sequence, feed);
+      this.applyFeed(sequence, feed);
     });
     this.links.setHandler(MemberMessageKind.Counts, (message, peer) =>
-      this.takeCounts(message as CountsMessage, peer),
+      this.applyCounts(message as CountsMessage, peer),
     );
     this.links.setHandler(MemberMessageKind.QuotaCall, (message, peer) =>
       this.answerAsk(message as QuotaCall, peer),
     );
     this.links.setHandler(MemberMessageKind.Placement, (message, peer) =>
-      this.takePlaced(message as PlacementMessage, peer),
+      this.applyPlacement(message as PlacementMessage, peer),
     );
     this.links.setHandler(LinkMessageKind.Ping, ({ time }: PingMessage, peer) => {
-      if (time !== undefined) this.peerTimes.record(peer.name, time);
+      if (time !== undefined) this.peerClocks.record(peer.name, time);
     });
     this.links.onLinkUp((peer) => logger.info("peer.linked", { peer: peer.name }));
     this.links.onLinkDown((peer) => {
@@ -310,20 +310,20 @@
   }
 
   private setFleet(): void {
-    this.collectors.setFleet();
-    this.links.setPeers(this.records.getAddresses(), this.collectors.getLinkTargets());
+    this.roles.setFleet();
+    this.links.setPeers(this.records.getAddresses(), this.roles.getLinkTargets());
   }
 
   private async sendReports(): Promise<void> {
     const { clock, time, reportIntervalMs, largeFleetIntervalMs, onTurn } = this.options;
     const { signal } = this.stop;
     while (!signal.aborted) {
-      await waitFor(clock, this.collectors.isMesh ? reportIntervalMs : largeFleetIntervalMs, signal);
-      time.adjust(this.peerTimes.getOffsets(time.get()));
-      if (this.collectors.chooseReaders()) this.setFleet();
+      await waitFor(clock, this.roles.isMesh ? reportIntervalMs : largeFleetIntervalMs, signal);
+      time.adjust(this.peerClocks.getOffsets(time.get()));
+      if (this.roles.chooseReaders()) this.setFleet();
       this.work.refresh();
-      this.feed.setRole(this.collectors.isReader);
-      this.handover.setRole(this.collectors.isCollector, clock.getTime());
+      this.feed.setRole(this.roles.isReader);
+      this.handover.setRole(this.roles.isCollector, clock.getTime());
       onTurn();
       this.report();
     }
@@ -331,8 +331,8 @@
 
   private report(): void {
     const report = this.createReport();
-    const { isMesh, isReader } = this.collectors;
-    const linked = this.collectors.getLinkedReaders();
+    const { isMesh, isReader } = this.roles;
+    const linked = this.roles.getLinkedReaders();
     const asked = this.feed.chooseReader(isReader, linked);
     const counting = this.handover.isAsking(this.options.clock.getTime())
       ? linked[this.sequence % linked.length]
@@ -346,19 +346,19 @@
 
   /** Whether a reader tells this instance what the store holds. */
   get isFeedActive(): boolean {
-    return !this.collectors.isReader && this.feed.isActive;
+    return !this.roles.isReader && this.feed.isActive;
   }
 
   private createReport(): ReportMessage {
     const { counters, rates, usage, time, getWindow } = this.options;
     this.sequence += 1;
-    const { isMesh, isCollector: isOwn } = this.collectors;
+    const { isMesh, isCollector: isOwn } = this.roles;
     const isHistoryWanted = this.views.takeHistoryRequest();
     const report = counters.createReport(isOwn || isHistoryWanted);
     this.views.recordReport(this.sequence, report.totals);
     const read = this.options.memory.takeUnreported();
     this.work.relayRead(read);
-    const hasUsage = isMesh || this.sequence % usageEvery === 0;
+    const hasUsage = isMesh || this.sequence % reportsPerUsage === 0;
     return {
       kind: MemberMessageKind.Report,
       sequence: this.sequence,
@@ -368,11 +368,11 @@
       rates: rates.createReport(),
       hearsAll: isOwn,
       read,
-      ...(hasUsage ? { usage: usage.getOwnCounts(getWindow(), toldWindows) } : {}),
+      ...(hasUsage ? { usage: usage.getOwnCounts(getWindow(), reportedWindows) } : {}),
     };
   }
 
-  private takeReport(message: ReportMessage, peer: PeerIdentity): void {
+  private applyReport(message: ReportMessage, peer: PeerIdentity): void {
     const { counters, rates, usage, clock } = this.options;
     const life = getIncarnationKey(peer);
     counters.applyReport(peer.name, life, message.counters);
@@ -383,17 +383,17 @@
       this.work.relayRead(message.read);
     }
     this.silentPeers.recordReport(peer.name, clock.getTime());
-    this.peerTimes.record(peer.name, message.time);
+    this.peerClocks.record(peer.name, message.time);
     this.work.applyReport(peer.name, message.work);
-    if (message.wantsCounts) this.handOver(message, peer);
+    if (message.wantsCounts) this.sendCounts(message, peer);
     if (!message.feed) return;
     if (!message.hearsAll) this.work.noteAsked(peer.name);
-    this.links.send(peer.name, this.createAnswer(message, message.feed));
+    this.links.send(peer.name, this.createReply(message, message.feed));
   }
 
-  private handOver({ sequence }: ReportMessage, peer: PeerIdentity): void {
+  private sendCounts({ sequence }: ReportMessage, peer: PeerIdentity): void {
     const { counters, clock } = this.options;
-    if (!this.collectors.isCollector || this.handover.isAsking(clock.getTime())) return;
+    if (!this.roles.isCollector || this.handover.isAsking(clock.getTime())) return;
     const message: CountsMessage = {
       kind: MemberMessageKind.Counts,
       sequence,
@@ -404,12 +404,12 @@
 
   /** One that does not hear the whole fleet knows too little to decide. */
   private answerAsk(ask: QuotaCall, peer: PeerIdentity): QuotaReply {
-    return this.collectors.isCollector
+    return this.roles.isCollector
       ? this.options.answerAsk(peer, ask)
       : { word: GrantDecision.Unknown, level: 0 };
   }
 
-  private takeCounts({ sequence, counters: told }: CountsMessage, peer: PeerIdentity): void {
+  private applyCounts({ sequence, counters: told }: CountsMessage, peer: PeerIdentity): void {
     const { counters, clock, logger } = this.options;
     const knowsMore = told.isInformed || told.uptime > counters.getUptime();
     if (!this.handover.isAsking(clock.getTime()) || !knowsMore) return;
@@ -419,13 +419,13 @@
     logger.info("counts.taken", { peer: peer.name, uptimeMs: told.uptime, informed: told.isInformed, peers });
   }
 
-  private createAnswer(report: ReportMessage, state: FeedState): FeedAnswer | ViewMessage {
+  private createReply(report: ReportMessage, state: FeedState): FeedAnswer | ViewMessage {
     if (!report.hearsAll) return this.createView(report, state);
     const feed = this.feed.createMessage(state);
     return { kind: MemberMessageKind.Feed, sequence: report.sequence, feed };
   }
 
-  private takePlaced({ endpoint, tokens }: PlacementMessage, peer: PeerIdentity): void {
+  private applyPlacement({ endpoint, tokens }: PlacementMessage, peer: PeerIdentity): void {
     if (endpoint !== undefined) this.work.takePlaced(peer.name, [endpoint, tokens]);
   }
 
@@ -441,16 +441,16 @@
     };
   }
 
-  private takeView(view: ViewMessage, peer: PeerIdentity): void {
-    if (this.collectors.isCollector || this.views.findSentAt(view.sequence) === undefined) return;
-    this.takeFeed(view.sequence, view.feed);
+  private applyView(view: ViewMessage, peer: PeerIdentity): void {
+    if (this.roles.isCollector || this.views.findSentAt(view.sequence) === undefined) return;
+    this.applyFeed(view.sequence, view.feed);
     if (view.rates) this.options.rates.mergePeer(peer.name, view.rates);
     if (this.views.applyView(view, peer)) this.work.noteView(peer, view.placedNumber ?? 0);
   }
 
-  private takeFeed(sequence: number, feed: FeedMessage): void {
+  private applyFeed(sequence: number, feed: FeedMessage): void {
     const toldAt = this.views.findSentAt(sequence);
-    if (toldAt === undefined || !this.feed.isAsking(this.collectors.isReader)) return;
+    if (toldAt === undefined || !this.feed.isAsking(this.roles.isReader)) return;
     this.feed.apply(feed, toldAt);
   }
 }
--- a/packages/gateway/src/peerClocks.ts
+++ b/packages/gateway/src/peerClocks.ts
@@ -5,9 +5,9 @@
 import type { Clock } from "@gladewall/kernel";
 
 /** Words older than this are not looked at. */
-const lifetimeMs = 2_000;
+const maxAgeMs = 2_000;
 
-interface ToldTime {
+interface PeerTime {
   readonly time: number;
   /** Monotonic time at which it was heard. */
   readonly at: number;
@@ -15,7 +15,7 @@
 
 /** Peers' times of day. */
 export class PeerClocks {
-  private readonly told = new Map<string, ToldTime>();
+  private readonly times = new Map<string, PeerTime>();
 
   private constructor(private readonly clock: Clock) {}
 
@@ -25,7 +25,7 @@
 
   /** Takes what a peer says that its time of day is now. */
   record(peer: string, time: number): void {
-    this.told.set(peer, { time, at: this.clock.getTime() });
+    this.times.set(peer, { time, at: this.clock.getTime() });
   }
 
   /**
@@ -34,7 +34,7 @@
    */
   getOffsets(timeOfDay: number): readonly number[] {
     const now = this.clock.getTime();
-    const fresh = [...this.told.values()].filter(({ at }) => now - at <= lifetimeMs);
+    const fresh = [...this.times.values()].filter(({ at }) => now - at <= maxAgeMs);
     return fresh.map(({ time, at }) => time + (now - at) - timeOfDay);
   }
 }
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -66,13 +66,13 @@
 }
 
 /** Longest time of a watch of what is proven in another way, or need not be known soon. */
-const usualWatchWaitMs = 15_000;
+const defaultWatchWaitMs = 15_000;
 /** Time between two watches: changes that come close together cost one call. */
 const batchMs = 120;
-const firstPauseMs = 50;
-const longestPauseMs = 800;
+const minRetryPauseMs = 50;
+const maxRetryPauseMs = 800;
 /** Keys that went, kept to be handed on. */
-const keptRemoved = 500;
+const maxKeptRemovals = 500;
 
 /** Follows one prefix. */
 export class PrefixFollower implements Closeable {
@@ -83,7 +83,7 @@
    * may have been acknowledged so long before.
    */
   silenceMs = Infinity;
-  private heardAt = -Infinity;
+  private receivedAt = -Infinity;
   /** Era of all revisions that are kept here. */
   private era = initialEra;
   /** Revision up to which everything is known. */
@@ -92,7 +92,7 @@
   /** Keys that went, by when they did; the oldest first. */
   private readonly removed = new Map<string, number>();
   /** Revision up to which it is not known of all keys that went. */
-  private forgottenRevision = 0;
+  private removalsCompleteFrom = 0;
   private readonly stop = new AbortController();
   private round = new AbortController();
   private isPassive = false;
@@ -138,7 +138,7 @@
   getChanges(since: StorePosition | undefined): PrefixChanges | undefined {
     const position = this.getPosition();
     if (!position) return undefined;
-    const isComparable = since?.era === position.era && since.revision >= this.forgottenRevision;
+    const isComparable = since?.era === position.era && since.revision >= this.removalsCompleteFrom;
     if (!isComparable) return { ...position, items: [...this.items.values()], removed: [], isListing: true };
     const items = [...this.items.values()].filter((item) => item.revision > since.revision);
     const removed = [...this.removed]
@@ -156,13 +156,13 @@
     const isOwnEra = era === this.era;
     if (era !== this.options.store.eras.current || (!isListing && !isOwnEra)) return;
     if (isListing && isOwnEra && revision < this.revision) return;
-    this.noteHeard();
+    this.recordReceived();
     if (isListing) {
-      this.takeListing(items, { era, revision }, troubleAgeMs);
+      this.applyListing(items, { era, revision }, troubleAgeMs);
       return;
     }
     for (const item of items) this.put(item);
-    for (const entry of removed) this.takeRemoval(entry.key, entry.revision, troubleAgeMs);
+    for (const entry of removed) this.applyRemoval(entry.key, entry.revision, troubleAgeMs);
     this.revision = Math.max(this.revision, revision);
   }
 
@@ -175,7 +175,7 @@
 
   private async follow(): Promise<void> {
     const { clock, logger, prefix } = this.options;
-    let pause = firstPauseMs;
+    let pause = minRetryPauseMs;
     while (!this.stop.signal.aborted) {
       await this.waitWhilePassive();
       if (this.stop.signal.aborted) return;
@@ -183,32 +183,32 @@
       const startedAt = clock.getTime();
       const failure = await this.followOnce(this.round.signal);
       if (this.stop.signal.aborted) return;
-      if (this.isResting) continue;
-      const hasLasted = clock.getTime() - startedAt > longestPauseMs;
-      pause = hasLasted || this.round.signal.aborted ? firstPauseMs : Math.min(longestPauseMs, pause * 2);
+      if (this.isIdle) continue;
+      const hasLasted = clock.getTime() - startedAt > maxRetryPauseMs;
+      pause = hasLasted || this.round.signal.aborted ? minRetryPauseMs : Math.min(maxRetryPauseMs, pause * 2);
       logger.info("store.follow", { prefix, outcome: "relist", failure: failure.name, pauseMs: pause });
       await waitFor(clock, pause, this.round.signal.aborted ? this.stop.signal : this.round.signal);
     }
   }
 
   private async waitWhilePassive(): Promise<void> {
-    while (this.isResting && !this.stop.signal.aborted) {
+    while (this.isIdle && !this.stop.signal.aborted) {
       await new Promise<void>((resolve) => (this.wake = resolve));
     }
   }
 
-  private get isResting(): boolean {
+  private get isIdle(): boolean {
     const { isListingNeeded = true } = this.options;
     return this.isPassive && (this.isListed || !isListingNeeded);
   }
 
   /** Lists, then watches until something fails. */
   private async followOnce(signal: AbortSignal): Promise<Failure> {
-    const { store, prefix, clock, watchWaitMs = usualWatchWaitMs } = this.options;
+    const { store, prefix, clock, watchWaitMs = defaultWatchWaitMs } = this.options;
     const listing = await store.list(prefix);
     if (listing.isErr()) return listing.error;
-    this.noteHeard();
-    this.takeListing(listing.value.items, listing.value.position);
+    this.recordReceived();
+    this.applyListing(listing.value.items, listing.value.position);
     await this.pauseOnce(signal);
     while (!signal.aborted) {
       const { era, revision: since } = this;
@@ -218,12 +218,12 @@
       if (changes.value.position.era !== this.era) {
         return Failure.create(FailureCode.HistoryLost, { revision: since });
       }
-      this.noteHeard();
+      this.recordReceived();
       const { events, position } = changes.value;
       // A watch that was deaf for a moment ends without events as well: gone on from its revision, what changed meanwhile
       // would never be heard of. From the old one the store tells it, or that its history is gone.
       if (events.length === 0) continue;
-      for (const event of events) this.takeEvent(event);
+      for (const event of events) this.applyEvent(event);
       this.revision = Math.max(this.revision, position.revision);
       await waitFor(clock, batchMs, signal);
     }
@@ -237,19 +237,20 @@
     await waitFor(this.options.clock, this.options.firstWatchPauseMs ?? 0, signal);
   }
 
-  private noteHeard(): void {
+  private recordReceived(): void {
     const time = this.options.clock.getTime();
-    this.silenceMs = time - this.heardAt;
-    this.heardAt = time;
+    this.silenceMs = time - this.receivedAt;
+    this.receivedAt = time;
   }
 
-  private takeListing(
+  private applyListing(
     items: readonly StoreItem[],
     { era, revision }: StorePosition,
     troubleAgeMs?: number,
   ): void {
     if (era < this.era) return;
-    if (era > this.era && this.isListed) return this.takeRestored(items, { era, revision }, troubleAgeMs);
+    if (era > this.era && this.isListed)
+      return this.applyRestoredListing(items, { era, revision }, troubleAgeMs);
     this.era = era;
     const listed = new Set(items.map(({ key }) => key));
     for (const { key, revision: putAt } of [...this.items.values()]) {
@@ -261,12 +262,12 @@
     this.revision = Math.max(this.revision, revision);
     // A listing shows no removal of what this follower never saw. Asked for changes since an older revision it gives all it
     // has: without that, an instance fed by a reader that had just started used endpoints that were gone, with no end.
-    this.forgottenRevision = Math.max(this.forgottenRevision, revision);
+    this.removalsCompleteFrom = Math.max(this.removalsCompleteFrom, revision);
     this.isListed = true;
   }
 
   /** Takes the first listing of a new era: what was known is no order for it, and what is missing may be written again. */
-  private takeRestored(
+  private applyRestoredListing(
     items: readonly StoreItem[],
     { era, revision }: StorePosition,
     troubleAgeMs: number | undefined,
@@ -282,7 +283,7 @@
     });
     this.era = era;
     this.revision = revision;
-    this.forgottenRevision = revision;
+    this.removalsCompleteFrom = revision;
     this.items.clear();
     this.removed.clear();
     for (const item of items) this.items.set(item.key, item);
@@ -292,12 +293,12 @@
     for (const item of items) if (!isSameItem(item, known.get(item.key))) listener.handlePut(item, true);
   }
 
-  private takeEvent({ key, revision, value }: StoreEvent): void {
+  private applyEvent({ key, revision, value }: StoreEvent): void {
     if (value) this.put({ key, revision, value });
-    else this.takeRemoval(key, revision);
+    else this.applyRemoval(key, revision);
   }
 
-  private takeRemoval(key: string, revision: number, troubleAgeMs?: number): void {
+  private applyRemoval(key: string, revision: number, troubleAgeMs?: number): void {
     const item = this.items.get(key);
     if (!item || item.revision >= revision) return;
     this.remove(key, revision, { cause: RemovalCause.Removed, troubleAgeMs });
@@ -311,11 +312,11 @@
     this.options.listener.handlePut(item, false);
   }
 
-  private forgetOldest(): void {
-    if (this.removed.size <= keptRemoved) return;
+  private evictOldestRemoval(): void {
+    if (this.removed.size <= maxKeptRemovals) return;
     for (const [key, removedAt] of this.removed) {
       this.removed.delete(key);
-      this.forgottenRevision = Math.max(this.forgottenRevision, removedAt);
+      this.removalsCompleteFrom = Math.max(this.removalsCompleteFrom, removedAt);
       return;
     }
   }
@@ -325,7 +326,7 @@
     // Deleted first, so that the map stays in the order of revisions.
     this.removed.delete(key);
     this.removed.set(key, revision);
-    this.forgetOldest();
+    this.evictOldestRemoval();
     this.options.listener.handleRemoved(key, removal);
   }
 }
--- a/packages/gateway/src/proofRequests.ts
+++ b/packages/gateway/src/proofRequests.ts
@@ -11,15 +11,15 @@
 } from "./configurationFollower.js";
 
 /** Numbers of the messages; after those of members. */
-enum VouchMessageKind {
+enum ProofMessageKind {
   Ask = 40,
 }
 
-interface AskMessage extends PeerMessage, HeldConfiguration {
-  readonly kind: VouchMessageKind.Ask;
+interface ProofRequestMessage extends PeerMessage, HeldConfiguration {
+  readonly kind: ProofMessageKind.Ask;
 }
 
-const askedPeers = 3;
+const askedPeerCount = 3;
 const askTimeoutMs = 400;
 
 /** Asks and answers. */
@@ -31,27 +31,27 @@
 
   /** Answers peers from now on with what the follower knows. */
   static create(links: PeerLinks, follower: ConfigurationFollower, getRandom: () => number): ProofRequests {
-    links.setHandler(VouchMessageKind.Ask, (message) => follower.createProof(message as AskMessage));
+    links.setHandler(ProofMessageKind.Ask, (message) => follower.createProof(message as ProofRequestMessage));
     return new ProofRequests(links, getRandom);
   }
 
   /** Asks some linked peers; returns the words of those that have a proof. */
   async ask(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
-    const message: AskMessage = { kind: VouchMessageKind.Ask, ...held };
+    const message: ProofRequestMessage = { kind: ProofMessageKind.Ask, ...held };
     const answers = await Promise.all(
       this.choosePeers().map((name) => this.links.call(name, message, askTimeoutMs)),
     );
-    return answers.flatMap((answer) => (answer.isOk() && isVouch(answer.value) ? [answer.value] : []));
+    return answers.flatMap((answer) => (answer.isOk() && isProof(answer.value) ? [answer.value] : []));
   }
 
   private choosePeers(): readonly string[] {
     const drawn = this.links.getLinked().map((name) => ({ name, order: this.getRandom() }));
     drawn.sort((one, other) => one.order - other.order);
-    return drawn.slice(0, askedPeers).map(({ name }) => name);
+    return drawn.slice(0, askedPeerCount).map(({ name }) => name);
   }
 }
 
-function isVouch(value: unknown): value is ConfigurationProof {
+function isProof(value: unknown): value is ConfigurationProof {
   if (typeof value !== "object" || value === null) return false;
   const { proofAgeMs, revision } = value as Partial<ConfigurationProof>;
   return Number.isFinite(proofAgeMs) && proofAgeMs! >= 0 && Number.isInteger(revision);
--- a/packages/gateway/src/readerSelection.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -8,8 +8,8 @@
 /** Which reader is asked, and when it last answered. */
 export class ReaderSelection {
   /** How often the reader that is asked was passed over for the next. */
-  private turns = 0;
-  private askedSince = 0;
+  private skipCount = 0;
+  private selectedAt = 0;
   private answeredAt = -Infinity;
 
   private constructor(
@@ -24,8 +24,8 @@
 
   /** Chooses the reader to be asked now; undefined where none is linked. */
   choose(linked: readonly string[], time: number): string | undefined {
-    if (time - Math.max(this.answeredAt, this.askedSince) > this.patienceMs) this.passOver(time);
-    return linked[(hashText(this.own) + this.turns) % Math.max(1, linked.length)];
+    if (time - Math.max(this.answeredAt, this.selectedAt) > this.patienceMs) this.skip(time);
+    return linked[(hashText(this.own) + this.skipCount) % Math.max(1, linked.length)];
   }
 
   recordAnswer(time: number): void {
@@ -33,8 +33,8 @@
   }
 
   /** Asks the next reader from now on. */
-  passOver(time: number): void {
-    this.turns += 1;
-    this.askedSince = time;
+  skip(time: number): void {
+    this.skipCount += 1;
+    this.selectedAt = time;
   }
 }
--- a/packages/gateway/src/readerViews.ts
+++ b/packages/gateway/src/readerViews.ts
@@ -27,7 +27,7 @@
 }
 
 /** What this instance told in one report, and the boot time at which it did. */
-interface ToldReport {
+interface SentReport {
   readonly totals: CounterTotals;
   readonly at: number;
 }
@@ -35,16 +35,16 @@
 /** Without a view for this long, an instance uses no more than its own part of what is shared. */
 const viewLifetimeMs = 1_500;
 /** A reader that started this much later than this instance knows less of what was counted before. */
-const youngerByMs = 1_000;
+const uptimeToleranceMs = 1_000;
 const keptReports = 16;
 
 /** The last view, and the reports that a view may answer. */
 export class ReaderViews {
   /** What was told last, by the report's number. */
-  private readonly told = new Map<number, ToldReport>();
+  private readonly sentReports = new Map<number, SentReport>();
   private view: FleetView | undefined;
   /** Whether a reader asked what was counted before its life. */
-  private isHistoryWanted = false;
+  private isHistoryRequested = false;
 
   private constructor(private readonly options: ReaderViewsOptions) {}
 
@@ -54,19 +54,19 @@
 
   /** Remembers what was told in a report. */
   recordReport(sequence: number, totals: CounterTotals): void {
-    this.told.set(sequence, { totals, at: this.options.clock.getBootTime() });
-    this.told.delete(sequence - keptReports);
+    this.sentReports.set(sequence, { totals, at: this.options.clock.getBootTime() });
+    this.sentReports.delete(sequence - keptReports);
   }
 
   /** Boot time at which a report was told; undefined where it is no longer remembered. */
   findSentAt(sequence: number): number | undefined {
-    return this.told.get(sequence)?.at;
+    return this.sentReports.get(sequence)?.at;
   }
 
   /** Whether the next report should tell what was counted before the reader's life; asked once. */
   takeHistoryRequest(): boolean {
-    const isWanted = this.isHistoryWanted;
-    this.isHistoryWanted = false;
+    const isWanted = this.isHistoryRequested;
+    this.isHistoryRequested = false;
     return isWanted;
   }
 
@@ -77,11 +77,11 @@
 
   /** Takes a view; returns whether it counts: not where its reader knows less than this instance. */
   applyView({ sequence, counters, work, knownShare }: ViewMessage, peer: PeerIdentity): boolean {
-    const told = this.told.get(sequence);
+    const told = this.sentReports.get(sequence);
     if (!told) return false;
     const { clock, logger, counters: own } = this.options;
-    if (!counters.isInformed && own.getUptime() > counters.uptime + youngerByMs && own.knowsHistory) {
-      this.isHistoryWanted = true;
+    if (!counters.isInformed && own.getUptime() > counters.uptime + uptimeToleranceMs && own.knowsHistory) {
+      this.isHistoryRequested = true;
       logger.debug("view.passed-over", { peer: peer.name, uptimeMs: counters.uptime });
       return false;
     }
@@ -92,7 +92,7 @@
 
   /** Takes another instance's counts as of one of this instance's reports; false where that is no longer remembered. */
   applyCounts(sequence: number, counters: CounterView): boolean {
-    const told = this.told.get(sequence);
+    const told = this.sentReports.get(sequence);
     if (told) this.options.counters.applyView(counters, told.totals);
     return told !== undefined;
   }
--- a/packages/gateway/src/sharedCounters.ts
+++ b/packages/gateway/src/sharedCounters.ts
@@ -51,8 +51,8 @@
   readonly totals: CounterTotals;
 }
 
-interface HeardTotals extends PeerTotals {
-  readonly heardAt: number;
+interface ReceivedTotals extends PeerTotals {
+  readonly receivedAt: number;
 }
 
 /** A peer's new total of one count, told ahead of its report. */
@@ -76,7 +76,7 @@
 /** Time over which the fleet's use of a limit is measured, to foresee what a view does not show yet. */
 const rateWindowMs = 1_000;
 /** Longest time for which use is foreseen from one view. */
-const longestForesightMs = 1_000;
+const maxExtrapolationMs = 1_000;
 
 /** This instance's counters and the fleet's sums. */
 export class SharedCounters {
@@ -86,14 +86,14 @@
   private readonly sums = new Map<string, SlidingWindow>();
   private readonly buckets = new Map<string, LeakyBucket>();
   private readonly ownSums = new Map<string, SlidingWindow>();
-  private readonly peers = new Map<string, HeardTotals>();
+  private readonly peers = new Map<string, ReceivedTotals>();
   /** Use of limits over the last moments, by key. */
   private readonly inflows = new Map<string, SlidingWindow>();
   private readonly startedAt: number;
-  private viewedInflows: CounterTotals = {};
-  private viewedAt = -Infinity;
+  private viewInflows: CounterTotals = {};
+  private viewAppliedAt = -Infinity;
   /** Whether the last view said what it includes of each peer. */
-  private hasIncluded = false;
+  private hasPeerTotals = false;
   /** Whether the sums from before this life were taken over from a peer. */
   private hasHistory = false;
 
@@ -166,15 +166,15 @@
     if (amount <= 0) return GrantDecision.Granted;
     if (!mayTake(amount)) return GrantDecision.Refused;
     this.addToTotal(kind, key, time, amount);
-    const heardAt = isSameLife ? known.heardAt : time;
-    this.peers.set(peer, { life, totals: { ...before, [key]: total }, heardAt });
+    const heardAt = isSameLife ? known.receivedAt : time;
+    this.peers.set(peer, { life, totals: { ...before, [key]: total }, receivedAt: heardAt });
     return GrantDecision.Granted;
   }
 
   /** Returns the fleet's sum over the window that ends now; of limits, the level of their bucket. */
   getSum(kind: CounterKind, name: string): number {
     const time = this.options.clock.getTime();
-    return this.getKnownSum(kind, name) + this.foresee(createKey(kind, name), time);
+    return this.getKnownSum(kind, name) + this.extrapolate(createKey(kind, name), time);
   }
 
   /** The same without what is foreseen. */
@@ -183,11 +183,11 @@
   }
 
   /** What the fleet is expected to have taken of a limit since the last view, by what it took before. */
-  private foresee(key: string, time: number): number {
-    const inflow = this.viewedInflows[key];
+  private extrapolate(key: string, time: number): number {
+    const inflow = this.viewInflows[key];
     if (inflow === undefined) return 0;
-    const age = time - this.viewedAt;
-    return age < longestForesightMs ? (inflow * age) / rateWindowMs : 0;
+    const age = time - this.viewAppliedAt;
+    return age < maxExtrapolationMs ? (inflow * age) / rateWindowMs : 0;
   }
 
   /** Sets how fast a limit's level falls. */
@@ -238,7 +238,7 @@
     for (const [key, inflow] of this.inflows) inflows[key] = Math.max(0, Math.round(inflow.getSum(time)));
     const uptime = Math.round(this.getUptime());
     const view = { uptime, isInformed: this.knowsHistory, sums: this.getSums(), inflows };
-    return hasIncluded ? { ...view, included: this.getIncluded() } : view;
+    return hasIncluded ? { ...view, included: this.getPeerTotals() } : view;
   }
 
   /**
@@ -248,9 +248,9 @@
   applyView({ sums, inflows, isInformed, included }: CounterView, told: CounterTotals): void {
     const time = this.options.clock.getTime();
     this.hasHistory ||= isInformed;
-    this.viewedAt = time;
-    this.viewedInflows = inflows;
-    this.setIncluded(included);
+    this.viewAppliedAt = time;
+    this.viewInflows = inflows;
+    this.setPeerTotals(included);
     Object.assign(this.confirmed, told);
     for (const [key, sum] of Object.entries(sums)) {
       const kind: CounterKind = Number.parseInt(key, 10);
@@ -262,7 +262,7 @@
     }
   }
 
-  private getIncluded(): Record<string, PeerTotals> {
+  private getPeerTotals(): Record<string, PeerTotals> {
     const entries = [...this.peers].map(([peer, { life, totals }]) => [peer, { life, totals }] as const);
     return Object.fromEntries(entries);
   }
@@ -271,12 +271,12 @@
    * What peers tell next is counted from what the view includes of them. Noted as included without that, what they took
    * between the view and their first word would be lost.
    */
-  private setIncluded(included: CounterView["included"]): void {
+  private setPeerTotals(included: CounterView["included"]): void {
     const heardAt = this.options.clock.getTime();
     this.peers.clear();
-    this.hasIncluded = included !== undefined;
+    this.hasPeerTotals = included !== undefined;
     for (const [peer, { life, totals }] of Object.entries(included ?? {})) {
-      if (peer !== this.options.own) this.peers.set(peer, { life, totals, heardAt });
+      if (peer !== this.options.own) this.peers.set(peer, { life, totals, receivedAt: heardAt });
     }
   }
 
@@ -313,13 +313,13 @@
     const isSameLife = known?.life === life;
     // Of a life that is longer than every window, the adopted sums hold what counts; only what it adds is new. The
     // same holds of a young one where a view has just told of it without saying so.
-    const mayBeIncluded = !this.hasIncluded && time - this.viewedAt <= longestForesightMs;
+    const mayBeIncluded = !this.hasPeerTotals && time - this.viewAppliedAt <= maxExtrapolationMs;
     const isYoung = uptime < this.longestWindow && !mayBeIncluded;
     if (isSameLife || isYoung) {
       const before = isSameLife ? known.totals : {};
-      this.addDifferences(before, totals, isSameLife ? time - known.heardAt : uptime);
+      this.addDifferences(before, totals, isSameLife ? time - known.receivedAt : uptime);
     }
-    this.peers.set(peer, { life, totals, heardAt: time });
+    this.peers.set(peer, { life, totals, receivedAt: time });
   }
 
   /** Takes over what was counted before this life from the first peer that has seen a whole window. */
--- a/packages/gateway/src/storeEras.ts
+++ b/packages/gateway/src/storeEras.ts
@@ -20,13 +20,13 @@
 /** Era of a store that has told none and was not seen to go back. */
 export const initialEra = 0;
 /** Each return that only revisions show counts so much: told eras are whole numbers, and above all of these. */
-const untoldStep = 1 / 1_024;
+const unreportedEraStep = 1 / 1_024;
 
-const leastTold = 1;
+const minReportedEra = 1;
 
 /** Whether an era is one that the store told; others are counted from revisions that fell. */
 export function isReportedEra(era: number): boolean {
-  return era >= leastTold;
+  return era >= minReportedEra;
 }
 
 /** What an answer tells of its era. */
@@ -93,11 +93,11 @@
 /** The era that the store is in, as this instance knows. */
 export class StoreEras {
   private known = initialEra;
-  private isTold = false;
+  private isReported = false;
   /** Highest revision that an answer of this era showed. */
   private revision = 0;
-  private readonly riseListeners: ((rise: EraChange) => void)[] = [];
-  private readonly passedListeners: ((answer: DiscardedResponse) => void)[] = [];
+  private readonly changeListeners: ((changeEra: EraChange) => void)[] = [];
+  private readonly discardListeners: ((answer: DiscardedResponse) => void)[] = [];
 
   private constructor() {}
 
@@ -112,12 +112,12 @@
 
   /** Calls back when a new era is known, before anything of it is passed on; the first that is told is one, too. */
   onEraChange(listener: (rise: EraChange) => void): void {
-    this.riseListeners.push(listener);
+    this.changeListeners.push(listener);
   }
 
   /** Calls back with each answer that is passed over. */
   onDiscarded(listener: (answer: DiscardedResponse) => void): void {
-    this.passedListeners.push(listener);
+    this.discardListeners.push(listener);
   }
 
   /** What is known now, for a call that is to be sent. */
@@ -128,16 +128,16 @@
   /** Takes what the head of an answer tells, a refusal's too; returns the answer's era, undefined where it counts for nothing. */
   acceptEra(start: CallStart, { era, unreadable }: ReportedEra): number | undefined {
     if (era === undefined) {
-      if (!this.isTold) return start.era;
-      this.passOver({ cause: DiscardCause.Untold, era, unreadable });
+      if (!this.isReported) return start.era;
+      this.discard({ cause: DiscardCause.Untold, era, unreadable });
       return undefined;
     }
     // A first told era takes the place of what was counted here, whichever number is higher.
-    const isFirst = !this.isTold && !isReportedEra(this.known);
-    this.isTold = true;
+    const isFirst = !this.isReported && !isReportedEra(this.known);
+    this.isReported = true;
     if (isFirst || era > this.known) this.rise(era, EraSource.Answer);
     if (era === this.known) return era;
-    this.passOver({ cause: start.era > era ? DiscardCause.Fallen : DiscardCause.Late, era });
+    this.discard({ cause: start.era > era ? DiscardCause.Fallen : DiscardCause.Late, era });
     return undefined;
   }
 
@@ -147,10 +147,11 @@
    */
   acceptRevision(start: CallStart, era: number, revision = this.revision): StorePosition | undefined {
     if (era !== this.known) {
-      this.passOver({ cause: DiscardCause.Late, era });
+      this.discard({ cause: DiscardCause.Late, era });
       return undefined;
     }
-    if (!this.isTold && revision < start.revision) this.rise(this.known + untoldStep, EraSource.Revision);
+    if (!this.isReported && revision < start.revision)
+      this.rise(this.known + unreportedEraStep, EraSource.Revision);
     this.revision = Math.max(this.revision, revision);
     return { era: this.known, revision };
   }
@@ -165,10 +166,10 @@
     const rise = { from: this.known, to, source, revisionBefore: this.revision };
     this.known = to;
     this.revision = 0;
-    for (const listener of this.riseListeners) listener(rise);
+    for (const listener of this.changeListeners) listener(rise);
   }
 
-  private passOver(answer: DiscardedResponse): void {
-    for (const listener of this.passedListeners) listener(answer);
+  private discard(answer: DiscardedResponse): void {
+    for (const listener of this.discardListeners) listener(answer);
   }
 }
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -27,14 +27,14 @@
 /** What the store holds, as readers tell it and are told. */
 export class StoreFeed {
   private readonly feed: FeedReplication;
-  private readonly asked: ReaderSelection;
+  private readonly selection: ReaderSelection;
   /** When a reader that the store serves last answered. */
   private lastFedAt = -Infinity;
 
   private constructor(private readonly options: StoreFeedOptions) {
     const { own, timings: times, configuration, followers } = options;
     this.feed = FeedReplication.create(options.eras, configuration, followers, times.maxStoreAgeMs);
-    this.asked = ReaderSelection.create(own, times.patienceMs);
+    this.selection = ReaderSelection.create(own, times.patienceMs);
   }
 
   static create(options: StoreFeedOptions): StoreFeed {
@@ -57,7 +57,7 @@
   /** Chooses the reader to be asked now; undefined where this instance asks none, or none is linked. */
   chooseReader(isReader: boolean, linked: readonly string[]): string | undefined {
     if (!this.isAsking(isReader)) return undefined;
-    return this.asked.choose(linked, this.options.clock.getTime());
+    return this.selection.choose(linked, this.options.clock.getTime());
   }
 
   /** What this instance knows already, for the reader that it asks. */
@@ -73,14 +73,14 @@
   /** Takes a reader's answer to a question asked at a time; one that the store does not serve is passed over. */
   apply(message: FeedMessage, askedAt: number): void {
     const time = this.options.clock.getTime();
-    this.asked.recordAnswer(time);
+    this.selection.recordAnswer(time);
     if (this.feed.apply(message, askedAt)) {
       this.lastFedAt = time;
       return;
     }
     // The store may have turned away more readers than this one: this instance asks it itself until another tells more.
     this.lastFedAt = -Infinity;
-    this.asked.passOver(time);
+    this.selection.skip(time);
     const { era, storeAgeMs } = message;
     this.options.logger.info("feed.passed-over", { era, storeAgeMs: Math.round(storeAgeMs) });
   }
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -82,7 +82,7 @@
 /** Time that each request has. */
 const leftMs = 5_000;
 /** Time after which a reader that ended is replaced. */
-const patienceMs = 800;
+const replaceAfterMs = 800;
 
 const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 
@@ -95,8 +95,8 @@
   readonly life: string;
   readonly startedAt: number;
   pausedUntil = 0;
-  private readonly told = new Map<number, CounterTotals>();
-  private readonly heardAt = new Map<string, number>();
+  private readonly sentTotals = new Map<number, CounterTotals>();
+  private readonly receivedAt = new Map<string, number>();
   private sequence = 0;
   private view = { share: 1, at: -Infinity };
 
@@ -148,7 +148,7 @@
     const { clock, play } = this.fleet;
     const time = clock.getTime();
     if (!this.isReader) return time - this.view.at <= viewLifetimeMs ? this.view.share : 1 / play.instances;
-    const silent = [...this.heardAt].filter(
+    const silent = [...this.receivedAt].filter(
       ([peer, at]) => time - at > silentMs && this.fleet.isAlive(peer),
     ).length;
     return Math.max(1, play.instances - silent) / play.instances;
@@ -161,13 +161,13 @@
     this.admission.updateDrainRates();
     const report = structuredClone(this.counters.createReport(this.isReader));
     const sequence = ++this.sequence;
-    this.told.set(sequence, report.totals);
+    this.sentTotals.set(sequence, report.totals);
     const readers = fleet.readers.filter((reader) => reader !== this.name && fleet.isAlive(reader));
     const asked = readers[sequence % readers.length];
     for (const reader of readers) {
       fleet.send(reader, (member) => {
         member.counters.applyReport(this.name, this.life, report);
-        member.heardAt.set(this.name, fleet.clock.getTime());
+        member.receivedAt.set(this.name, fleet.clock.getTime());
         if (reader === asked) member.answer(this, sequence);
       });
     }
@@ -180,7 +180,7 @@
     const share = this.getKnownShare();
     this.fleet.send(peer.name, (member) => {
       if (member !== peer) return;
-      const told = peer.told.get(sequence);
+      const told = peer.sentTotals.get(sequence);
       if (!told || peer.isReader !== wantsCounts) return;
       if (wantsCounts && !peer.handover.isAsking(this.fleet.clock.getTime())) return;
       peer.counters.applyView(view, told);
@@ -292,7 +292,7 @@
   private kill(name: string): void {
     this.members.delete(name);
     this.clock.startTimer(restartMs, () => this.start(name, false));
-    this.clock.startTimer(patienceMs, () => this.chooseReaders());
+    this.clock.startTimer(replaceAfterMs, () => this.chooseReaders());
   }
 
   /** The readers that live stay; others take the places of those that ended. */
--- a/packages/gateway/test/readers.test.ts
+++ b/packages/gateway/test/readers.test.ts
@@ -105,7 +105,7 @@
   t.not(second, first);
   t.equal(asked.choose(readers, 1_700), second, "it has its time to answer as well");
   asked.recordAnswer(1_700);
-  asked.passOver(1_700);
+  asked.skip(1_700);
   t.equal(new Set([first, second, asked.choose(readers, 1_800)]).size, 3);
   t.equal(asked.choose([], 1_800), undefined);
 });
