--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -1,11 +1,15 @@
 /**
- * The configuration in force and the proof of its age.
+ * Follows the operators' configuration and keeps a freshness proof for the version in force.
  *
- * A watch brings changes at once. Reads, sent one after the other whether or not the last one was answered, prove that
- * nothing newer was acknowledged before they were sent; the proof's age counts from the send, and a suspension is part of it,
- * so a process that stood still finds its proof old before it admits anything. The version in force never falls, and its own
- * number orders configurations: the store's revisions go back with a store that comes back from a copy, and its reads prove
- * nothing until what was lost is written again.
+ * A watch delivers changes immediately. A freshness proof is a store read that shows that no newer
+ * configuration had been acknowledged when the read was sent. Reads are sent at a fixed interval, whether or
+ * not the previous one was answered, and the age of the proof counts from the time at which the read was sent.
+ * That age includes the time for which the machine was suspended, so that a process which stood still finds its
+ * proof expired before it admits anything.
+ *
+ * The version in force never decreases. Configurations are ordered by their own version number, because the
+ * store's revisions go back when the store is restored from a copy. After a restore, reads prove nothing until
+ * the lost writes have been written again.
  * @module
  */
 import { type Clock, type Closeable, type Logger, waitFor } from "@gladewall/kernel";
@@ -15,20 +19,23 @@
 import { type EraChange, isRestore, isSamePosition, type StorePosition, initialEra } from "./storeEras.js";
 import type { PlatformAdapter, ServingConfiguration, StoreItem } from "./types.js";
 
-/** A peer's word on the configuration. */
+/** A peer's freshness proof, with the position and the version of the configuration that it holds for. */
 export interface ConfigurationProof {
-  /** Age of the peer's own proof, milliseconds, when it answered. */
+  /** Age of the peer's own proof when it answered, in milliseconds. */
   readonly proofAgeMs: number;
   /** Revision of the newest configuration that the peer has. */
   readonly revision: number;
   /** Era of that revision, and the configuration's version; earlier builds leave both out. */
   readonly era?: number;
   readonly version?: number;
-  /** That configuration as stored; left out where the asker has it, and where it is large: it is read then. */
+  /**
+   * That configuration as stored. Left out if the requester already has it, or if it is too large to send: the
+   * requester then reads it from the store.
+   */
   readonly value?: Uint8Array | undefined;
 }
 
-/** What an instance holds, for one that may know a newer configuration. */
+/** The configuration that an instance has, sent to a peer that may have a newer one. */
 export interface HeldConfiguration {
   /** Revision of the newest configuration; 0 before the first. */
   readonly revision: number;
@@ -36,13 +43,13 @@
   readonly version?: number | undefined;
 }
 
-/** How an instance comes by what the store holds. */
+/** How an instance obtains the content of the platform's store. */
 export enum StoreRole {
-  /** It asks for itself. */
+  /** It reads the store for itself. */
   Direct = 1,
-  /** It asks for others, too. */
+  /** It reads the store on behalf of the fleet and feeds the other instances. */
   Reader = 2,
-  /** Others tell it. */
+  /** A reader feeds it. */
   ViaReader = 3,
 }
 
@@ -51,47 +58,53 @@
   readonly platform: PlatformAdapter;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Milliseconds between two proving reads of an instance that asks for itself. */
+  /** Interval of the proving reads of an instance that reads for itself, in milliseconds. */
   readonly proofIntervalMs: number;
-  /** The same of a reader: others go by its proofs, which have to be young. */
+  /**
+   * The same interval for a reader, in milliseconds. Other instances rely on a reader's proofs, which therefore
+   * have to be recent.
+   */
   readonly readerIntervalMs: number;
-  /** Milliseconds after which a proof counts for nothing. */
+  /** Age at which a proof expires, in milliseconds. */
   readonly proofLifetimeMs: number;
-  /** Time after the start in which the proving reads alone are to bring the configuration; milliseconds. */
+  /**
+   * Time after the start, in milliseconds, in which only the proving reads fetch the configuration and no watch
+   * is opened.
+   */
   readonly firstWatchPauseMs?: number;
-  /** Asks some peers for their word, given what is held here. */
+  /** Asks some peers for their configuration proofs; `held` is what this instance has. */
   readonly askPeers: (held: HeldConfiguration) => Promise<readonly ConfigurationProof[]>;
   readonly settling: EraSettling;
 }
 
-/** A configuration that was looked at. */
+/** A configuration that has been decoded and compared with the one in force. */
 interface ExaminedConfiguration {
   readonly item: StoreItem;
   readonly position: StorePosition;
-  /** Undefined where it can't be read. */
+  /** Undefined if it cannot be decoded. */
   readonly version: number | undefined;
 }
 
-/** Reads that may be under way at once. */
+/** Maximum number of concurrent reads. */
 const maxConcurrentReads = 4;
-/** Time between two looks at the age of the proof while others tell it. */
+/** Interval at which the age of the proof is checked while a reader feeds this instance. */
 const viaReaderIntervalMs = 500;
-/** Share of a proof's lifetime after which peers are asked for theirs. */
+/** Share of a proof's lifetime after which peers are asked for their proofs. */
 const askPeersAgeShare = 0.45;
-/** A version that operators have not written again after this time of an era is not waited for any longer. */
+/** The longest time, from the start of an era, to wait for operators to write a lost version again. */
 const maxRewriteWaitMs = 5_000;
 
-/** Follows the operators' configuration. */
+/** Keeps the configuration in force up to date and proves how fresh it is. */
 export class ConfigurationFollower implements Closeable {
   private table: RouteTable | undefined;
-  /** Boot time at which the read was sent that the proof rests on. */
+  /** Boot time at which the read was sent that the current proof is based on. */
   private proofSentAt: number | undefined;
   private pendingReads = 0;
-  /** Newest configuration that was put in force or refused, for peers that ask. */
+  /** Newest configuration that was put in force or refused; it is sent to peers that ask. */
   private taken: ExaminedConfiguration | undefined;
-  /** Last one that was looked at, whatever became of it. */
+  /** Last configuration that was examined, whether or not it was put in force. */
   private lastExamined: ExaminedConfiguration | undefined;
-  /** Era in which a read was last said to prove nothing. */
+  /** Era for which it was last logged that reads prove nothing. */
   private withheldEra: number | undefined;
   private isAskingPeers = false;
   private isLost = false;
@@ -100,7 +113,7 @@
   private answeredReadSentAt = -Infinity;
   private lastTroubleAt = -Infinity;
   private readonly follower: PrefixFollower;
-  /** Until then, an instance that is no reader may yet be told the configuration, and does not watch it. */
+  /** Monotonic time until which no watch is opened, because a reader may still begin to feed this instance. */
   private readonly watchesFrom: number;
   private readonly stop = new AbortController();
   private readonly changeListeners: ((table: RouteTable) => void)[] = [];
@@ -120,7 +133,7 @@
       },
       isListingNeeded: false,
     });
-    platform.store.eras.onEraChange((rise) => this.handleEraChange(rise));
+    platform.store.eras.onEraChange((change) => this.handleEraChange(change));
     options.settling.onSettled(() => void this.tryRead());
     this.watchesFrom = clock.getTime() + (options.firstWatchPauseMs ?? 0);
     this.updateFollowing();
@@ -140,49 +153,54 @@
     return this.table;
   }
 
-  /** Milliseconds since the proof of the configuration was asked for; infinite without one. */
+  /**
+   * Age of the freshness proof in milliseconds, counted from the sending of the read; infinite without a proof.
+   */
   getProofAge(): number {
     return this.proofSentAt === undefined ? Infinity : this.options.clock.getBootTime() - this.proofSentAt;
   }
 
-  /** Whether the configuration is known to be young enough to decide about keys. */
+  /** Whether the proof is fresh enough to authorize requests with the configuration in force. */
   hasFreshProof(): boolean {
     return this.table !== undefined && this.getProofAge() < this.options.proofLifetimeMs;
   }
 
-  /** Whether the store did not answer this instance's last read. */
+  /** Whether the last read of this instance failed. */
   get isStoreLost(): boolean {
     return this.isLost;
   }
 
-  /** What is held here, for those who may know more. */
+  /** Returns the configuration that this instance has, for peers that may have a newer one. */
   getHeld(): HeldConfiguration {
     return { revision: this.taken?.position.revision ?? 0, version: this.table?.version };
   }
 
-  /** Milliseconds since a read was sent that the store answered to this instance itself; infinite before the first. */
+  /** Milliseconds since this instance sent the last read that the store answered; infinite before the first. */
   getStoreAge(): number {
     return this.options.clock.getBootTime() - this.answeredReadSentAt;
   }
 
-  /** Says how this instance comes by what the store holds; one that is fed reads only where its proof grows old. */
+  /**
+   * Sets how this instance obtains the store's content. An instance that a reader feeds sends reads only while
+   * its proof is old.
+   */
   setRole(role: StoreRole): void {
-    const hasLost = this.isViaReader && role !== StoreRole.ViaReader;
+    const hasLostFeed = this.isViaReader && role !== StoreRole.ViaReader;
     this.role = role;
     this.updateFollowing();
-    if (hasLost) void this.tryRead();
+    if (hasLostFeed) void this.tryRead();
   }
 
   private updateFollowing(): void {
-    const mayBeFed = this.options.clock.getTime() < this.watchesFrom;
-    this.follower.setPassive(this.isViaReader || this.isLost || mayBeFed);
+    const mayBeFedSoon = this.options.clock.getTime() < this.watchesFrom;
+    this.follower.setPassive(this.isViaReader || this.isLost || mayBeFedSoon);
   }
 
   private get isViaReader(): boolean {
     return this.role === StoreRole.ViaReader;
   }
 
-  /** Milliseconds since a call on the store last failed. */
+  /** Milliseconds since a call to the store last failed. */
   getTimeSinceTrouble(): number {
     return this.options.clock.getTime() - this.lastTroubleAt;
   }
@@ -191,7 +209,7 @@
     this.changeListeners.push(listener);
   }
 
-  /** Calls back when the store answers again after it did not. */
+  /** Registers a listener for the store answering again after a failure. */
   onRegained(listener: () => void): void {
     this.regainListeners.push(listener);
   }
@@ -222,7 +240,10 @@
     return intervals[this.role];
   }
 
-  /** Reads the configuration, unless so many reads are under way that one more would only load a slow store. */
+  /**
+   * Reads the configuration, unless so many reads are pending that another one would only add load to a slow
+   * store.
+   */
   private async tryRead(): Promise<void> {
     if (this.pendingReads >= maxConcurrentReads) return;
     const { clock, platform } = this.options;
@@ -244,33 +265,37 @@
       this.proofSentAt = Math.max(this.proofSentAt ?? -Infinity, sentAt);
   }
 
-  /** Whether a read that showed a version proves that nothing newer than what is in force was acknowledged before. */
+  /**
+   * Whether a read that returned a version proves that nothing newer than the version in force had been
+   * acknowledged before it was sent.
+   */
   private isCompleteRead(version: number | undefined, sentAt: number): boolean {
     const { settling, platform, logger } = this.options;
     const { current: era } = platform.store.eras;
     const inForce = this.table?.version;
     const isLacking = version !== undefined && inForce !== undefined && version < inForce;
-    // In one era, an older version than the one in force is an answer that was passed by another.
+    // Within one era, a version older than the one in force comes from a response that another response has
+    // overtaken.
     const isAwaited = isLacking && settling.ageMs < maxRewriteWaitMs;
-    const isWhole = settling.isReadComplete(sentAt) && !isAwaited;
-    if (!isWhole && this.withheldEra !== era) {
+    const isComplete = settling.isReadComplete(sentAt) && !isAwaited;
+    if (!isComplete && this.withheldEra !== era) {
       this.withheldEra = era;
       const cause = isAwaited ? "not written again yet" : "operators may be writing again";
       const proofAgeMs = Math.round(this.getProofAge());
       logger.info("configuration.proof-withheld", { era, cause, version, inForce, proofAgeMs });
     }
-    return isWhole;
+    return isComplete;
   }
 
   /**
-   * This instance's word for a peer that holds a configuration; undefined where it has no proof itself. A newer
-   * configuration goes with it if it has no more bytes than are given.
+   * Creates this instance's proof for a peer that has the given configuration; undefined if this instance has
+   * no fresh proof itself. A newer configuration is included if it has at most `maxBytes` bytes.
    */
-  createProof(held: HeldConfiguration, mostBytes = Infinity): ConfigurationProof | undefined {
+  createProof(held: HeldConfiguration, maxBytes = Infinity): ConfigurationProof | undefined {
     if (!this.taken || !this.hasFreshProof()) return undefined;
     const { item, position, version } = this.taken;
     const isNewer = isNewerThan(this.taken, held);
-    const value = isNewer && item.value.length <= mostBytes ? item.value : undefined;
+    const value = isNewer && item.value.length <= maxBytes ? item.value : undefined;
     return {
       proofAgeMs: this.getProofAge(),
       ...position,
@@ -280,28 +305,29 @@
   }
 
   /**
-   * Asks peers, for when the store turns this instance away and serves others. A peer that answers with a proof so old
-   * has had it since before that time ahead of the question, whatever the way of the answer took.
+   * Asks peers for their proofs, in case the store refuses this instance but serves others. The age of a peer's
+   * proof is added to the time at which this instance asked, not to the arrival of the reply, so that the time
+   * which the reply spent on its way is included.
    */
   private async askPeers(): Promise<void> {
     if (this.isAskingPeers) return;
     this.isAskingPeers = true;
     const askedAt = this.options.clock.getBootTime();
-    const vouches = await this.options.askPeers(this.getHeld());
+    const proofs = await this.options.askPeers(this.getHeld());
     this.isAskingPeers = false;
     if (this.stop.signal.aborted) return;
-    for (const vouch of vouches) this.applyProof(vouch, askedAt);
+    for (const proof of proofs) this.applyProof(proof, askedAt);
   }
 
-  /** Takes a peer's word that was asked for at a boot time. */
-  applyProof(vouch: ConfigurationProof, askedAt: number): void {
+  /** Applies a peer's proof that was requested at a boot time. */
+  applyProof(proof: ConfigurationProof, askedAt: number): void {
     const { logger, platform } = this.options;
-    const { proofAgeMs, revision, era = initialEra, value } = vouch;
+    const { proofAgeMs, revision, era = initialEra, value } = proof;
     platform.store.eras.advanceTo(era);
     if (value) this.examine({ key: platform.configurationKey, revision, value }, era);
-    if (!this.table || !this.isProofComparable(vouch)) return;
-    if (this.isBehind(vouch)) {
-      // There is a newer configuration, too large to be passed on.
+    if (!this.table || !this.isProofComparable(proof)) return;
+    if (this.isBehind(proof)) {
+      // The peer has a newer configuration that is too large to be included in its reply.
       void this.tryRead();
       return;
     }
@@ -316,7 +342,10 @@
     });
   }
 
-  /** Whether a peer's word says which configuration it proves: of an earlier build it does so in the first era only. */
+  /**
+   * Whether the peer's proof identifies the configuration that it holds for. A proof of an earlier build, which
+   * has no version, does so in the initial era only.
+   */
   private isProofComparable({ version }: ConfigurationProof): boolean {
     return version !== undefined || this.options.platform.store.eras.current === initialEra;
   }
@@ -328,7 +357,10 @@
     return revision > (taken?.position.revision ?? 0);
   }
 
-  /** Takes a configuration that was read in an era; returns its version, undefined where it can't be read. */
+  /**
+   * Examines a configuration that was read in an era and puts it in force if it is newer; returns its version,
+   * or undefined if it cannot be decoded.
+   */
   private examine(item: StoreItem, era: number): number | undefined {
     const position = { era, revision: item.revision };
     if (this.lastExamined && Buffer.compare(this.lastExamined.item.value, item.value) === 0) {
@@ -351,16 +383,16 @@
     return version;
   }
 
-  /** Takes note that a configuration that was looked at stands at another place now. */
+  /** Records the new position of a configuration that has already been examined. */
   private updatePosition(
     seen: ExaminedConfiguration,
     item: StoreItem,
     position: StorePosition,
   ): number | undefined {
-    const moved = { item, position, version: seen.version };
-    if (this.taken === seen) this.taken = moved;
-    this.lastExamined = moved;
-    return moved.version;
+    const updated = { item, position, version: seen.version };
+    if (this.taken === seen) this.taken = updated;
+    this.lastExamined = updated;
+    return updated.version;
   }
 
   private logSkipped({ version, position }: ExaminedConfiguration): void {
@@ -381,9 +413,12 @@
     for (const listener of this.changeListeners) listener(this.table);
   }
 
-  /** What was lost with the era before is not proven by reads of this one yet, and its revisions are no order any more. */
-  private handleEraChange(rise: EraChange): void {
-    if (!isRestore(rise)) return;
+  /**
+   * Handles a restore of the store: reads of the new era do not yet prove what was lost with the previous one,
+   * and revisions of the two eras are not comparable.
+   */
+  private handleEraChange(change: EraChange): void {
+    if (!isRestore(change)) return;
     this.lastTroubleAt = this.options.clock.getTime();
     this.follower.restart();
     if (!this.isViaReader) void this.tryRead();
@@ -406,7 +441,7 @@
   }
 }
 
-/** Earlier builds say what they hold by its revision only. */
+/** Compares by revision if the peer is of an earlier build, which does not send the version. */
 function isNewerThan({ position, version }: ExaminedConfiguration, held: HeldConfiguration): boolean {
   if (held.version === undefined || version === undefined) return position.revision > held.revision;
   return version > held.version;
--- a/packages/gateway/src/eraSettling.ts
+++ b/packages/gateway/src/eraSettling.ts
@@ -1,6 +1,7 @@
 /**
- * Whether the store shows all that was acknowledged. One that has come back from a copy lacks what operators wrote since,
- * until they have written it again; a read proves nothing before. Once that time is over, a mark in the store says so to
+ * Decides from when on reads of the store show everything that was acknowledged. A store that was restored from
+ * a copy lacks what operators have written since the copy, until they have written it again, and no read proves
+ * anything before that. An era is settled once that time is over. A record in the store then says so to
  * instances that start later.
  * @module
  */
@@ -16,49 +17,49 @@
   readonly store: Pick<MetadataStore, "eras" | "transact">;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Whether the system starts for the first time: then nothing was acknowledged before. */
+  /** Whether the system starts for the first time, so that nothing was acknowledged before. */
   readonly isFirstStart: boolean;
-  /** Whether this instance writes the mark for all. */
+  /** Whether this instance writes the record of the settled era on behalf of the fleet. */
   readonly isWriter: () => boolean;
   /** Returns the time of day. */
   readonly getTimeOfDay: () => number;
 }
 
 const settledRecordKey = `${gatewayPrefix}store-era`;
-/** Operators and endpoints have written again what was lost within this time of the store's return. */
+/** Operators and endpoints have written again what was lost within this time after a restore. */
 const rewrittenWithinMs = 2_200;
-/** Time between two attempts to write the mark. */
+/** Time between two attempts to write the record. */
 const retryMs = 1_000;
 
 const settledRecordSchema = v.object({
   era: v.number(),
-  /** Time of day at which it was written. */
+  /** Time of day at which the record was written. */
   at: v.number(),
 });
 
-/** Follows the eras of one instance's store. */
+/** Determines when the current era of the store is settled. */
 export class EraSettling {
-  /** Boot time at which the present era was first seen here. */
+  /** Boot time at which this instance first saw the current era. */
   private eraSeenAt = -Infinity;
-  /** Boot time from which on reads show everything; undefined while the era is not settled. */
+  /** Boot time from which on reads are complete; undefined while the era is not settled. */
   private settledAt: number | undefined = -Infinity;
   private recordItem: StoreItem | undefined;
   private settledRecord: v.InferOutput<typeof settledRecordSchema> | undefined;
-  /** Whether this is the system's first life, in the first era that was told it. */
+  /** Whether the system starts for the first time and this is the first era reported to it. */
   private isInitialSystemEra = true;
   private lastWriteAt = -Infinity;
   private isFirstChange = true;
   private readonly listeners: (() => void)[] = [];
 
   private constructor(private readonly options: EraSettlingOptions) {
-    options.store.eras.onEraChange((rise) => this.handleEraChange(rise));
+    options.store.eras.onEraChange((change) => this.handleEraChange(change));
   }
 
   static create(options: EraSettlingOptions): EraSettling {
     return new EraSettling(options);
   }
 
-  /** Whether a read that was sent at a boot time shows all that was acknowledged before it. */
+  /** Whether a read that was sent at a boot time shows everything that was acknowledged before it. */
   isReadComplete(sentAt: number): boolean {
     return this.settledAt !== undefined && sentAt >= this.settledAt;
   }
@@ -67,37 +68,40 @@
     return this.settledAt !== undefined;
   }
 
-  /** Milliseconds since the present era was first seen here; infinite in the first of a store that tells none. */
+  /**
+   * Milliseconds since this instance first saw the current era; infinite in the initial era of a store that
+   * reports none.
+   */
   get ageMs(): number {
     return this.options.clock.getBootTime() - this.eraSeenAt;
   }
 
-  /** Calls back when an era is settled. */
+  /** Registers a listener for an era being settled. */
   onSettled(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Takes an item of the store, or that it is gone; passes over those of others. */
+  /** Applies a put item, or its removal if `item` is undefined; ignores all keys but its own. */
   takeItem(key: string, item: StoreItem | undefined): void {
     if (key !== settledRecordKey) return;
     this.recordItem = item;
     this.settledRecord = item && decodeItem(settledRecordSchema, item.value);
     if (this.settledRecord === undefined) return;
-    // Where the store tells no era, the mark is all that an instance which starts later can know it by.
+    // If the store reports no era, an instance that starts later knows it from this record only.
     this.eras.advanceTo(this.settledRecord.era);
     if (this.settledRecord.era === this.eras.current) this.settle("mark");
   }
 
   /**
-   * Time of day after which nothing that was written can have been lost by the last return; infinite while that is not
-   * known.
+   * Returns the time of day after which no write can have been lost by the last restore; infinite while that is
+   * not known.
    */
   getDurableSince(): number {
     if (this.eras.current === initialEra || this.isInitialSystemEra) return -Infinity;
     return this.settledRecord?.era === this.eras.current ? this.settledRecord.at : Infinity;
   }
 
-  /** Writes the mark where it is due; called several times a second. */
+  /** Writes the record if it is due; called several times a second. */
   review(): void {
     const { clock, isWriter } = this.options;
     const { current } = this.eras;
@@ -141,10 +145,10 @@
   private async writeSettledRecord(era: number): Promise<void> {
     const { store, logger, getTimeOfDay } = this.options;
     const expected = [{ key: settledRecordKey, revision: this.recordItem?.revision ?? 0 }];
-    const mark = { era, at: getTimeOfDay() };
-    const put = [{ key: settledRecordKey, value: Buffer.from(JSON.stringify(mark)) }];
+    const record = { era, at: getTimeOfDay() };
+    const put = [{ key: settledRecordKey, value: Buffer.from(JSON.stringify(record)) }];
     const written = await store.transact({ expected, put, remove: [] });
-    if (written.isOk()) this.settledRecord = mark;
+    if (written.isOk()) this.settledRecord = record;
     logger.info("store.era-marked", { era, outcome: written.isOk() ? "written" : written.error.name });
   }
 }
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -1,32 +1,39 @@
 /**
- * Follows all items under a prefix of the store: a listing, then a watch from its revision on. Whatever goes wrong
- * with the watch, the next step is a new listing.
+ * Follows all items under a prefix of the store: it lists them, then watches from the revision of the listing.
+ * After any failure of the watch it lists again.
  *
- * What a follower knows can be handed on to another one: revisions count for the whole store, so a follower that knows
- * all changes up to one revision needs only what came after it, from whoever knows that.
+ * The changes that a follower knows can be sent to the follower of another instance. Revisions count for the
+ * whole store, so that a follower which knows all changes up to one revision needs only the later ones, from
+ * any follower that knows them.
  * @module
  */
 import { type Clock, type Closeable, Failure, FailureCode, type Logger, waitFor } from "@gladewall/kernel";
 import { type StorePosition, initialEra } from "./storeEras.js";
 import type { MetadataStore, StoreEvent, StoreItem } from "./types.js";
 
-/** Why an item is no longer there. */
+/** Why an item is no longer listed. */
 export enum RemovalCause {
   Removed = 1,
-  /** The store came back from a copy that does not have it; whoever wrote it may write it again. */
+  /** The store was restored from a copy that lacks the item; its writer may write it again. */
   Lost = 2,
 }
 
-/** How an item went. */
+/** How an item was removed. */
 export interface Removal {
   readonly cause: RemovalCause;
-  /** How long ago the store last failed whoever told of it; undefined where nobody did. */
+  /**
+   * Milliseconds since the store last failed the instance that sent the removal; undefined if this instance
+   * read it from the store itself.
+   */
   readonly troubleAgeMs: number | undefined;
 }
 
-/** What a follower tells. Calls come in the order of the store's revisions. */
+/** Receives the changes of a prefix, in the order of the store's revisions. */
 export interface PrefixListener {
-  /** `isRestored`: the item may stand in the copy that the store came back from, older than what was heard before. */
+  /**
+   * `isRestored`: the item may come from the copy that the store was restored from, and be older than what was
+   * known before.
+   */
   handlePut(item: StoreItem, isRestored: boolean): void;
   handleRemoved(key: string, removal: Removal): void;
 }
@@ -39,59 +46,59 @@
   readonly logger: Logger;
   readonly listener: PrefixListener;
   /**
-   * Longest time of a watch; milliseconds. One whose connection has fallen silent hears nothing for twice as long at
-   * the most, and no error tells of it.
+   * Maximum duration of a watch, in milliseconds. A watch whose connection is dead without an error receives
+   * nothing for at most twice that time.
    */
   readonly watchWaitMs?: number;
   /**
-   * Time between the first listing of a life and its first watch, none unless given; milliseconds. An instance that is
-   * told meanwhile what changes needs no watch.
+   * Time between the first listing and the first watch, in milliseconds; 0 by default. An instance that a
+   * reader begins to feed in that time needs no watch.
    */
   readonly firstWatchPauseMs?: number;
-  /** Whether a first listing is needed even where others tell what there is; it is, unless said otherwise. */
+  /** Whether a first listing is required even if a reader sends the items; true by default. */
   readonly isListingNeeded?: boolean;
 }
 
-/** What changed under a prefix after some revision. */
+/** The changes under a prefix after some revision, or a complete listing. */
 export interface PrefixChanges {
   /** Era of all revisions; earlier builds leave it out. */
   readonly era?: number;
-  /** Revision up to which this tells everything. */
+  /** Revision up to which the changes are complete. */
   readonly revision: number;
   readonly items: readonly StoreItem[];
-  /** Keys that went; not told where this is a listing. */
+  /** Removed keys; empty in a listing. */
   readonly removed: readonly { readonly key: string; readonly revision: number }[];
-  /** Whether the items are all there are. */
+  /** Whether `items` is the complete content of the prefix. */
   readonly isListing: boolean;
 }
 
-/** Longest time of a watch of what is proven in another way, or need not be known soon. */
+/** Default duration of a watch, for content that is also proven by reads or that is not needed soon. */
 const defaultWatchWaitMs = 15_000;
-/** Time between two watches: changes that come close together cost one call. */
+/** Pause between two watches, so that changes which come close together cost one call. */
 const batchMs = 120;
 const minRetryPauseMs = 50;
 const maxRetryPauseMs = 800;
-/** Keys that went, kept to be handed on. */
+/** Number of removed keys that are kept, to be sent to other followers. */
 const maxKeptRemovals = 500;
 
 /** Follows one prefix. */
 export class PrefixFollower implements Closeable {
-  /** Whether a listing has ever been had. */
+  /** Whether a listing has ever been applied. */
   isListed = false;
   /**
-   * For how long nothing had been heard, of whoever tells, when the last word came; milliseconds. What that word brought
-   * may have been acknowledged so long before.
+   * Time without any message from the store or a reader before the last one arrived, in milliseconds. The
+   * changes in that message may have been acknowledged that long before its arrival.
    */
   silenceMs = Infinity;
   private receivedAt = -Infinity;
-  /** Era of all revisions that are kept here. */
+  /** Era of all revisions in this follower. */
   private era = initialEra;
-  /** Revision up to which everything is known. */
+  /** Revision up to which all changes are known. */
   private revision = 0;
   private readonly items = new Map<string, StoreItem>();
-  /** Keys that went, by when they did; the oldest first. */
+  /** Removed keys and the revisions of their removal, oldest first. */
   private readonly removed = new Map<string, number>();
-  /** Revision up to which it is not known of all keys that went. */
+  /** Removals are known completely only from this revision on. */
   private removalsCompleteFrom = 0;
   private readonly stop = new AbortController();
   private round = new AbortController();
@@ -110,12 +117,15 @@
     this.task = this.follow();
   }
 
-  /** Gives the watch under way up and lists anew; for when the store comes back. */
+  /** Aborts the pending watch and lists again; called when the store answers again after a failure. */
   restart(): void {
     this.round.abort();
   }
 
-  /** While it is passive, a follower that needs no listing asks the store nothing: others tell it what changes. */
+  /**
+   * Makes the follower passive or active. A passive follower that needs no listing does not call the store,
+   * because a reader sends the changes.
+   */
   setPassive(isPassive: boolean): void {
     if (isPassive === this.isPassive) return;
     this.isPassive = isPassive;
@@ -123,18 +133,23 @@
     else this.wake();
   }
 
-  /** Position up to which everything is known; undefined before the first listing of the store's present era. */
+  /**
+   * Position up to which all changes are known; undefined before the first listing of the store's current era.
+   */
   getPosition(): StorePosition | undefined {
     const { era, revision } = this;
     return this.isListed && era === this.options.store.eras.current ? { era, revision } : undefined;
   }
 
-  /** Returns an item as last heard of. */
+  /** Returns an item in its last known state. */
   getItem(key: string): StoreItem | undefined {
     return this.items.get(key);
   }
 
-  /** Returns what changed after a position; undefined where nothing is known here of the present era. */
+  /**
+   * Returns the changes after a position, or a listing if they are not known completely; undefined if nothing
+   * is known of the current era.
+   */
   getChanges(since: StorePosition | undefined): PrefixChanges | undefined {
     const position = this.getPosition();
     if (!position) return undefined;
@@ -142,14 +157,15 @@
     if (!isComparable) return { ...position, items: [...this.items.values()], removed: [], isListing: true };
     const items = [...this.items.values()].filter((item) => item.revision > since.revision);
     const removed = [...this.removed]
-      .filter(([, removedAt]) => removedAt > since.revision)
-      .map(([key, removedAt]) => ({ key, revision: removedAt }));
+      .filter(([, removalRevision]) => removalRevision > since.revision)
+      .map(([key, removalRevision]) => ({ key, revision: removalRevision }));
     return { ...position, items, removed, isListing: false };
   }
 
   /**
-   * Takes what another follower handed on, whom the store last failed so many milliseconds ago. Of another era than the
-   * present one it is passed over, and so are changes of an era of which no listing is known here.
+   * Applies the changes that another follower sent; `troubleAgeMs` is the time since the store last failed that
+   * follower. Changes of another era than the current one are discarded, and so are changes without a listing
+   * if this follower has no listing of that era.
    */
   applyChanges(changes: PrefixChanges, troubleAgeMs: number): void {
     const { era = initialEra, revision, items, removed, isListing } = changes;
@@ -202,7 +218,7 @@
     return this.isPassive && (this.isListed || !isListingNeeded);
   }
 
-  /** Lists, then watches until something fails. */
+  /** Lists, then watches until a call fails or the signal aborts; returns the failure. */
   private async followOnce(signal: AbortSignal): Promise<Failure> {
     const { store, prefix, clock, watchWaitMs = defaultWatchWaitMs } = this.options;
     const listing = await store.list(prefix);
@@ -214,23 +230,24 @@
       const { era, revision: since } = this;
       const changes = await store.watch(prefix, { era, revision: since }, watchWaitMs, signal);
       if (changes.isErr()) return changes.error;
-      // Another follower may have handed on a later era meanwhile.
+      // Another follower may have sent a listing of a later era in the meantime.
       if (changes.value.position.era !== this.era) {
         return Failure.create(FailureCode.HistoryLost, { revision: since });
       }
       this.recordReceived();
       const { events, position } = changes.value;
-      // A watch that was deaf for a moment ends without events as well: gone on from its revision, what changed meanwhile
-      // would never be heard of. From the old one the store tells it, or that its history is gone.
+      // A watch that received nothing for a while also ends without events. Continuing from its end revision
+      // would lose the changes of that time, so the next watch starts from the old revision again: the store
+      // then sends those changes, or reports that its history is gone.
       if (events.length === 0) continue;
       for (const event of events) this.applyEvent(event);
       this.revision = Math.max(this.revision, position.revision);
       await waitFor(clock, batchMs, signal);
     }
-    return Failure.create(FailureCode.ServiceUnavailable, { detail: "given up" });
+    return Failure.create(FailureCode.ServiceUnavailable, { detail: "the watch was aborted" });
   }
 
-  /** Leaves time, once in a life, for others to begin to tell what changes. */
+  /** Waits once before the first watch, so that a reader can begin to feed this instance. */
   private async pauseOnce(signal: AbortSignal): Promise<void> {
     if (this.hasWatched) return;
     this.hasWatched = true;
@@ -253,20 +270,24 @@
       return this.applyRestoredListing(items, { era, revision }, troubleAgeMs);
     this.era = era;
     const listed = new Set(items.map(({ key }) => key));
-    for (const { key, revision: putAt } of [...this.items.values()]) {
-      // What was put after the listing was taken is not missing from it.
-      if (listed.has(key) || putAt > revision) continue;
+    for (const { key, revision: putRevision } of [...this.items.values()]) {
+      // An item that was put after the listing's revision cannot be in the listing.
+      if (listed.has(key) || putRevision > revision) continue;
       this.remove(key, revision, { cause: RemovalCause.Removed, troubleAgeMs });
     }
     for (const item of items) this.put(item);
     this.revision = Math.max(this.revision, revision);
-    // A listing shows no removal of what this follower never saw. Asked for changes since an older revision it gives all it
-    // has: without that, an instance fed by a reader that had just started used endpoints that were gone, with no end.
+    // A listing does not show removals of items that this follower never knew. Asked for changes since an older
+    // revision, the follower therefore sends a complete listing. Without that, an instance fed by a reader that
+    // had just started kept using endpoints that were gone, without end.
     this.removalsCompleteFrom = Math.max(this.removalsCompleteFrom, revision);
     this.isListed = true;
   }
 
-  /** Takes the first listing of a new era: what was known is no order for it, and what is missing may be written again. */
+  /**
+   * Applies the first listing of a new era. Revisions known before are not comparable with it, and missing
+   * items may be written again.
+   */
   private applyRestoredListing(
     items: readonly StoreItem[],
     { era, revision }: StorePosition,
@@ -305,18 +326,19 @@
   }
 
   private put(item: StoreItem): void {
-    // A listing may be older than a removal that another follower handed on: an endpoint put back by it would stay.
-    const knownAt = this.items.get(item.key)?.revision ?? this.removed.get(item.key) ?? -1;
-    if (knownAt >= item.revision) return;
+    // A listing may be older than a removal that another follower sent; without this check it would add a
+    // removed endpoint again for good.
+    const knownRevision = this.items.get(item.key)?.revision ?? this.removed.get(item.key) ?? -1;
+    if (knownRevision >= item.revision) return;
     this.items.set(item.key, item);
     this.options.listener.handlePut(item, false);
   }
 
   private evictOldestRemoval(): void {
     if (this.removed.size <= maxKeptRemovals) return;
-    for (const [key, removedAt] of this.removed) {
+    for (const [key, removalRevision] of this.removed) {
       this.removed.delete(key);
-      this.removalsCompleteFrom = Math.max(this.removalsCompleteFrom, removedAt);
+      this.removalsCompleteFrom = Math.max(this.removalsCompleteFrom, removalRevision);
       return;
     }
   }
--- a/packages/gateway/src/storeEras.ts
+++ b/packages/gateway/src/storeEras.ts
@@ -1,103 +1,112 @@
 /**
- * Places in the store's history. A store that comes back from a copy gives revisions out again, so they are an order
- * within one era only. The store tells the era with its answers; where it tells none, a revision below one that was known
- * when a call was sent shows that another has begun.
+ * Tracks eras of the store. An era is a period of the store's history in which revisions only grow. A store
+ * that is restored from a copy issues the same revisions again, so that revisions are ordered within one era
+ * only.
+ *
+ * The store reports its era in its responses. If it reports none, a revision below one that was known when the
+ * call was sent shows that a new era has begun.
  * @module
  */
 
-/** A place in the store's history. */
+/** A revision and the era that it belongs to. */
 export interface StorePosition {
   readonly era: number;
-  /** Counts within the era. */
+  /** Grows within the era. */
   readonly revision: number;
 }
 
-/** Whether two places are the same. */
+/** Whether two positions are the same. */
 export function isSamePosition(one: StorePosition, other: StorePosition): boolean {
   return one.era === other.era && one.revision === other.revision;
 }
 
-/** Era of a store that has told none and was not seen to go back. */
+/** Era of a store that has reported none and has not been restored, as far as is known. */
 export const initialEra = 0;
-/** Each return that only revisions show counts so much: told eras are whole numbers, and above all of these. */
+/**
+ * What each restore that only revisions show adds to the era. Reported eras are whole numbers, and greater than
+ * all of these.
+ */
 const unreportedEraStep = 1 / 1_024;
 
 const minReportedEra = 1;
 
-/** Whether an era is one that the store told; others are counted from revisions that fell. */
+/** Whether the store reported this era; other eras are counted from revisions that fell. */
 export function isReportedEra(era: number): boolean {
   return era >= minReportedEra;
 }
 
-/** What an answer tells of its era. */
+/** The era that a response reports. */
 export interface ReportedEra {
-  /** Undefined where it tells none that can be read. */
+  /** Undefined if the response reports none or one that cannot be parsed. */
   readonly era: number | undefined;
-  /** Text of a word that could not be read. */
+  /** The reported text if it could not be parsed. */
   readonly unreadable?: string | undefined;
 }
 
-/** What was known when a call was sent. */
+/** What was known of the store when a call was sent. */
 export interface CallStart {
   readonly era: number;
   readonly revision: number;
 }
 
-/** By what a new era was found out. */
+/** How a new era was detected. */
 export enum EraSource {
-  /** An answer of the store that tells it. */
+  /** The store reported it in a response. */
   Answer = 1,
-  /** A revision below one that was known. */
+  /** A response had a revision below one that was known. */
   Revision = 2,
-  /** Another instance. */
+  /** Another instance knew it. */
   Peer = 3,
 }
 
-/** The beginning of an era, as seen here. */
+/** The beginning of an era, as this instance sees it. */
 export interface EraChange {
   readonly from: number;
   readonly to: number;
   readonly source: EraSource;
-  /** Highest revision that was known in the era before; 0 where none was. */
+  /** Highest revision that was known in the previous era; 0 if none was. */
   readonly revisionBefore: number;
 }
 
-/** Whether the store came back from a copy, and did not only tell its era to this instance for the first time. */
+/**
+ * Whether the store was restored from a copy. Otherwise it has only reported its era to this instance for the
+ * first time.
+ */
 export function isRestore({ from, revisionBefore }: Pick<EraChange, "from" | "revisionBefore">): boolean {
   return from !== initialEra || revisionBefore > 0;
 }
 
-/** Whether a call that was sent in one era was answered in another one. */
+/** Whether a call was sent in one era and answered in another, because the store was restored in between. */
 export function isAnsweredAfterRestore(start: CallStart, { era }: StorePosition): boolean {
   return start.era !== era && isRestore({ from: start.era, revisionBefore: start.revision });
 }
 
-/** Why an answer is passed over. */
+/** Why a response is discarded. */
 export enum DiscardCause {
-  /** It is of an era that was over when it came. */
+  /** Its era had ended when it arrived. */
   Late = 1,
-  /** It was asked for in an era that was known, and is of one before. */
+  /** The call was sent in a known era, and the response is of an earlier one. */
   Fallen = 2,
-  /** It tells no era, though earlier ones did, or none that can be read. */
+  /** It reports no era, although earlier responses did, or one that cannot be parsed. */
   Untold = 3,
 }
 
-/** An answer that is passed over. */
+/** A response that is discarded. */
 export interface DiscardedResponse {
   readonly cause: DiscardCause;
-  /** Era of the answer, where it has one. */
+  /** Era of the response, if it has one. */
   readonly era: number | undefined;
   readonly unreadable?: string | undefined;
 }
 
-/** The era that the store is in, as this instance knows. */
+/** The current era of the store, as far as this instance knows. */
 export class StoreEras {
   private known = initialEra;
   private isReported = false;
-  /** Highest revision that an answer of this era showed. */
+  /** Highest revision in any response of this era. */
   private revision = 0;
   private readonly changeListeners: ((changeEra: EraChange) => void)[] = [];
-  private readonly discardListeners: ((answer: DiscardedResponse) => void)[] = [];
+  private readonly discardListeners: ((response: DiscardedResponse) => void)[] = [];
 
   private constructor() {}
 
@@ -110,29 +119,35 @@
     return this.known;
   }
 
-  /** Calls back when a new era is known, before anything of it is passed on; the first that is told is one, too. */
-  onEraChange(listener: (rise: EraChange) => void): void {
+  /**
+   * Registers a listener for new eras. It is called before any content of the new era is passed on, and also
+   * for the first reported era.
+   */
+  onEraChange(listener: (change: EraChange) => void): void {
     this.changeListeners.push(listener);
   }
 
-  /** Calls back with each answer that is passed over. */
-  onDiscarded(listener: (answer: DiscardedResponse) => void): void {
+  /** Registers a listener for discarded responses. */
+  onDiscarded(listener: (response: DiscardedResponse) => void): void {
     this.discardListeners.push(listener);
   }
 
-  /** What is known now, for a call that is to be sent. */
+  /** Returns what is known now, for a call that is about to be sent. */
   startCall(): CallStart {
     return { era: this.known, revision: this.revision };
   }
 
-  /** Takes what the head of an answer tells, a refusal's too; returns the answer's era, undefined where it counts for nothing. */
+  /**
+   * Applies the era in the head of a response, also of a refusal; returns the era of the response, or undefined
+   * if the response is discarded.
+   */
   acceptEra(start: CallStart, { era, unreadable }: ReportedEra): number | undefined {
     if (era === undefined) {
       if (!this.isReported) return start.era;
       this.discard({ cause: DiscardCause.Untold, era, unreadable });
       return undefined;
     }
-    // A first told era takes the place of what was counted here, whichever number is higher.
+    // The first reported era replaces the eras that were counted here, even if its number is lower.
     const isFirst = !this.isReported && !isReportedEra(this.known);
     this.isReported = true;
     if (isFirst || era > this.known) this.rise(era, EraSource.Answer);
@@ -142,8 +157,8 @@
   }
 
   /**
-   * Takes the revision that a whole answer shows, where it shows one; returns the answer's position, undefined where its
-   * era is over.
+   * Applies the revision in a complete response, if it has one; returns the position of the response, or
+   * undefined if its era has ended.
    */
   acceptRevision(start: CallStart, era: number, revision = this.revision): StorePosition | undefined {
     if (era !== this.known) {
@@ -156,20 +171,20 @@
     return { era: this.known, revision };
   }
 
-  /** Takes an era that another instance knows of: what is known of an earlier one is not gone on with. */
+  /** Applies an era that another instance knows. What is known of earlier eras is no longer used. */
   advanceTo(era: number): void {
     if (Number.isFinite(era) && era > this.known) this.rise(era, EraSource.Peer);
   }
 
   private rise(to: number, source: EraSource): void {
     if (to === this.known) return;
-    const rise = { from: this.known, to, source, revisionBefore: this.revision };
+    const change = { from: this.known, to, source, revisionBefore: this.revision };
     this.known = to;
     this.revision = 0;
-    for (const listener of this.changeListeners) listener(rise);
+    for (const listener of this.changeListeners) listener(change);
   }
 
-  private discard(answer: DiscardedResponse): void {
-    for (const listener of this.discardListeners) listener(answer);
+  private discard(response: DiscardedResponse): void {
+    for (const listener of this.discardListeners) listener(response);
   }
 }
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -1,6 +1,6 @@
 /**
- * How an instance that is no reader of the store comes by what the store holds: from the reader that it asks, or from
- * the store itself while no reader tells it.
+ * Obtains the store's content for an instance that is not a reader: from the reader that it asks, or from the
+ * store itself while no reader feeds it.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -20,15 +20,15 @@
   readonly timings: FeedTimings;
   readonly eras: StoreEras;
   readonly configuration: ConfigurationFollower;
-  /** Followers of what is handed on, by prefix. */
+  /** Followers whose changes readers send, by prefix. */
   readonly followers: Readonly<Record<string, PrefixFollower>>;
 }
 
-/** What the store holds, as readers tell it and are told. */
+/** Sends the store's content as a reader, and applies what another reader sends. */
 export class StoreFeed {
   private readonly feed: FeedReplication;
   private readonly selection: ReaderSelection;
-  /** When a reader that the store serves last answered. */
+  /** Time at which a reader that the store serves last answered. */
   private lastFedAt = -Infinity;
 
   private constructor(private readonly options: StoreFeedOptions) {
@@ -41,36 +41,39 @@
     return new StoreFeed(options);
   }
 
-  /** Whether a reader told this instance a moment ago what the store holds. */
+  /** Whether a reader has sent the store's content recently enough. */
   get isActive(): boolean {
     return this.options.clock.getTime() - this.lastFedAt < this.options.timings.feedLifetimeMs;
   }
 
   /**
-   * Whether this instance asks the readers. One that is a reader itself does so while the store turns it away: it would go
-   * on using endpoints that have left.
+   * Whether this instance asks the readers. A reader does so too while the store refuses it, because it would
+   * otherwise keep using endpoints that have left.
    */
   isAsking(isReader: boolean): boolean {
     return !isReader || this.options.configuration.isStoreLost;
   }
 
-  /** Chooses the reader to be asked now; undefined where this instance asks none, or none is linked. */
+  /** Returns the reader to ask now; undefined if this instance asks none or none is linked. */
   chooseReader(isReader: boolean, linked: readonly string[]): string | undefined {
     if (!this.isAsking(isReader)) return undefined;
     return this.selection.choose(linked, this.options.clock.getTime());
   }
 
-  /** What this instance knows already, for the reader that it asks. */
+  /** Returns what this instance already knows, for the reader that it asks. */
   getState(): FeedState {
     return this.feed.getState();
   }
 
-  /** What this instance knows and the one that asks does not. */
+  /** Creates the message with everything that this instance knows and the requester does not. */
   createMessage(state: FeedState): FeedMessage {
     return this.feed.createMessage(state);
   }
 
-  /** Takes a reader's answer to a question asked at a time; one that the store does not serve is passed over. */
+  /**
+   * Applies a reader's reply to a report that was sent at a boot time. A reply from a reader that the store
+   * does not serve is discarded.
+   */
   apply(message: FeedMessage, askedAt: number): void {
     const time = this.options.clock.getTime();
     this.selection.recordAnswer(time);
@@ -78,14 +81,15 @@
       this.lastFedAt = time;
       return;
     }
-    // The store may have turned away more readers than this one: this instance asks it itself until another tells more.
+    // The store may refuse other readers too, so this instance reads the store itself until another reader
+    // sends newer content.
     this.lastFedAt = -Infinity;
     this.selection.skip(time);
     const { era, storeAgeMs } = message;
     this.options.logger.info("feed.passed-over", { era, storeAgeMs: Math.round(storeAgeMs) });
   }
 
-  /** Takes up the role that follows from whether this instance is a reader, and from what it was told. */
+  /** Sets the role that follows from whether this instance is a reader and whether a reader feeds it. */
   setRole(isReader: boolean): void {
     const ownRole = this.isActive ? StoreRole.ViaReader : StoreRole.Direct;
     this.feed.setRole(isReader ? StoreRole.Reader : ownRole);
