--- a/packages/gateway/src/feedReplication.ts
+++ b/packages/gateway/src/feedReplication.ts
@@ -1,61 +1,63 @@
 /**
- * What the platform's store holds, handed on by its readers: the configuration with the age of its proof, endpoints,
- * members. Only the readers ask the store, so its calls do not grow with instances times changes.
+ * Replicates the store's content from readers to the other instances: the configuration with its freshness
+ * proof, the endpoints and the members. Only readers call the store, so that the number of calls does not grow
+ * with the number of instances times the number of changes.
  * @module
  */
 import { type ConfigurationFollower, StoreRole, type ConfigurationProof } from "./configurationFollower.js";
 import type { PrefixChanges, PrefixFollower } from "./prefixFollower.js";
 import { type StoreEras, initialEra } from "./storeEras.js";
 
-/** What an instance knows already, for the one that it asks. */
+/** What an instance already knows, sent to the reader that it asks. */
 export interface FeedState {
-  /** Revision of the configuration that is held; 0 before the first. */
+  /** Revision of the newest configuration that the sender has; 0 before the first. */
   readonly configuration: number;
-  /** Its version, and the era of all revisions here; earlier builds leave both out. */
+  /** Its version, and the era of all revisions in this message; earlier builds leave both out. */
   readonly version?: number;
   readonly era?: number;
-  /** Revision up to which each prefix is known; left out before its first listing. */
+  /** Revision up to which each prefix is known; a prefix is left out before its first listing. */
   readonly prefixes: Readonly<Record<string, number>>;
 }
 
-/** What an instance has yet to know. */
+/** A reader's reply: what the requester does not know yet. */
 export interface FeedMessage {
-  /** Left out where the teller has no proof. */
+  /** Left out if the sender has no fresh proof. */
   readonly vouch?: ConfigurationProof | undefined;
-  /** Newest era that the teller knows of; earlier builds leave it out. */
+  /** Newest era that the sender knows; earlier builds leave it out. */
   readonly era?: number;
-  /** Milliseconds since the teller sent a read that the store answered. */
+  /** Milliseconds since the sender sent the last read that the store answered. */
   readonly storeAgeMs: number;
-  /** Milliseconds since a call of the teller last failed. */
+  /** Milliseconds since a call of the sender to the store last failed. */
   readonly troubleAgeMs: number;
   readonly prefixes: Readonly<Record<string, PrefixChanges>>;
 }
 
 /**
- * Larger configurations are not handed on to the many instances that a reader feeds: its link may be narrow, the
- * store's is not. Who asks for a peer's word because the store turns it away gets them all the same.
+ * Larger configurations are not sent to the many instances that a reader feeds, because the reader's network
+ * link may be narrow while the store's is not. A peer that requests a proof because the store refuses it gets
+ * them anyway.
  */
 const maxConfigurationBytes = 32_768;
-/** Stands for no trouble ever: infinity has no place in every codec. */
+/** Sent instead of infinity if no call ever failed, because not every codec can represent infinity. */
 const noTroubleMs = 1_000_000_000;
 
-/** Hands on, and takes what was handed on. */
+/** Creates feed messages, and applies those of readers. */
 export class FeedReplication {
   private constructor(
     private readonly eras: StoreEras,
     private readonly configuration: ConfigurationFollower,
     private readonly followers: Readonly<Record<string, PrefixFollower>>,
-    private readonly longestStoreAgeMs: number,
+    private readonly maxStoreAgeMs: number,
   ) {}
 
-  /** `longestStoreAgeMs`: a teller whose store has been silent for longer is not believed. */
+  /** `maxStoreAgeMs`: messages of a sender whose last answered read is older are discarded. */
   static create(
     eras: StoreEras,
     configuration: ConfigurationFollower,
     followers: Readonly<Record<string, PrefixFollower>>,
-    longestStoreAgeMs: number,
+    maxStoreAgeMs: number,
   ): FeedReplication {
-    return new FeedReplication(eras, configuration, followers, longestStoreAgeMs);
+    return new FeedReplication(eras, configuration, followers, maxStoreAgeMs);
   }
 
   getState(): FeedState {
@@ -70,9 +72,10 @@
   }
 
   createMessage(state: FeedState): FeedMessage {
-    // Whoever asks may have been served by the store later than this instance.
+    // The store may have served the requester more recently than this instance.
     this.eras.advanceTo(state.era ?? initialEra);
-    // An earlier build names no era: its numbers are taken for those of the present one, as it takes them itself.
+    // An earlier build sends no era: its revisions are taken for those of the current era, as the earlier build
+    // does with the revisions that it receives.
     const { era = this.eras.current, configuration: revision, version } = state;
     const prefixes: Record<string, PrefixChanges> = {};
     for (const [prefix, follower] of Object.entries(this.followers)) {
@@ -90,13 +93,16 @@
     };
   }
 
-  /** Takes what was told in answer to a question asked at a time; returns whether the teller is served by the store. */
+  /**
+   * Applies the reply to a report that was sent at a boot time; returns whether the store serves the sender.
+   */
   apply(message: FeedMessage, askedAt: number): boolean {
     const { vouch, era = initialEra, storeAgeMs, troubleAgeMs, prefixes } = message;
-    if (storeAgeMs > this.longestStoreAgeMs) return false;
+    if (storeAgeMs > this.maxStoreAgeMs) return false;
     this.eras.advanceTo(era);
     if (vouch) this.configuration.applyProof(vouch, askedAt);
-    // Of an era that is over, or of an earlier build that knows of none, its numbers are no order here.
+    // Revisions of an era that has ended, or of an earlier build that knows no eras, are not comparable with
+    // those of this instance.
     if (era < this.eras.current) return false;
     for (const [prefix, changes] of Object.entries(prefixes)) {
       this.followers[prefix]?.applyChanges(changes, troubleAgeMs);
@@ -104,7 +110,10 @@
     return true;
   }
 
-  /** Says how this instance comes by what the store holds; while the store is lost, nothing is to be had from it. */
+  /**
+   * Sets how this instance obtains the store's content. While the store does not answer, the followers stay
+   * passive.
+   */
   setRole(role: StoreRole): void {
     this.configuration.setRole(role);
     const isPassive = role === StoreRole.ViaReader || this.configuration.isStoreLost;
--- a/packages/gateway/src/fleetRoles.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -1,33 +1,36 @@
 /**
- * Which instances do for all what need not be done by each. A few readers ask the platform's store and hand on what it
- * holds, in a fleet of any size: they are the same for all instances, those that can carry most, by a hash where they
- * are alike. One that can't be reached is passed over for the next, so no list of them is kept anywhere and nothing is
- * agreed on. While the fleet is small, every instance hears every other's reports; in a large one only the readers do.
+ * Chooses the readers: the few instances that read the platform's store and send its content to the others, in
+ * a fleet of any size. All instances choose the same ones, namely those with the greatest capacity, ordered by
+ * a hash of their names where the capacity is equal. An unreachable one is skipped for the next, so that no
+ * list of readers is stored and no agreement is needed.
+ *
+ * It also decides which instances are collectors, which receive the reports of all instances: every instance
+ * while the fleet is small (a full mesh), only the readers in a large fleet.
  * @module
  */
 import { type Clock, hashText } from "@gladewall/kernel";
 
-/** Options of the choice. */
+/** Options of the roles. */
 export interface FleetRolesOptions {
   readonly clock: Clock;
   readonly own: string;
-  /** Largest fleet in which every instance hears every other. */
+  /** Largest fleet in which every instance sends its reports to every other. */
   readonly largestMesh: number;
-  /** Readers of the store. */
+  /** Number of readers. */
   readonly count: number;
   readonly getNames: () => Iterable<string>;
   readonly getCapacity: (name: string) => number;
   readonly isLinked: (name: string) => boolean;
 }
 
-/** Time for a link to come up, after which the next instance is asked too. */
+/** Time for a link to be established; after it, the next instance is chosen in addition. */
 const linkTimeoutMs = 800;
 
-/** Chooses the readers, and knows who hears the whole fleet. */
+/** Chooses the readers, and knows whether this instance is a reader or a collector. */
 export class FleetRoles {
   private readers: readonly string[] = [];
   private ranking: readonly string[] = [];
-  /** Since when each instance that is wanted has had no link. */
+  /** Time since which each chosen instance has had no link. */
   private readonly unlinkedSince = new Map<string, number>();
 
   private constructor(private readonly options: FleetRolesOptions) {}
@@ -36,37 +39,37 @@
     return new FleetRoles(options);
   }
 
-  /** Whether the fleet is so small that every instance hears every other. */
+  /** Whether the fleet is so small that every instance is linked with every other. */
   get isMesh(): boolean {
     return this.ranking.length <= this.options.largestMesh;
   }
 
-  /** Whether this instance hears the whole fleet. */
+  /** Whether this instance receives the reports of all instances. */
   get isCollector(): boolean {
     return this.isMesh || this.isReader;
   }
 
-  /** Whether this instance asks the store for others. */
+  /** Whether this instance reads the store on behalf of the fleet. */
   get isReader(): boolean {
     return this.readers.includes(this.options.own);
   }
 
-  /** Instances to be linked with; those that can't be reached now are among them. */
+  /** Instances to link with, including those that are unreachable now. */
   getLinkTargets(): readonly string[] {
     return this.isMesh ? this.ranking : this.readers;
   }
 
-  /** Readers, this instance among them where it is one; those that can't be reached now are among them. */
+  /** The readers, including this instance if it is one, and those that are unreachable now. */
   getReaders(): readonly string[] {
     return this.readers;
   }
 
-  /** Readers that can be asked. */
+  /** The readers that are linked. */
   getLinkedReaders(): readonly string[] {
     return this.readers.filter((name) => this.options.isLinked(name));
   }
 
-  /** Takes the fleet's new list. */
+  /** Applies a new list of members. */
   setFleet(): void {
     const { own, getNames, getCapacity } = this.options;
     const names = new Set([...getNames(), own]);
@@ -76,7 +79,7 @@
     this.chooseReaders();
   }
 
-  /** Chooses the readers anew, by the links that are up; returns whether the choice has changed. */
+  /** Chooses the readers again, by the links that are up; returns whether the choice has changed. */
   chooseReaders(): boolean {
     const { own, count } = this.options;
     const chosen: string[] = [];
--- a/packages/gateway/src/memberMessages.ts
+++ b/packages/gateway/src/memberMessages.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of what members tell each other.
+ * Messages between the members of the fleet. A member is an instance that is listed in the store.
  * @module
  */
 import type { PeerMessage } from "@gladewall/coordination";
@@ -11,7 +11,7 @@
 import type { CounterReport, CounterView } from "./sharedCounters.js";
 import type { WindowCounts } from "./usageCounts.js";
 
-/** Numbers of the messages between members; the links keep the lower ones. */
+/** Message numbers of the messages between members; the links themselves use lower ones. */
 export enum MemberMessageKind {
   Report = 32,
   View = 33,
@@ -22,133 +22,147 @@
   QuotaCall = 38,
 }
 
-/** What an instance tells several times a second. */
+/**
+ * The report that an instance sends several times a second: to every peer in a small fleet, to the readers in a
+ * large one.
+ */
 export interface ReportMessage extends PeerMessage {
   readonly kind: MemberMessageKind.Report;
-  /** Number of the report within the sender's life. */
+  /** Number of the report since the sender's start. */
   readonly sequence: number;
-  /** Time of day as the sender counts it. */
+  /** Time of day by the sender's clock, in milliseconds since 1970. */
   readonly time: number;
   readonly counters: CounterReport;
   readonly work: EndpointWork;
-  /** Reading rates that the sender has learned; earlier builds leave them out. */
+  /** Prefill rates that the sender has learned; earlier builds leave them out. */
   readonly rates?: RateReport;
-  /** Parts of prompts that endpoints have read since the last report; earlier builds leave them out in large fleets. */
+  /**
+   * Prompt parts that endpoints have processed since the last report; earlier builds leave them out in large
+   * fleets.
+   */
   readonly read?: PrefixReport;
   /** Left out in some reports. */
   readonly usage?: WindowCounts;
-  /** What the sender knows of the store, where it asks what it holds. */
+  /** What the sender knows of the store's content; set if the sender asks the receiver for the rest. */
   readonly feed?: FeedState;
-  /** Whether the sender hears the whole fleet: asked what the store holds, a reader then answers with no view. */
+  /**
+   * Whether the sender is a collector, which receives the reports of all instances. A reader's reply to it then
+   * contains no view.
+   */
   readonly hearsAll?: boolean;
-  /** Whether the sender has begun to hear the whole fleet, and asks for the receiver's counts of it. */
+  /** Whether the sender has just become a collector and asks for the receiver's counts of the fleet. */
   readonly wantsCounts?: boolean;
 }
 
-/** Counts of an instance that hears the whole fleet, for one that has begun to. */
+/** Counts of a collector, sent to an instance that has just become one. */
 export interface CountsMessage extends PeerMessage {
   readonly kind: MemberMessageKind.Counts;
-  /** Report of the receiver that asked, up to which its counts are included. */
+  /** Number of the receiver's report that asked; the counts include the receiver's own up to that report. */
   readonly sequence: number;
   readonly counters: CounterView;
 }
 
-/** What a reader answers to an instance that hears the whole fleet itself. */
+/** A reader's reply to a report of a collector. */
 export interface FeedAnswer extends PeerMessage {
   readonly kind: MemberMessageKind.Feed;
-  /** Report of the receiver that asked. */
+  /** Number of the receiver's report that asked. */
   readonly sequence: number;
   readonly feed: FeedMessage;
 }
 
-/** What a reader answers to an instance of a large fleet. */
+/**
+ * A reader's reply to a report of an instance in a large fleet: the aggregated counts and work of the fleet.
+ */
 export interface ViewMessage extends PeerMessage {
   readonly kind: MemberMessageKind.View;
-  /** Report of the receiver up to which its counts are included. */
+  /** Number of the receiver's report up to which its own counts are included. */
   readonly sequence: number;
   readonly counters: CounterView;
-  /** Work of all instances but the receiver. */
+  /** Work of all instances except the receiver. */
   readonly work: EndpointWork;
   /** Number of the last relayed placement that the work includes; earlier builds relay none. */
   readonly placedNumber?: number;
-  /** Share of the fleet that is heard. */
+  /** Share of the fleet whose reports the sender receives, 0 to 1. */
   readonly knownShare: number;
-  /** Reading rates that the sender goes by; earlier builds leave them out. */
+  /** Prefill rates that the sender uses; earlier builds leave them out. */
   readonly rates?: RateReport;
   readonly feed: FeedMessage;
 }
 
-/** A long prompt was sent to an endpoint; told at once, as the next report may come too late to keep others away. */
+/**
+ * A long prompt was sent to an endpoint. This is sent immediately, because the next report may come too late to
+ * keep other instances from choosing the same endpoint.
+ */
 export interface PlacementMessage extends PeerMessage {
   readonly kind: MemberMessageKind.Placement;
-  /** Earlier builds name it otherwise. */
+  /** Earlier builds send it under another name. */
   readonly endpoint?: string;
   readonly tokens: number;
 }
 
-/** Field that the links' pings carry. */
+/** Field that the links' pings carry: the sender's time of day. */
 export interface PingMessage extends PeerMessage {
   readonly time?: number;
 }
 
-/** A long prompt and where it was sent. */
+/** The endpoint that a long prompt was sent to, and the prompt's tokens. */
 export type PlacementEntry = readonly [endpoint: string, tokens: number];
 
-/** Placements of other instances, handed on by a reader of a large fleet. */
+/** Placements of other instances, relayed by a reader in a large fleet. */
 export interface PlacementRelayMessage extends PeerMessage {
   readonly kind: MemberMessageKind.PlacementRelay;
-  /** Number of the first entry within the reader's life; the others follow. */
+  /** Number of the first entry since the reader's start; the others follow consecutively. */
   readonly first: number;
-  /** The receiver's own have an empty endpoint. */
+  /** Placements of the receiver itself have an empty endpoint. */
   readonly entries: readonly PlacementEntry[];
-  /** Parts of prompts that endpoints have read. */
+  /** Prompt parts that endpoints have processed. */
   readonly read: PrefixReport;
 }
 
-/** What units of a limit are taken for. */
+/** What the units of a limit are charged for. */
 export enum QuotaUse {
-  /** A request's first run. */
+  /** The first run of a request. */
   First = 1,
-  /** A further run of a request that was let in. */
+  /** A retry of a request that was admitted. */
   Retry = 2,
 }
 
-/** A call: may this instance have taken so many units of a workspace's limit in all? */
+/** A call to the arbiter of a workspace's limit: may the sender's total become this high? */
 export interface QuotaCall extends PeerMessage {
   readonly kind: MemberMessageKind.QuotaCall;
   readonly workspace: string;
-  /** Units that this life of the sender has taken, with those it asks for. */
+  /** Units that the sender has taken since its start, including those it asks for. */
   readonly total: number;
-  /** Milliseconds that this life has lasted. */
+  /** Milliseconds since the sender's start. */
   readonly uptime: number;
   readonly use: QuotaUse;
 }
 
-/** What an instance asks; the message without its kind. */
+/** The fields of a call; the message without its kind. */
 export type QuotaCallArguments = Omit<QuotaCall, "kind" | "call">;
 
-/** What an arbiter says to a question. */
+/** An arbiter's decision. */
 export enum GrantDecision {
-  /** The total is counted. */
+  /** The total is granted and counted. */
   Granted = 1,
-  /** It is not, as there is no room. */
+  /** The total is not counted, because the limit is exhausted. */
   Refused = 2,
-  /** The receiver does not know enough of the sender, or of the workspace. */
+  /** The receiver does not know enough of the sender or of the workspace to decide. */
   Unknown = 3,
 }
 
-/** Answer to a question. */
+/** Reply to a quota call. */
 export interface QuotaReply {
   readonly word: GrantDecision;
-  /** Units of the limit that the fleet has taken, as the arbiter counts them. */
+  /** Units of the limit that the fleet has taken, by the arbiter's count. */
   readonly level: number;
 }
 
-/** Puts a question so that the arbiter of the workspace's limit can be asked. */
-export function createQuotaCall(question: QuotaCallArguments): ArbiterCall<QuotaReply> {
+/** Creates the call to the arbiter of the workspace's limit. */
+export function createQuotaCall(call: QuotaCallArguments): ArbiterCall<QuotaReply> {
   return {
-    subject: question.workspace,
-    message: { kind: MemberMessageKind.QuotaCall, ...question },
+    subject: call.workspace,
+    message: { kind: MemberMessageKind.QuotaCall, ...call },
     isUndecided: ({ word }) => word === GrantDecision.Unknown,
   };
 }
--- a/packages/gateway/src/memberRecords.ts
+++ b/packages/gateway/src/memberRecords.ts
@@ -1,5 +1,6 @@
 /**
- * The fleet as the store lists it: each instance records itself under a lease and follows the others' records.
+ * Keeps the list of members in the store: each instance writes a record of itself under a lease and follows the
+ * records of the others.
  * @module
  */
 import type { PeerAddress } from "@gladewall/coordination";
@@ -9,7 +10,7 @@
 import * as v from "valibot";
 import type { MetadataStore, StoreItem } from "./types.js";
 
-/** Keys of the gateway's own items in the store. */
+/** Prefix of the keys of the gateway's own items in the store. */
 export const gatewayPrefix = "gladewall/";
 const memberPrefix = `${gatewayPrefix}members/`;
 
@@ -19,22 +20,25 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly name: string;
-  /** Grows with each life of the instance. */
+  /** Grows with each start of the instance. */
   readonly incarnation: number;
-  /** `host:port` that peers reach this instance at. */
+  /** `host:port` at which peers reach this instance. */
   readonly address: string;
-  /** How much the instance can carry of what is done for all; any unit that all instances share. */
+  /** How much of the work for the whole fleet the instance can do, in any unit that all instances share. */
   readonly capacity: number;
-  /** Called after changes, once for those that came together. */
+  /** Called after changes; once for changes that arrive together. */
   readonly onChange: () => void;
-  /** Called with each of the gateway's other items, and with `undefined` and how it went once one is gone. */
+  /**
+   * Called with each of the gateway's other items, and with `undefined` and the kind of removal once an item is
+   * gone.
+   */
   readonly onItem?: (key: string, item: StoreItem | undefined, removal?: Removal) => void;
-  /** Whether an instance is linked: its record is kept even where the store has none. */
+  /** Whether an instance is linked; the record of a linked instance is kept even if the store has none. */
   readonly isLinked: (name: string) => boolean;
 }
 
 const memberSchema = v.object({
-  /** `host:port` that peers reach the instance at. */
+  /** `host:port` at which peers reach the instance. */
   address: v.pipe(v.string(), v.includes(":")),
   incarnation: v.number(),
   capacity: v.optional(v.number()),
@@ -44,23 +48,28 @@
 
 const leaseMs = 6_000;
 const renewIntervalMs = 2_000;
-/** Instances that start together record themselves within less; until they are known, the fleet looks smaller than it is. */
+/**
+ * Instances that start together write their records in less than this time; until all are known, the fleet
+ * looks smaller than it is.
+ */
 const firstWatchPauseMs = 400;
-/** A vanished record is kept this long: records also vanish when the store is in trouble. */
+/**
+ * A record that is gone from the store is kept this long, because records also disappear when the store fails.
+ */
 const removalDelayMs = 15_000;
 
-/** Records of all instances. */
+/** The records of all instances, and the lease of this instance's own record. */
 export class MemberRecords implements Closeable {
-  /** The gateway's other items of the store, as last heard of. */
+  /** The gateway's other items in the store, in their last known state. */
   readonly items = new Map<string, StoreItem>();
   private readonly records = new Map<string, MemberRecord>();
   readonly follower: PrefixFollower;
   private readonly stop = new AbortController();
-  /** Timers after which vanished records are forgotten. */
+  /** Timers after which removed records are dropped. */
   private readonly forgetTimers = new Map<string, Timer>();
   private lease: string | undefined;
   private isChangePending = false;
-  /** When a name was listed that was not before. */
+  /** Time at which an instance was last listed that was not known before. */
   private lastGrowthAt: number;
   private task: Promise<void> = Promise.resolve();
 
@@ -90,17 +99,17 @@
     this.task = this.maintainRecord();
   }
 
-  /** Names of all instances that are listed. */
+  /** Names of all listed instances. */
   getNames(): Iterable<string> {
     return this.records.keys();
   }
 
-  /** Instances that are listed, this one included. */
+  /** Number of listed instances, including this one. */
   get size(): number {
     return Math.max(1, this.records.size);
   }
 
-  /** Whether the gateway's own items have ever been read. */
+  /** Whether the gateway's own items have been listed at least once. */
   get isListed(): boolean {
     return this.follower.isListed;
   }
@@ -109,17 +118,17 @@
     return [...this.records].map(([name, { address, incarnation }]) => ({ name, address, incarnation }));
   }
 
-  /** How much an instance can carry of what is done for all. */
+  /** How much of the work for the whole fleet an instance can do; 0 if it is not known. */
   getCapacity(name: string): number {
     return this.records.get(name)?.capacity ?? 0;
   }
 
-  /** Milliseconds since an instance was found that was not known before. */
+  /** Milliseconds since an instance was listed that was not known before. */
   getTimeSinceGrowth(): number {
     return this.options.clock.getTime() - this.lastGrowthAt;
   }
 
-  /** Lists anew; for when the store comes back. */
+  /** Lists again; called when the store answers again after a failure. */
   restart(): void {
     this.follower.restart();
   }
@@ -144,20 +153,21 @@
     if (this.lease === undefined || (await this.isLeaseLost(this.lease))) await this.writeRecord();
   }
 
-  /** Renews a lease; true where it is over, and no other carries this life's record. */
+  /** Renews a lease; returns true if it has ended and no other lease carries the record of this start. */
   private async isLeaseLost(lease: string): Promise<boolean> {
     const { store } = this.options;
     const renewed = await store.renewLease(lease);
-    // Only a clear word ends the lease; it may have been renewed where the answer was lost.
+    // Only a definite response ends the lease, because it may have been renewed if the response was lost.
     if (renewed.isOk() || renewed.error.code !== FailureCode.LeaseLost) return false;
-    // A store that came back from a copy may have the record and its lease still: a read costs it less than two writes.
+    // A store that was restored from a copy may still have the record and its lease. A read costs the store
+    // less than two writes.
     this.lease = await this.findOwnLease();
     if (this.lease === undefined) return true;
     await store.renewLease(this.lease);
     return false;
   }
 
-  /** Reads the lease that this life's record goes with; undefined where there is none. */
+  /** Reads the lease of the record that this start wrote; undefined if there is none. */
   private async findOwnLease(): Promise<string | undefined> {
     const { store, name, incarnation } = this.options;
     const reading = await store.read(`${memberPrefix}${name}`);
@@ -199,8 +209,9 @@
   }
 
   /**
-   * Says once that the list has changed, when all that came together is in it: said for each record of a listing, a large
-   * fleet looks small for a moment, and every instance links with all that it knows by then.
+   * Reports once that the list has changed, after all changes that arrived together are applied. If each record
+   * of a listing were reported, a large fleet would look small for a moment, and every instance would open
+   * links to all instances known until then.
    */
   private scheduleChange(): void {
     if (this.isChangePending) return;
--- a/packages/gateway/src/proofRequests.ts
+++ b/packages/gateway/src/proofRequests.ts
@@ -1,6 +1,6 @@
 /**
- * Peers' words on the configuration: an instance that the store turns away asks some of those it is linked with, which
- * may still be served.
+ * Requests configuration proofs from peers: an instance that the store refuses asks some linked peers, which
+ * the store may still serve.
  * @module
  */
 import type { PeerLinks, PeerMessage } from "@gladewall/coordination";
@@ -10,7 +10,7 @@
   ConfigurationProof,
 } from "./configurationFollower.js";
 
-/** Numbers of the messages; after those of members. */
+/** Message numbers; they follow those of `MemberMessageKind`. */
 enum ProofMessageKind {
   Ask = 40,
 }
@@ -22,32 +22,32 @@
 const askedPeerCount = 3;
 const askTimeoutMs = 400;
 
-/** Asks and answers. */
+/** Sends and replies requests for configuration proofs. */
 export class ProofRequests {
   private constructor(
     private readonly links: PeerLinks,
     private readonly getRandom: () => number,
   ) {}
 
-  /** Answers peers from now on with what the follower knows. */
+  /** Registers the handler that replies peers' requests with the follower's proof. */
   static create(links: PeerLinks, follower: ConfigurationFollower, getRandom: () => number): ProofRequests {
     links.setHandler(ProofMessageKind.Ask, (message) => follower.createProof(message as ProofRequestMessage));
     return new ProofRequests(links, getRandom);
   }
 
-  /** Asks some linked peers; returns the words of those that have a proof. */
+  /** Asks a few linked peers, chosen at random; returns the proofs of those that have one. */
   async ask(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
     const message: ProofRequestMessage = { kind: ProofMessageKind.Ask, ...held };
-    const answers = await Promise.all(
+    const replies = await Promise.all(
       this.choosePeers().map((name) => this.links.call(name, message, askTimeoutMs)),
     );
-    return answers.flatMap((answer) => (answer.isOk() && isProof(answer.value) ? [answer.value] : []));
+    return replies.flatMap((reply) => (reply.isOk() && isProof(reply.value) ? [reply.value] : []));
   }
 
   private choosePeers(): readonly string[] {
-    const drawn = this.links.getLinked().map((name) => ({ name, order: this.getRandom() }));
-    drawn.sort((one, other) => one.order - other.order);
-    return drawn.slice(0, askedPeerCount).map(({ name }) => name);
+    const candidates = this.links.getLinked().map((name) => ({ name, order: this.getRandom() }));
+    candidates.sort((one, other) => one.order - other.order);
+    return candidates.slice(0, askedPeerCount).map(({ name }) => name);
   }
 }
 
--- a/packages/gateway/src/readerSelection.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -1,13 +1,13 @@
 /**
- * The reader that an instance asks what the store holds. Instances spread over the readers by a hash of their names,
- * and pass over one that does not answer.
+ * Selects the reader that an instance asks for the store's content. A hash of their names spreads the instances
+ * over the readers, and a reader that does not answer is skipped.
  * @module
  */
 import { hashText } from "@gladewall/kernel";
 
-/** Which reader is asked, and when it last answered. */
+/** The selected reader, and the time of its last answer. */
 export class ReaderSelection {
-  /** How often the reader that is asked was passed over for the next. */
+  /** How often the selected reader was skipped for the next. */
   private skipCount = 0;
   private selectedAt = 0;
   private answeredAt = -Infinity;
@@ -17,12 +17,12 @@
     private readonly patienceMs: number,
   ) {}
 
-  /** `patienceMs`: time without an answer after which a reader is passed over. */
+  /** `patienceMs`: time without an answer after which a reader is skipped. */
   static create(own: string, patienceMs: number): ReaderSelection {
     return new ReaderSelection(own, patienceMs);
   }
 
-  /** Chooses the reader to be asked now; undefined where none is linked. */
+  /** Returns the reader to ask now; undefined if none is linked. */
   choose(linked: readonly string[], time: number): string | undefined {
     if (time - Math.max(this.answeredAt, this.selectedAt) > this.patienceMs) this.skip(time);
     return linked[(hashText(this.own) + this.skipCount) % Math.max(1, linked.length)];
@@ -32,7 +32,7 @@
     this.answeredAt = time;
   }
 
-  /** Asks the next reader from now on. */
+  /** Selects the next reader. */
   skip(time: number): void {
     this.skipCount += 1;
     this.selectedAt = time;
--- a/packages/gateway/src/readerViews.ts
+++ b/packages/gateway/src/readerViews.ts
@@ -1,6 +1,6 @@
 /**
- * What a reader of the store answers this instance's reports with in a large fleet: the fleet's sums and work, as of the
- * report that is answered.
+ * Keeps the last view: a reader's reply to a report of this instance in a large fleet, with the fleet's sums
+ * and work as of that report.
  * @module
  */
 import type { PeerIdentity } from "@gladewall/coordination";
@@ -14,36 +14,36 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly counters: SharedCounters;
-  /** Returns the number of instances that are listed, this one included. */
+  /** Returns the number of listed instances, including this one. */
   readonly getFleetSize: () => number;
   readonly countLinkedReaders: () => number;
 }
 
-/** What the reader that is asked last answered. */
+/** The view in the last reply of the reader that this instance asks. */
 export interface FleetView {
   readonly work: EndpointWork;
   readonly knownShare: number;
   readonly receivedAt: number;
 }
 
-/** What this instance told in one report, and the boot time at which it did. */
+/** The totals that this instance sent in one report, and the boot time at which it sent them. */
 interface SentReport {
   readonly totals: CounterTotals;
   readonly at: number;
 }
 
-/** Without a view for this long, an instance uses no more than its own part of what is shared. */
+/** Without a view for this long, an instance uses no more than its own part of shared limits. */
 const viewLifetimeMs = 1_500;
 /** A reader that started this much later than this instance knows less of what was counted before. */
 const uptimeToleranceMs = 1_000;
 const keptReports = 16;
 
-/** The last view, and the reports that a view may answer. */
+/** The last view, and the sent reports that a view may answer. */
 export class ReaderViews {
-  /** What was told last, by the report's number. */
+  /** The last reports sent, by their number. */
   private readonly sentReports = new Map<number, SentReport>();
   private view: FleetView | undefined;
-  /** Whether a reader asked what was counted before its life. */
+  /** Whether a reader lacks what was counted before its start. */
   private isHistoryRequested = false;
 
   private constructor(private readonly options: ReaderViewsOptions) {}
@@ -52,52 +52,68 @@
     return new ReaderViews(options);
   }
 
-  /** Remembers what was told in a report. */
+  /** Records the totals that were sent in a report. */
   recordReport(sequence: number, totals: CounterTotals): void {
     this.sentReports.set(sequence, { totals, at: this.options.clock.getBootTime() });
     this.sentReports.delete(sequence - keptReports);
   }
 
-  /** Boot time at which a report was told; undefined where it is no longer remembered. */
+  /** Returns the boot time at which a report was sent; undefined if it is no longer known. */
   findSentAt(sequence: number): number | undefined {
     return this.sentReports.get(sequence)?.at;
   }
 
-  /** Whether the next report should tell what was counted before the reader's life; asked once. */
+  /**
+   * Returns whether the next report should contain what was counted before the reader's start, and resets that
+   * request.
+   */
   takeHistoryRequest(): boolean {
     const isWanted = this.isHistoryRequested;
     this.isHistoryRequested = false;
     return isWanted;
   }
 
-  /** Milliseconds since the last view was heard; undefined before the first, and once it is given up. */
+  /** Milliseconds since the last view was received; undefined before the first, and after it has expired. */
   get age(): number | undefined {
     return this.view && this.options.clock.getTime() - this.view.receivedAt;
   }
 
-  /** Takes a view; returns whether it counts: not where its reader knows less than this instance. */
+  /**
+   * Applies a view; returns whether it was used. A view whose reader knows less than this instance is
+   * discarded.
+   */
   applyView({ sequence, counters, work, knownShare }: ViewMessage, peer: PeerIdentity): boolean {
-    const told = this.sentReports.get(sequence);
-    if (!told) return false;
-    const { clock, logger, counters: own } = this.options;
-    if (!counters.isInformed && own.getUptime() > counters.uptime + uptimeToleranceMs && own.knowsHistory) {
+    const report = this.sentReports.get(sequence);
+    if (!report) return false;
+    const { clock, logger, counters: ownCounters } = this.options;
+    if (
+      !counters.isInformed &&
+      ownCounters.getUptime() > counters.uptime + uptimeToleranceMs &&
+      ownCounters.knowsHistory
+    ) {
       this.isHistoryRequested = true;
       logger.debug("view.passed-over", { peer: peer.name, uptimeMs: counters.uptime });
       return false;
     }
-    own.applyView(counters, told.totals);
+    ownCounters.applyView(counters, report.totals);
     this.view = { work, knownShare, receivedAt: clock.getTime() };
     return true;
   }
 
-  /** Takes another instance's counts as of one of this instance's reports; false where that is no longer remembered. */
+  /**
+   * Applies another collector's counts as of one of this instance's reports; returns false if that report is no
+   * longer known.
+   */
   applyCounts(sequence: number, counters: CounterView): boolean {
-    const told = this.sentReports.get(sequence);
-    if (told) this.options.counters.applyView(counters, told.totals);
-    return told !== undefined;
+    const report = this.sentReports.get(sequence);
+    if (report) this.options.counters.applyView(counters, report.totals);
+    return report !== undefined;
   }
 
-  /** The last view while it is young enough; once it is not, the instance keeps to its own part of what is shared. */
+  /**
+   * Returns the last view while it is recent enough. After that, the instance is limited to its own part of
+   * shared limits.
+   */
   find(): FleetView | undefined {
     const { view } = this;
     if (!view) return undefined;
--- a/packages/gateway/src/storeEras.ts
+++ b/packages/gateway/src/storeEras.ts
@@ -105,7 +105,7 @@
   private isReported = false;
   /** Highest revision in any response of this era. */
   private revision = 0;
-  private readonly changeListeners: ((changeEra: EraChange) => void)[] = [];
+  private readonly changeListeners: ((change: EraChange) => void)[] = [];
   private readonly discardListeners: ((response: DiscardedResponse) => void)[] = [];
 
   private constructor() {}
@@ -150,7 +150,7 @@
     // The first reported era replaces the eras that were counted here, even if its number is lower.
     const isFirst = !this.isReported && !isReportedEra(this.known);
     this.isReported = true;
-    if (isFirst || era > this.known) this.rise(era, EraSource.Answer);
+    if (isFirst || era > this.known) this.changeEra(era, EraSource.Answer);
     if (era === this.known) return era;
     this.discard({ cause: start.era > era ? DiscardCause.Fallen : DiscardCause.Late, era });
     return undefined;
@@ -166,17 +166,17 @@
       return undefined;
     }
     if (!this.isReported && revision < start.revision)
-      this.rise(this.known + unreportedEraStep, EraSource.Revision);
+      this.changeEra(this.known + unreportedEraStep, EraSource.Revision);
     this.revision = Math.max(this.revision, revision);
     return { era: this.known, revision };
   }
 
   /** Applies an era that another instance knows. What is known of earlier eras is no longer used. */
   advanceTo(era: number): void {
-    if (Number.isFinite(era) && era > this.known) this.rise(era, EraSource.Peer);
+    if (Number.isFinite(era) && era > this.known) this.changeEra(era, EraSource.Peer);
   }
 
-  private rise(to: number, source: EraSource): void {
+  private changeEra(to: number, source: EraSource): void {
     if (to === this.known) return;
     const change = { from: this.known, to, source, revisionBefore: this.revision };
     this.known = to;
