--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -1,9 +1,10 @@
 /**
- * What the instances of the fleet tell each other: counts, work at endpoints, the time of day.
+ * Exchanges reports between the instances of the fleet: counts, work at endpoints and the time of day.
  *
- * In a small fleet every instance reports to every other several times a second. In a large one each reports to the
- * readers of the store only, and one of them answers with a view of the whole fleet: what an instance sends and hears
- * does not grow with the fleet. In a fleet of any size, what the store holds comes from a reader.
+ * In a small fleet every instance reports to every other several times a second. In a large fleet each instance
+ * reports only to the readers of the store, and one of them replies with a view of the whole fleet, so that the
+ * messages which an instance sends and receives do not grow with the fleet. In a fleet of any size, a reader
+ * sends the store's content.
  * @module
  */
 import { getIncarnationKey, LinkMessageKind, type PeerIdentity, PeerLinks } from "@gladewall/coordination";
@@ -42,15 +43,15 @@
 import type { StoreItem } from "./types.js";
 import type { UsageCounts } from "./usageCounts.js";
 
-/** Options of the members; the instance's own record among them. */
+/** Options of the members, including those of the instance's own record. */
 export interface MembersOptions extends Omit<MemberRecordsOptions, "onChange" | "isLinked"> {
   readonly secret: string;
-  /** Time between two reports, while the fleet is small and when it is large. */
+  /** Time between two reports in a small fleet and in a large one, in milliseconds. */
   readonly reportIntervalMs: number;
   readonly largeFleetIntervalMs: number;
   /** Largest fleet in which every instance reports to every other. */
   readonly largestMesh: number;
-  /** Time after which a removed key must run nothing. */
+  /** Time after which no request with a removed key may run, in milliseconds. */
   readonly revokeWithinMs: number;
   readonly feedTimings: FeedTimings;
   readonly counters: SharedCounters;
@@ -62,32 +63,32 @@
   /** Follower of the endpoints' records, and their prefix. */
   readonly endpoints: PrefixFollower;
   readonly endpointPrefix: string;
-  /** Returns the number of the usage window that is open now. */
+  /** Returns the number of the current usage window. */
   readonly getWindow: () => number;
   /** Returns this instance's work by endpoint. */
   readonly getWork: () => ReadonlyMap<string, PeerWork>;
   /** Called before each report. */
   readonly onTurn: () => void;
-  /** Decides as the arbiter of a limit. */
+  /** Decides on a call as the arbiter of a limit. */
   readonly answerAsk: (peer: PeerIdentity, ask: QuotaCall) => QuotaReply;
 }
 
-/** Instances that ask the store for all: one may end and another be cut off from the store at the same time. */
+/** Number of readers: one may end and another may lose its connection to the store at the same time. */
 const readerCount = 3;
 const reportedWindows = 4;
-/** Reports between two that carry usage, in a large fleet. */
+/** In a large fleet, every so many reports one contains the usage. */
 const reportsPerUsage = 2;
 const pingIntervalMs = 1_000;
 const lostAfterMs = 2_500;
 const handshakeTimeoutMs = 1_000;
 const outboxBytes = 262_144;
-/** Time without a new instance after which the fleet counts as known. */
+/** Time without a new instance after which the list of members counts as complete. */
 const fleetStableMs = 600;
 
-/** All members of the fleet. */
+/** The members of the fleet, the links to them, and the messages between them. */
 export class Members implements Closeable {
   readonly links: PeerLinks;
-  /** Who decides for the fleet. */
+  /** Chooses the instances that decide for the fleet. */
   readonly arbiters: Arbiters;
   private readonly records: MemberRecords;
   private readonly roles: FleetRoles;
@@ -169,24 +170,24 @@
     return new Members(options);
   }
 
-  /** Opens the peers' port and starts to follow. */
+  /** Opens the port for peers, and starts to follow the list of members and to send reports. */
   async open(): Promise<void> {
     await this.links.open();
     this.records.start();
     this.task = this.sendReports();
   }
 
-  /** The gateway's own items of the store, as last heard of. */
+  /** The gateway's own items in the store, in their last known state. */
   get items(): ReadonlyMap<string, StoreItem> {
     return this.records.items;
   }
 
-  /** Whether the gateway's own items have ever been read. */
+  /** Whether the gateway's own items have been listed at least once. */
   get isListed(): boolean {
     return this.records.isListed;
   }
 
-  /** Whether this instance hears the whole fleet, as far as it knows. */
+  /** Whether this instance is a collector, which receives the reports of all instances that it knows. */
   get isCollector(): boolean {
     return this.roles.isCollector;
   }
@@ -201,29 +202,30 @@
     return this.roles.getLinkedReaders();
   }
 
-  /** Name of the reader that decides for the fleet on a subject; undefined where none can be asked. */
+  /** Name of the reader that is the arbiter for a subject; undefined if none can be asked. */
   findArbiter(subject: string): string | undefined {
     return this.arbiters.find(subject);
   }
 
-  /** Whether this instance asks the store for others. */
+  /** Whether this instance reads the store on behalf of the fleet. */
   get isReader(): boolean {
     return this.roles.isReader;
   }
 
-  /** Whether no instance was found for a moment: while a fleet starts, it looks smaller than it is. */
+  /** Whether no new instance was listed for a while. While a fleet starts, it looks smaller than it is. */
   get isFleetStable(): boolean {
     return this.records.getTimeSinceGrowth() > fleetStableMs;
   }
 
-  /** Instances that are listed, this one included. */
+  /** Number of listed instances, including this one. */
   getFleetSize(): number {
     return this.records.size;
   }
 
   /**
-   * Share of the fleet whose counts are known, this instance's included: all but the instances that may be serving
-   * unheard. A peer whose connection was closed has ended; one that fell silent may only be cut off.
+   * Share of the fleet whose counts are known, including this instance: all instances except those that may be
+   * serving without their reports arriving here. A peer whose connection was closed has ended; one that fell
+   * silent may only be cut off.
    */
   getKnownShare(): number {
     const fleet = this.getFleetSize();
@@ -237,12 +239,15 @@
     return Math.max(1, fleet - silent) / fleet;
   }
 
-  /** Milliseconds since a reader told this instance what the fleet has taken; undefined before the first time. */
+  /** Milliseconds since the last view of the fleet's counts was received; undefined without a view. */
   get viewAge(): number | undefined {
     return this.views.age;
   }
 
-  /** Tells peers at once of a long prompt; in a large fleet the readers, which hand it on. */
+  /**
+   * Sends the placement of a long prompt to the peers immediately; in a large fleet to the readers, which relay
+   * it.
+   */
   announcePlacement(endpoint: string, tokens: number): void {
     const message: PlacementMessage = {
       kind: MemberMessageKind.Placement,
@@ -257,12 +262,12 @@
     this.work.notePlaced([endpoint, message.tokens]);
   }
 
-  /** Other instances' work at an endpoint, as they told it a moment ago. */
+  /** Other instances' work at an endpoint, as last received. */
   getPeerWork(endpoint: string): PeerWork {
     return this.work.get(endpoint);
   }
 
-  /** Lists anew; for when the store comes back. */
+  /** Lists again; called when the store answers again after a failure. */
   restart(): void {
     this.records.restart();
   }
@@ -333,18 +338,18 @@
     const report = this.createReport();
     const { isMesh, isReader } = this.roles;
     const linked = this.roles.getLinkedReaders();
-    const asked = this.feed.chooseReader(isReader, linked);
-    const counting = this.handover.isAsking(this.options.clock.getTime())
+    const feedSource = this.feed.chooseReader(isReader, linked);
+    const countsSource = this.handover.isAsking(this.options.clock.getTime())
       ? linked[this.sequence % linked.length]
       : undefined;
     for (const name of isMesh ? this.links.getLinked() : linked) {
-      const feed = name === asked ? { feed: this.feed.getState() } : {};
-      const counts = name === counting ? { wantsCounts: true } : {};
+      const feed = name === feedSource ? { feed: this.feed.getState() } : {};
+      const counts = name === countsSource ? { wantsCounts: true } : {};
       this.links.send(name, { ...report, ...feed, ...counts });
     }
   }
 
-  /** Whether a reader tells this instance what the store holds. */
+  /** Whether a reader feeds this instance the store's content. */
   get isFeedActive(): boolean {
     return !this.roles.isReader && this.feed.isActive;
   }
@@ -402,21 +407,26 @@
     this.links.send(peer.name, message);
   }
 
-  /** One that does not hear the whole fleet knows too little to decide. */
+  /** An instance that is not a collector knows too little to decide. */
   private answerAsk(ask: QuotaCall, peer: PeerIdentity): QuotaReply {
     return this.roles.isCollector
       ? this.options.answerAsk(peer, ask)
       : { word: GrantDecision.Unknown, level: 0 };
   }
 
-  private applyCounts({ sequence, counters: told }: CountsMessage, peer: PeerIdentity): void {
+  private applyCounts({ sequence, counters: received }: CountsMessage, peer: PeerIdentity): void {
     const { counters, clock, logger } = this.options;
-    const knowsMore = told.isInformed || told.uptime > counters.getUptime();
+    const knowsMore = received.isInformed || received.uptime > counters.getUptime();
     if (!this.handover.isAsking(clock.getTime()) || !knowsMore) return;
-    if (!this.views.applyCounts(sequence, told)) return;
+    if (!this.views.applyCounts(sequence, received)) return;
     this.handover.complete();
-    const peers = Object.keys(told.included ?? {}).length;
-    logger.info("counts.taken", { peer: peer.name, uptimeMs: told.uptime, informed: told.isInformed, peers });
+    const peers = Object.keys(received.included ?? {}).length;
+    logger.info("counts.taken", {
+      peer: peer.name,
+      uptimeMs: received.uptime,
+      informed: received.isInformed,
+      peers,
+    });
   }
 
   private createReply(report: ReportMessage, state: FeedState): FeedAnswer | ViewMessage {
@@ -449,8 +459,8 @@
   }
 
   private applyFeed(sequence: number, feed: FeedMessage): void {
-    const toldAt = this.views.findSentAt(sequence);
-    if (toldAt === undefined || !this.feed.isAsking(this.roles.isReader)) return;
-    this.feed.apply(feed, toldAt);
+    const reportSentAt = this.views.findSentAt(sequence);
+    if (reportSentAt === undefined || !this.feed.isAsking(this.roles.isReader)) return;
+    this.feed.apply(feed, reportSentAt);
   }
 }
--- a/packages/gateway/src/sharedCounters.ts
+++ b/packages/gateway/src/sharedCounters.ts
@@ -1,6 +1,7 @@
 /**
- * Counters that all instances share: each tells its running totals, and every instance keeps the fleet's sums over
- * sliding windows. A total that was missed is made up by the next one, so lost messages cost only time.
+ * Counters that all instances share. Each instance reports its running totals, and every instance keeps the
+ * fleet's sums over sliding windows. A lost report is made up for by the next one, because totals are
+ * cumulative; lost messages only delay the sums.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
@@ -10,42 +11,45 @@
 
 /** What is counted. */
 export enum CounterKind {
-  /** Quota units by workspace. */
+  /** Quota units, by workspace. */
   Quota = 1,
-  /** Requests by service. */
+  /** Requests, by service. */
   Requests = 2,
-  /** Arrivals at endpoints past the first of each request, by service. */
+  /** Arrivals at endpoints after the first one of each request, by service. */
   Retries = 3,
-  /** Prompt tokens by service. */
+  /** Prompt tokens, by service. */
   PromptTokens = 4,
 }
 
-/** Running totals of one life of an instance, by `kind:name`. */
+/** Running totals of an instance since its start, by `kind:name`. */
 export type CounterTotals = Readonly<Record<string, number>>;
 
-/** What one instance tells. */
+/** The counts in an instance's report. */
 export interface CounterReport {
-  /** Milliseconds that this life has lasted. */
+  /** Milliseconds since the start of the instance. */
   readonly uptime: number;
   readonly totals: CounterTotals;
-  /** The fleet's sums as the teller knows them, for lives that began later. */
+  /** The fleet's sums as the sender knows them, for instances that started later. */
   readonly sums: CounterTotals;
 }
 
-/** What an instance that hears the whole fleet knows, for those that hear only it. */
+/** A collector's counts of the whole fleet, for instances that receive no other reports. */
 export interface CounterView {
-  /** Milliseconds that the teller's life has lasted. */
+  /** Milliseconds since the sender's start. */
   readonly uptime: number;
-  /** Whether the sums hold what was counted before that life. */
+  /** Whether the sums include what was counted before the sender's start. */
   readonly isInformed: boolean;
   readonly sums: CounterTotals;
   /** Units of each limit that the fleet took over the last `rateWindowMs`. */
   readonly inflows: CounterTotals;
-  /** What the sums include of each peer; left out for who hears no peers itself. */
+  /**
+   * The totals of each peer that the sums include; left out for an instance that receives no reports from
+   * peers.
+   */
   readonly included?: Readonly<Record<string, PeerTotals>>;
 }
 
-/** What one life of a peer has told in all. */
+/** The totals that a peer has reported since one start; `life` identifies that start. */
 export interface PeerTotals {
   readonly life: string;
   readonly totals: CounterTotals;
@@ -55,7 +59,7 @@
   readonly receivedAt: number;
 }
 
-/** A peer's new total of one count, told ahead of its report. */
+/** A peer's new total of one count, sent before its next report. */
 export interface EarlyTotal {
   readonly peer: string;
   readonly life: string;
@@ -67,34 +71,34 @@
 /** Options of the counters. */
 export interface SharedCountersOptions {
   readonly clock: Clock;
-  /** Name of this instance among its peers; left out where it has none. */
+  /** Name of this instance among its peers; left out if it has none. */
   readonly own?: string;
-  /** Window of each kind, milliseconds. */
+  /** Window of each kind, in milliseconds. */
   readonly windows: Readonly<Record<CounterKind, number>>;
 }
 
-/** Time over which the fleet's use of a limit is measured, to foresee what a view does not show yet. */
+/** Time over which the fleet's use of a limit is measured, to extrapolate what a view does not include yet. */
 const rateWindowMs = 1_000;
-/** Longest time for which use is foreseen from one view. */
+/** Longest time for which use is extrapolated from one view. */
 const maxExtrapolationMs = 1_000;
 
 /** This instance's counters and the fleet's sums. */
 export class SharedCounters {
   private readonly own: Record<string, number> = {};
-  /** This life's totals that one who hears the whole fleet is known to have counted. */
+  /** This instance's totals that some collector is known to have counted. */
   private readonly confirmed: Record<string, number> = {};
   private readonly sums = new Map<string, SlidingWindow>();
   private readonly buckets = new Map<string, LeakyBucket>();
   private readonly ownSums = new Map<string, SlidingWindow>();
   private readonly peers = new Map<string, ReceivedTotals>();
-  /** Use of limits over the last moments, by key. */
+  /** Use of limits over the last `rateWindowMs`, by key. */
   private readonly inflows = new Map<string, SlidingWindow>();
   private readonly startedAt: number;
   private viewInflows: CounterTotals = {};
   private viewAppliedAt = -Infinity;
-  /** Whether the last view said what it includes of each peer. */
+  /** Whether the last view contained the totals of each peer that it includes. */
   private hasPeerTotals = false;
-  /** Whether the sums from before this life were taken over from a peer. */
+  /** Whether the sums from before this instance's start were adopted from a peer. */
   private hasHistory = false;
 
   private constructor(private readonly options: SharedCountersOptions) {
@@ -105,7 +109,7 @@
     return new SharedCounters(options);
   }
 
-  /** Counts here. A negative amount takes back what was counted before. */
+  /** Adds an amount to this instance's counts. A negative amount takes back what was counted before. */
   add(kind: CounterKind, name: string, amount: number): void {
     const time = this.options.clock.getTime();
     const key = createKey(kind, name);
@@ -115,8 +119,8 @@
   }
 
   /**
-   * Takes back units of a limit that were added at a time. What has lapsed since can't be given back: of 100 units taken,
-   * lapsed and taken again, the first 100 given back let 100 more run.
+   * Refunds units of a limit that were added at a time. Units that have lapsed since are not refunded:
+   * otherwise, if 100 units are taken, lapse and are taken again, refunding the first 100 would admit 100 more.
    */
   refund(name: string, amount: number, addedAt: number): void {
     const lowest = this.getBucket(createKey(CounterKind.Quota, name)).getLowestSince(
@@ -126,31 +130,34 @@
     this.add(CounterKind.Quota, name, -Math.min(amount, lowest));
   }
 
-  /** What this life has counted in all. */
+  /** Returns what this instance has counted since its start. */
   getOwnTotal(kind: CounterKind, name: string): number {
     return this.own[createKey(kind, name)] ?? 0;
   }
 
-  /** What was counted here and nobody else is known to have counted. */
+  /** Returns what was counted here and no other instance is known to have counted. */
   getUnreported(kind: CounterKind, name: string): number {
     return Math.max(0, this.getOwnTotal(kind, name) - (this.confirmed[createKey(kind, name)] ?? 0));
   }
 
-  /** Takes note that another has counted this life's total. */
+  /** Records that another instance has counted a total of this instance. */
   confirm(kind: CounterKind, name: string, total: number): void {
     const key = createKey(kind, name);
     this.confirmed[key] = Math.max(this.confirmed[key] ?? 0, total);
   }
 
-  /** Takes the level of a limit as another instance counts it, which includes this life's total up to `told`. */
-  applyLevel(name: string, level: number, told: number, isCounted: boolean): void {
+  /**
+   * Applies the level of a limit by another instance's count, which includes this instance's total up to
+   * `countedTotal`.
+   */
+  applyLevel(name: string, level: number, countedTotal: number, isCounted: boolean): void {
     const key = createKey(CounterKind.Quota, name);
-    if (isCounted) this.confirm(CounterKind.Quota, name, told);
-    const since = Math.max(0, this.getOwnTotal(CounterKind.Quota, name) - told);
+    if (isCounted) this.confirm(CounterKind.Quota, name, countedTotal);
+    const since = Math.max(0, this.getOwnTotal(CounterKind.Quota, name) - countedTotal);
     this.getBucket(key).set(this.options.clock.getTime(), level + since);
   }
 
-  /** Counts a peer's new total, where `mayTake` allows what it adds. */
+  /** Counts a peer's new total if `mayTake` allows the increase. */
   applyTotal(
     kind: CounterKind.Quota | CounterKind.Retries,
     { peer, life, uptime, name, total }: EarlyTotal,
@@ -166,23 +173,23 @@
     if (amount <= 0) return GrantDecision.Granted;
     if (!mayTake(amount)) return GrantDecision.Refused;
     this.addToTotal(kind, key, time, amount);
-    const heardAt = isSameLife ? known.receivedAt : time;
-    this.peers.set(peer, { life, totals: { ...before, [key]: total }, receivedAt: heardAt });
+    const receivedAt = isSameLife ? known.receivedAt : time;
+    this.peers.set(peer, { life, totals: { ...before, [key]: total }, receivedAt });
     return GrantDecision.Granted;
   }
 
-  /** Returns the fleet's sum over the window that ends now; of limits, the level of their bucket. */
+  /** Returns the fleet's sum over the window that ends now; for limits, the level of their bucket. */
   getSum(kind: CounterKind, name: string): number {
     const time = this.options.clock.getTime();
     return this.getKnownSum(kind, name) + this.extrapolate(createKey(kind, name), time);
   }
 
-  /** The same without what is foreseen. */
+  /** Returns the same sum without the extrapolated use. */
   getKnownSum(kind: CounterKind, name: string): number {
     return this.getTotal(kind, createKey(kind, name)).getSum(this.options.clock.getTime());
   }
 
-  /** What the fleet is expected to have taken of a limit since the last view, by what it took before. */
+  /** Returns what the fleet is expected to have taken of a limit since the last view, by its rate before. */
   private extrapolate(key: string, time: number): number {
     const inflow = this.viewInflows[key];
     if (inflow === undefined) return 0;
@@ -190,7 +197,7 @@
     return age < maxExtrapolationMs ? (inflow * age) / rateWindowMs : 0;
   }
 
-  /** Sets how fast a limit's level falls. */
+  /** Sets how fast a limit's level falls, in units a second. */
   setRate(name: string, perSecond: number): void {
     const key = createKey(CounterKind.Quota, name);
     this.getBucket(key).setRate(this.options.clock.getTime(), perSecond);
@@ -202,35 +209,37 @@
     return total.getTimeUntilFreed(this.options.clock.getTime(), amount);
   }
 
-  /** Peers that have reported to this instance. */
+  /** Number of peers that have reported to this instance. */
   get reportingPeers(): number {
     return this.peers.size;
   }
 
-  /** Whether what was counted before this life is known. */
+  /** Whether the counts from before this instance's start are known. */
   get knowsHistory(): boolean {
     return this.hasHistory || this.getUptime() > this.longestWindow;
   }
 
-  /** Sets a sum to what it may have been before this life; for what a new life cannot know. */
+  /**
+   * Sets a sum to what it may have been before this instance's start, because a new instance cannot know it.
+   */
   assumePriorUse(kind: CounterKind, name: string, amount: number): void {
     this.getTotal(kind, createKey(kind, name)).set(this.options.clock.getTime(), amount);
   }
 
-  /** Milliseconds that this life has lasted. */
+  /** Milliseconds since the start of the instance. */
   getUptime(): number {
     return this.options.clock.getTime() - this.startedAt;
   }
 
-  /** Returns the report; the fleet's sums are left out where nobody needs them. */
+  /** Returns the report; the fleet's sums are left out if no receiver needs them. */
   createReport(hasSums = true): CounterReport {
     const sums = hasSums ? this.getSums() : {};
     return { uptime: Math.round(this.getUptime()), totals: { ...this.own }, sums };
   }
 
   /**
-   * Returns what this instance, which hears the whole fleet, knows of it; for who begins to hear it too, with what is
-   * included of each peer.
+   * Returns this collector's counts of the whole fleet. With `hasIncluded` they contain the totals of each peer
+   * that they include, for an instance that becomes a collector itself.
    */
   createView(hasIncluded = true): CounterView {
     const time = this.options.clock.getTime();
@@ -242,23 +251,23 @@
   }
 
   /**
-   * Takes a view in place of what was known; `told` are this life's totals that the view includes. A view by a life
-   * that cannot know what was counted before it only raises what is known.
+   * Replaces the sums by those of a view; `ownTotals` are this instance's totals that the view includes. A view
+   * of an instance that cannot know what was counted before its start only raises the sums.
    */
-  applyView({ sums, inflows, isInformed, included }: CounterView, told: CounterTotals): void {
+  applyView({ sums, inflows, isInformed, included }: CounterView, ownTotals: CounterTotals): void {
     const time = this.options.clock.getTime();
     this.hasHistory ||= isInformed;
     this.viewAppliedAt = time;
     this.viewInflows = inflows;
     this.setPeerTotals(included);
-    Object.assign(this.confirmed, told);
+    Object.assign(this.confirmed, ownTotals);
     for (const [key, sum] of Object.entries(sums)) {
       const kind: CounterKind = Number.parseInt(key, 10);
       if (this.options.windows[kind] === undefined) continue;
       const total = this.getTotal(kind, key);
-      const sinceTold = (this.own[key] ?? 0) - (told[key] ?? 0);
+      const sinceView = (this.own[key] ?? 0) - (ownTotals[key] ?? 0);
       const known = isInformed ? 0 : total.getSum(time);
-      total.set(time, Math.max(0, sum + sinceTold, known));
+      total.set(time, Math.max(0, sum + sinceView, known));
     }
   }
 
@@ -268,19 +277,23 @@
   }
 
   /**
-   * What peers tell next is counted from what the view includes of them. Noted as included without that, what they took
-   * between the view and their first word would be lost.
+   * The next reports of peers are counted from the totals that the view includes. If the peers were only
+   * recorded as included, without their totals, what they took between the view and their first report would be
+   * lost.
    */
   private setPeerTotals(included: CounterView["included"]): void {
-    const heardAt = this.options.clock.getTime();
+    const receivedAt = this.options.clock.getTime();
     this.peers.clear();
     this.hasPeerTotals = included !== undefined;
     for (const [peer, { life, totals }] of Object.entries(included ?? {})) {
-      if (peer !== this.options.own) this.peers.set(peer, { life, totals, receivedAt: heardAt });
+      if (peer !== this.options.own) this.peers.set(peer, { life, totals, receivedAt });
     }
   }
 
-  /** Keeps only a part of every limit's level; for when the rest of the fleet is no longer heard. */
+  /**
+   * Reduces the level of every limit to a share of it; called when no counts of the rest of the fleet arrive
+   * any more.
+   */
   scaleLevels(share: number): void {
     const time = this.options.clock.getTime();
     for (const bucket of this.buckets.values()) bucket.set(time, bucket.getSum(time) * share);
@@ -305,14 +318,15 @@
     inflow.add(time, amount);
   }
 
-  /** Takes what a peer tells of one of its lives. */
+  /** Applies a peer's report; `life` identifies the peer's start. */
   applyReport(peer: string, life: string, { uptime, totals, sums }: CounterReport): void {
     const time = this.options.clock.getTime();
     this.adoptHistory(uptime, sums);
     const known = this.peers.get(peer);
     const isSameLife = known?.life === life;
-    // Of a life that is longer than every window, the adopted sums hold what counts; only what it adds is new. The
-    // same holds of a young one where a view has just told of it without saying so.
+    // If the peer has run for longer than every window, the adopted sums include what counts, and only later
+    // increases are new. The same holds for a young peer if a view has just been applied that did not say what
+    // it includes of each peer.
     const mayBeIncluded = !this.hasPeerTotals && time - this.viewAppliedAt <= maxExtrapolationMs;
     const isYoung = uptime < this.longestWindow && !mayBeIncluded;
     if (isSameLife || isYoung) {
@@ -322,7 +336,7 @@
     this.peers.set(peer, { life, totals, receivedAt: time });
   }
 
-  /** Takes over what was counted before this life from the first peer that has seen a whole window. */
+  /** Adopts the sums from before this instance's start from the first peer that has run for a whole window. */
   private adoptHistory(uptime: number, sums: CounterTotals): void {
     if (this.knowsHistory || uptime < this.longestWindow) return;
     if (Object.keys(sums).length === 0) return;
@@ -346,7 +360,8 @@
       const kind: CounterKind = Number.parseInt(key, 10);
       const windowMs = this.options.windows[kind];
       if (windowMs === undefined) continue;
-      // Of what came over a longer silence, only the part that can lie in the window counts.
+      // If the last report is older than the window, only the part of the increase that can lie in the window
+      // counts.
       const share = elapsed > windowMs ? windowMs / elapsed : 1;
       this.addToTotal(kind, key, time, amount * share);
     }
