--- a/packages/gateway/src/countHandover.ts
+++ b/packages/gateway/src/countHandover.ts
@@ -1,13 +1,17 @@
 /**
- * How an instance that begins to hear the whole fleet comes by what was counted before: it asks one that hears it already
- * for its sums and for what they include of each peer, and goes on from there.
+ * Decides when a new collector asks for another collector's counts. An instance that becomes a collector has
+ * not received the earlier reports, so it asks an existing collector for its sums and for the totals of each
+ * peer that they include, and counts on from there.
  * @module
  */
 
-/** Time for which the counts are asked for: four reports of a large fleet; where all begin together, nobody has them. */
+/**
+ * Time for which the counts are requested: four reports of a large fleet. If all instances become collectors
+ * together, no instance has the counts.
+ */
 const requestPeriodMs = 1_000;
 
-/** Whether this instance still needs another one's counts. */
+/** Whether this instance still needs the counts of another collector. */
 export class CountHandover {
   private isCollector = false;
   private askingSince: number | undefined;
@@ -18,19 +22,22 @@
     return new CountHandover();
   }
 
-  /** Takes up whether this instance hears the whole fleet now; asks from the moment on at which it begins to. */
-  setRole(hearsAll: boolean, time: number): void {
-    if (hearsAll && !this.isCollector) this.askingSince = time;
-    if (!hearsAll) this.askingSince = undefined;
-    this.isCollector = hearsAll;
+  /**
+   * Sets whether this instance is a collector now; the counts are requested from the time at which it becomes
+   * one.
+   */
+  setRole(isCollector: boolean, time: number): void {
+    if (isCollector && !this.isCollector) this.askingSince = time;
+    if (!isCollector) this.askingSince = undefined;
+    this.isCollector = isCollector;
   }
 
-  /** Whether another instance's counts are still needed. */
+  /** Whether another collector's counts are still needed. */
   isAsking(time: number): boolean {
     return this.askingSince !== undefined && time - this.askingSince <= requestPeriodMs;
   }
 
-  /** Takes note that they have come. */
+  /** Records that the counts have arrived. */
   complete(): void {
     this.askingSince = undefined;
   }
--- a/packages/gateway/src/disciplinedClock.ts
+++ b/packages/gateway/src/disciplinedClock.ts
@@ -1,19 +1,21 @@
 /**
- * Time of day that bears jumps: counted on the monotonic clock from the first reading of the wall clock, drawn slowly
- * after small differences, and corrected where most peers agree on another time.
+ * A time of day that ignores jumps of the wall clock. It is counted on the monotonic clock from the first
+ * reading of the wall clock, follows small differences slowly, and is corrected if most peers agree on another
+ * time.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 
-/** Differences below this are drift and followed; above, a jump. */
+/** Differences up to this are drift and are followed; greater ones are jumps. */
 const jumpMs = 100;
 /**
- * Difference from most peers that is a jump of the own clock. What peers say is as old as the message was under way and
- * waiting; were that taken for a difference, a fleet of busy instances would drive each other's time back without end.
+ * Difference from most peers above which this instance's own clock has jumped. A peer's time is as old as the
+ * message that carried it was in transit and in queues. If that delay were taken for a difference, the
+ * instances of a busy fleet would set each other's time back without end.
  */
 const peerJumpMs = 400;
 const driftShare = 0.1;
-/** How long a jump must last until it is believed without peers. */
+/** Time for which a jump must last until it is accepted without peers. */
 const jumpAcceptanceMs = 30_000;
 
 /** Time of day of this instance. */
@@ -34,15 +36,18 @@
     return this.clock.getTime() + this.offset;
   }
 
-  /** Compares with the wall clock and with peers' times, given as their difference from `get`. Call it often. */
-  adjust(peerDifferences: readonly number[]): void {
-    const median = getMedian(peerDifferences);
-    if (median !== undefined && peerDifferences.length > 1 && Math.abs(median) > peerJumpMs) {
+  /**
+   * Compares the time with the wall clock and with peers' times, given as their offsets from `get`, and
+   * corrects it. To be called several times a second.
+   */
+  adjust(peerOffsets: readonly number[]): void {
+    const median = getMedian(peerOffsets);
+    if (median !== undefined && peerOffsets.length > 1 && Math.abs(median) > peerJumpMs) {
       this.offset += median;
       this.jumpSince = undefined;
       return;
     }
-    this.adjustToWall(peerDifferences.length > 1);
+    this.adjustToWall(peerOffsets.length > 1);
   }
 
   private adjustToWall(hasPeers: boolean): void {
--- a/packages/gateway/src/feedTimings.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -1,41 +1,42 @@
 /**
- * How old what an instance knows of the platform's store may grow, reckoned from the shortest time in which the
- * operators want a change taken in. Whatever fails on the way (a reader that the store turns away, a reader that falls
- * silent, all of them at once), an instance must have asked the store itself, and had an answer, before that time is
- * over.
+ * Computes the time limits of the store feed from the shortest time in which operators require a change to be
+ * applied. Whatever fails on the way (the store refuses a reader, a reader falls silent, or all of them do at
+ * once), an instance must have read the store itself and received a response before that time is over.
  * @module
  */
 
-/** Times of those who ask the store for others and of those who are told; milliseconds. */
+/** Time limits of readers and of the instances that they feed, in milliseconds. */
 export interface FeedTimings {
   /** Time between two proving reads of a reader. */
   readonly proofIntervalMs: number;
-  /** A reader whose last answered read was sent longer ago is not believed. */
+  /** Messages of a reader whose last answered read was sent longer ago are discarded. */
   readonly maxStoreAgeMs: number;
-  /** An instance that no reader has answered for so long asks the store itself. */
+  /** An instance that no reader has answered for this time reads the store itself. */
   readonly feedLifetimeMs: number;
-  /** A reader that has not answered for so long is passed over for the next. */
+  /** A reader that has not answered for this time is skipped for the next. */
   readonly patienceMs: number;
-  /** Longest time of a watch of endpoints. */
+  /** Maximum duration of a watch of endpoints. */
   readonly watchWaitMs: number;
-  /** An endpoint whose record vanished, maybe by the store's trouble, is used on for so long. */
+  /**
+   * An endpoint whose record is gone, perhaps because of a failure of the store, remains in use for this time.
+   */
   readonly unlistedMs: number;
 }
 
-/** Two reads fit into the longest age, so that one that is lost does not end the belief in a reader. */
+/** Two reads fit into the maximum age, so that a reader is still believed if one read is lost. */
 const proofShare = 0.3;
 const storeAgeShare = 0.6;
-/** What is left of the time is for one listing, its retry and the turn in which the silence is noticed. */
+/** The rest of the time is for one listing, its retry, and the interval until the missing answer is noticed. */
 const lifetimeShare = 0.5;
-/** Two readers can be asked within the lifetime. */
+/** Two readers can be asked within the feed's lifetime. */
 const patienceShare = 0.2;
 
-/** A silent watch is found out within twice this, and a listing and a turn come after it. */
+/** A dead watch is detected within twice this share, and a listing and one report interval follow. */
 const watchShare = 0.3;
-/** What a vanished record may add to the longest time until a change is heard of. */
+/** Share that a missing record may add to the longest time until a change is known. */
 const unlistedShare = 0.2;
 
-/** Returns the times for a bound in which a change has to be taken in. */
+/** Returns the time limits for a bound within which a change has to be applied. */
 export function createFeedTimings(boundMs: number): FeedTimings {
   return {
     proofIntervalMs: boundMs * proofShare,
--- a/packages/gateway/src/fleetWork.ts
+++ b/packages/gateway/src/fleetWork.ts
@@ -1,6 +1,6 @@
 /**
- * Work at endpoints over the whole fleet, as this instance knows it: by the peers' reports where it hears them all,
- * else by a reader's view and what was relayed since.
+ * Keeps the work of the whole fleet at each endpoint: from the peers' reports on a collector, otherwise from a
+ * reader's view and the placements relayed since.
  * @module
  */
 import { getIncarnationKey, type PeerIdentity } from "@gladewall/coordination";
@@ -20,25 +20,25 @@
   readonly own: string;
   /** Returns this instance's work by endpoint. */
   readonly getOwn: () => ReadonlyMap<string, PeerWork>;
-  /** Returns the work of all others by the last view; undefined where this instance goes by reports. */
+  /** Returns the work of all other instances by the last view; undefined if this instance uses reports. */
   readonly findView: () => EndpointWork | undefined;
-  /** Sends to an instance that asks this one. */
+  /** Sends to an instance that this one sends views to. */
   readonly send: (name: string, message: PlacementRelayMessage) => void;
 }
 
 const noWork: PeerWork = { active: 0, pendingTokens: 0 };
 
-/** What is known of others' work, and what others are told of it. */
+/** The work of other instances, and what is relayed to them. */
 export class FleetWork {
   private readonly reports: PeerWorkViews;
   private readonly relay: PlacementRelay;
   private readonly placements = RecentPlacements.create();
-  /** Work of the other instances as of the last sum. */
+  /** Work of the other instances as of the last `refresh`. */
   private others: EndpointWork = {};
   private ownWork: EndpointWork = {};
-  /** Number of the last relayed placement that the sum includes. */
+  /** Number of the last relayed placement that `others` includes. */
   private lastNumber = 0;
-  /** Whether something was told since the last sum. */
+  /** Whether a message has arrived since the last `refresh`. */
   private isStale = false;
 
   private constructor(private readonly options: FleetWorkOptions) {
@@ -51,14 +51,14 @@
     return new FleetWork(options);
   }
 
-  /** Other instances' work at an endpoint, as they told it a moment ago. */
+  /** Returns the other instances' work at an endpoint, as last received. */
   get(endpoint: string): PeerWork {
     if (this.isStale) this.refresh();
-    const told = this.others[endpoint];
-    return told ? { active: told[0], pendingTokens: told[1] } : noWork;
+    const work = this.others[endpoint];
+    return work ? { active: work[0], pendingTokens: work[1] } : noWork;
   }
 
-  /** Sums up anew; also for what has grown too old to count. */
+  /** Sums up the work again, which also drops what is too old. */
   refresh(): void {
     const view = this.options.findView();
     this.others = view ? sumWork([view, this.placements.getWork()]) : this.reports.getSum();
@@ -67,7 +67,7 @@
     this.isStale = false;
   }
 
-  /** This instance's work as of the last sum, for its peers. */
+  /** This instance's work as of the last `refresh`, for its peers. */
   get own(): EndpointWork {
     return this.ownWork;
   }
@@ -80,7 +80,10 @@
     return work;
   }
 
-  /** Work of all instances but the one that reported, and the placement up to which it is told. */
+  /**
+   * Returns the work of all instances except the one that sent the report, and the number of the last placement
+   * that it includes.
+   */
   createView({ work }: ReportMessage): { readonly work: EndpointWork; readonly placedNumber: number } {
     const all = sumWork([this.others, this.ownWork]);
     return { work: subtractWork(all, work), placedNumber: this.lastNumber };
@@ -91,7 +94,7 @@
     this.isStale = true;
   }
 
-  /** Takes a placement that a peer told at once. */
+  /** Applies a placement that a peer sent ahead of its report. */
   takePlaced(peer: string, entry: PlacementEntry): void {
     const [endpoint, tokens] = entry;
     this.reports.addPlacement(peer, endpoint, tokens);
@@ -99,17 +102,17 @@
     this.isStale = true;
   }
 
-  /** Takes note of a placement of this instance, for those that ask it. */
+  /** Records a placement of this instance, to be relayed. */
   notePlaced(entry: PlacementEntry): void {
     this.relay.add(this.options.own, entry);
   }
 
-  /** Hands on to those that ask this instance which parts of prompts endpoints have read. */
+  /** Relays which prompt parts endpoints have processed. */
   relayRead(read: PrefixReport): void {
     this.relay.addReadParts(read);
   }
 
-  /** Takes note that an instance asks this one for views, and is told placements from now on. */
+  /** Records that an instance receives views from this one; placements are relayed to it from now on. */
   noteAsked(name: string): void {
     this.relay.noteSubscriber(name);
   }
@@ -118,7 +121,7 @@
     if (this.placements.takeRelayed(getIncarnationKey(peer), first, entries)) this.isStale = true;
   }
 
-  /** Takes note of a view that includes all placements up to a number. */
+  /** Records a view that includes all placements up to a number. */
   noteView(peer: PeerIdentity, placedNumber: number): void {
     this.placements.noteView(getIncarnationKey(peer), placedNumber);
     this.isStale = true;
--- a/packages/gateway/src/gatewayItems.ts
+++ b/packages/gateway/src/gatewayItems.ts
@@ -1,5 +1,6 @@
 /**
- * What an instance remembers of the gateway's own items, and writes again where a store that came back from a copy lacks them.
+ * Keeps the gateway's own items of the store in memory, and writes them again if a store that was restored from
+ * a copy lacks them.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -10,7 +11,7 @@
 import type { Removal } from "./prefixFollower.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
-/** Prefix of the keys that hold fixed usage windows. */
+/** Prefix of the keys that hold committed usage windows. */
 export const usagePrefix = `${gatewayPrefix}usage/`;
 const fenceOffsetKey = `${gatewayPrefix}fence-offset`;
 
@@ -20,13 +21,15 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly isFirstStart: boolean;
-  /** Whether this instance knows what the store holds, and writes for all. */
+  /** Whether this instance knows the store's content and writes on behalf of the fleet. */
   readonly isWriter: () => boolean;
   /** Returns the time of day. */
   readonly getTimeOfDay: () => number;
 }
 
-/** Items that are kept beyond the store. */
+/**
+ * The items that are restored: the settled era, the fence offset of the leases and the committed usage windows.
+ */
 export class GatewayItems {
   readonly settling: EraSettling;
   readonly leases: FencedLeases;
@@ -42,14 +45,14 @@
     return new GatewayItems(options);
   }
 
-  /** Takes an item of the store, or that it is gone and how. */
+  /** Applies a put item, or the removal of one if `item` is undefined. */
   takeItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     this.settling.takeItem(key, item);
     this.leases.takeItem(key, item);
     this.committedWindows.takeItem(key, item, removal);
   }
 
-  /** Writes what is due; called several times a second. */
+  /** Writes the items that are due; called several times a second. */
   review(): void {
     this.settling.review();
     this.committedWindows.restoreLost();
--- a/packages/gateway/src/itemCodec.ts
+++ b/packages/gateway/src/itemCodec.ts
@@ -1,12 +1,13 @@
 /**
- * Items of the store that the gateway wrote itself, read with a check: the store may hold bytes of another writer.
+ * Decodes the gateway's own items of the store and validates them, because the store may hold bytes of another
+ * writer.
  * @module
  */
 import * as v from "valibot";
 
 /**
- * Returns what an item holds; undefined where it is not of the schema's shape. Read without a check, one item of another
- * writer ended every process that listed it.
+ * Returns the decoded value of an item; undefined if it does not match the schema. Without this check, one item
+ * of another writer ended every process that listed it.
  */
 export function decodeItem<Schema extends v.GenericSchema>(
   schema: Schema,
@@ -16,7 +17,7 @@
     const decoded = v.safeParse(schema, JSON.parse(Buffer.from(value).toString("utf8")));
     return decoded.success ? decoded.output : undefined;
   } catch {
-    // JSON.parse throws on what is no JSON; that too is another writer's.
+    // JSON.parse throws on text that is not JSON, which is also another writer's.
     return undefined;
   }
 }
--- a/packages/gateway/src/peerClocks.ts
+++ b/packages/gateway/src/peerClocks.ts
@@ -1,19 +1,19 @@
 /**
- * What time of day the peers said it was, carried on by the monotonic clock.
+ * Keeps the times of day that peers reported, advanced by the monotonic clock.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 
-/** Words older than this are not looked at. */
+/** Reported times older than this are ignored. */
 const maxAgeMs = 2_000;
 
 interface PeerTime {
   readonly time: number;
-  /** Monotonic time at which it was heard. */
+  /** Monotonic time at which it was received. */
   readonly at: number;
 }
 
-/** Peers' times of day. */
+/** The peers' times of day. */
 export class PeerClocks {
   private readonly times = new Map<string, PeerTime>();
 
@@ -23,18 +23,18 @@
     return new PeerClocks(clock);
   }
 
-  /** Takes what a peer says that its time of day is now. */
+  /** Records a peer's current time of day. */
   record(peer: string, time: number): void {
     this.times.set(peer, { time, at: this.clock.getTime() });
   }
 
   /**
-   * Returns how far the peers are ahead of a time of day. Reckoned from what is given, so a difference that was
-   * corrected is gone, also where no new word has come since.
+   * Returns how far the peers are ahead of a time of day, in milliseconds. The offsets are computed from the
+   * given time, so that an offset which was corrected is gone even if no new report has arrived since.
    */
   getOffsets(timeOfDay: number): readonly number[] {
     const now = this.clock.getTime();
-    const fresh = [...this.times.values()].filter(({ at }) => now - at <= maxAgeMs);
-    return fresh.map(({ time, at }) => time + (now - at) - timeOfDay);
+    const recent = [...this.times.values()].filter(({ at }) => now - at <= maxAgeMs);
+    return recent.map(({ time, at }) => time + (now - at) - timeOfDay);
   }
 }
