--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and latencies of an instance, and the port they are read at.
+ * Keeps an instance's counters, gauges and latencies, and serves them over HTTP.
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
@@ -7,7 +7,7 @@
 import { type Closeable, listen, Metrics } from "@gladewall/kernel";
 import { LeavingSource } from "./endpointAvailability.js";
 
-/** Values that are read when the page is. */
+/** Values that are read when the metrics are requested. */
 export interface MetricSources {
   readonly isReady: () => boolean;
   readonly getVersion: () => number;
@@ -21,23 +21,23 @@
   readonly getUsableEndpoints: () => number;
   readonly countLeaving: (source: LeavingSource) => number;
   readonly countHeldOff: () => number;
-  /** Endpoints that name a limit, and what they take together. */
+  /** Endpoints that advertise a limit, and the sum of their limits in requests a second. */
   readonly countLimited: () => { readonly endpoints: number; readonly perSecond: number };
   readonly isLeader: () => boolean;
   /** Era of the store, and whether its reads prove the configuration. */
   readonly getEra: () => number;
   readonly isEraSettled: () => boolean;
-  /** Requests under which an endpoint ended, and of these such as are not run any more. */
+  /** Requests under which an endpoint crashed, and those of them that are no longer run. */
   readonly countSuspects: () => { readonly watched: number; readonly convicted: number };
 }
 
-/** What became of units of a workspace's limit. */
+/** What happened to units of a workspace's limit. */
 export enum QuotaEvent {
-  /** Taken of the limit. */
+  /** Charged to the limit. */
   Charged = 1,
-  /** Asked for and not given. */
+  /** Requested and refused. */
   Refused = 2,
-  /** Given back, as nothing ran. */
+  /** Refunded, because nothing ran. */
   Returned = 3,
   /** May have run at an endpoint; a request counts once for each run. */
   Run = 4,
@@ -45,9 +45,9 @@
 
 /** What an instance knows of one workspace's limit. */
 export interface QuotaGauges {
-  /** Units that the fleet has taken, as known here. */
+  /** Units that the fleet has taken, as far as this instance knows. */
   readonly getLevel: () => number;
-  /** Units that it may have taken. */
+  /** Units that the fleet may take. */
   readonly getCapacity: () => number;
 }
 
@@ -69,7 +69,10 @@
     return new GatewayMetrics(address);
   }
 
-  /** Counts a request that came to its end. `failure` is the name of ours, `none` for an endpoint's answer. */
+  /**
+   * Counts a completed request. `failure` is the name of the gateway's failure, or `none` for an endpoint's
+   * response.
+   */
   countRequest(service: string, status: number, failure: string, milliseconds: number): void {
     const labels = { service, status: String(status), failure };
     this.registry.getCounter("gladewall_requests_total", "Requests by their final answer.", labels).add();
@@ -79,7 +82,7 @@
       .record(milliseconds);
   }
 
-  /** Counts a request that was refused before it had a service. */
+  /** Counts a request that was refused before its service was known. */
   countRefusal(failure: string, status: number): void {
     const labels = { failure, status: String(status) };
     this.registry
@@ -87,7 +90,7 @@
       .add();
   }
 
-  /** Counts one sending of a request to an endpoint. */
+  /** Counts an attempt to run a request at an endpoint. */
   countAttempt(service: string, end: string): void {
     const help = "Sendings to endpoints by how they ended.";
     this.registry.getCounter("gladewall_attempts_total", help, { service, end }).add();
@@ -101,19 +104,19 @@
       .add(units);
   }
 
-  /** Counts a question to the arbiter of a limit, by its answer. */
+  /** Counts a call to the arbiter of a limit, by its decision. */
   countQuotaCall(word: string): void {
     const labels = { word: word.toLowerCase() };
     this.registry.getCounter("gladewall_quota_asks_total", "Questions to arbiters of limits.", labels).add();
   }
 
-  /** Counts a question for a permit, by its answer. */
+  /** Counts a call for a permit, by its decision. */
   countPermit(word: string): void {
     const help = "Questions for permits to send to endpoints that name a limit.";
     this.registry.getCounter("gladewall_permit_asks_total", help, { word: word.toLowerCase() }).add();
   }
 
-  /** Counts an answer of the store that is not of its present era. */
+  /** Counts a discarded response of the store, which is not of its current era. */
   countDiscardedResponse(cause: string): void {
     const help = "Answers of the store that were passed over, as they are not of its present era.";
     this.registry
@@ -121,24 +124,24 @@
       .add();
   }
 
-  /** Counts an endpoint that ended with requests of this instance on it. */
+  /** Counts an endpoint that crashed with requests of this instance running on it. */
   countEndpointCrash(service: string): void {
     const help = "Endpoints that ended with requests of this instance on them.";
     this.registry.getCounter("gladewall_endpoint_ends_total", help, { service }).add();
   }
 
-  /** Counts a refusal of a request under which endpoints ended. */
+  /** Counts a refusal of a request under which endpoints crashed. */
   countSuspectRefusal(service: string, verdict: string): void {
     const help = "Refusals of requests under which endpoints ended.";
     const labels = { service, verdict: verdict.toLowerCase() };
     this.registry.getCounter("gladewall_suspect_refusals_total", help, labels).add();
   }
 
-  /** Shows a workspace's limit; called again, it changes nothing. */
-  registerQuotaGauges(workspace: string, { getLevel, getCapacity: getRoom }: QuotaGauges): void {
+  /** Registers the gauges of a workspace's limit; further calls for the same workspace have no effect. */
+  registerQuotaGauges(workspace: string, { getLevel, getCapacity }: QuotaGauges): void {
     const labels = { workspace };
     this.registry.registerGauge("gladewall_quota_level", "Units taken, as known here.", getLevel, labels);
-    this.registry.registerGauge("gladewall_quota_room", "Units that may be taken.", getRoom, labels);
+    this.registry.registerGauge("gladewall_quota_room", "Units that may be taken.", getCapacity, labels);
   }
 
   setSources(sources: MetricSources): void {
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the parts of an instance together, each from those it stands on.
+ * Creates the parts of an instance, each from the parts that it depends on.
  * @module
  */
 import { getIncarnationKey } from "@gladewall/coordination";
@@ -44,19 +44,20 @@
 
 const leaderLeaseKey = `${gatewayPrefix}duty`;
 const leaderMarkerKey = `${gatewayPrefix}duties-begun`;
-// Outside the prefix that all instances watch: each change there costs a call of every instance.
+// Outside the prefix that all instances watch, because each change under that prefix costs a call of every
+// instance.
 const usageCheckpointKey = "gladewall-usage-draft";
 const demandWindowMs = 4_000;
-/** Longer than a reader takes to tell an instance that has just listed. */
+/** Longer than a reader takes to begin to feed an instance that has just been listed. */
 const firstWatchPauseMs = 800;
 
-/** What the fleet says, asked of parts that are created later. */
+/** Queries to the fleet, answered by parts that are created later. */
 interface FleetQueries {
   readonly askPeers: ConfigurationFollowerOptions["askPeers"];
   readonly getPeerWork: (endpoint: string) => PeerWork;
 }
 
-/** What everything stands on. */
+/** What all parts depend on. */
 interface GatewayBase {
   readonly settings: GatewaySettings;
   readonly platform: PlatformAdapter;
@@ -64,13 +65,13 @@
   readonly logger: Logger;
 }
 
-/** What is known of the platform and counted with the other instances. */
+/** The parts that hold the state of the platform and the counts that are shared with other instances. */
 interface GatewayState extends GatewayBase {
   readonly settling: EraSettling;
-  /** Grows with each life of the instance. */
+  /** Grows with each start of the instance. */
   readonly incarnation: number;
   readonly time: DisciplinedClock;
-  readonly feedTimes: FeedTimings;
+  readonly feedTimings: FeedTimings;
   readonly follower: ConfigurationFollower;
   readonly directory: EndpointDirectory;
   readonly usage: UsageCounts;
@@ -87,13 +88,13 @@
   readonly directory: EndpointDirectory;
   readonly connections: EndpointConnections;
   readonly members: Members;
-  /** What is known of endpoints that ended, and of the requests they had. */
+  /** Detects endpoints that crashed and keeps the requests that they had. */
   readonly crashProtection: CrashProtection;
-  /** What may be done with such requests. */
+  /** Decides whether such requests may run. */
   readonly suspects: SuspectGate;
-  /** What endpoints in need take of all instances together. */
+  /** The limits that endpoints advertise for all instances together. */
   readonly limits: EndpointLimits;
-  /** Permits to send to them. */
+  /** Requests permits to send to endpoints with an advertised limit. */
   readonly permits: PermitClient;
   readonly admission: Admission;
   readonly charges: QuotaCharges;
@@ -104,10 +105,10 @@
   readonly counters: SharedCounters;
   readonly metrics: GatewayMetrics;
   readonly leaderTasks: LeaderTasks;
-  /** Whether the store shows all that was acknowledged. */
+  /** Whether reads of the store show everything that was acknowledged. */
   readonly settling: EraSettling;
   readonly connectTimeoutMs: number;
-  /** Tells the other instances at once of prompt tokens that were sent to an endpoint. */
+  /** Sends the other instances immediately that prompt tokens were sent to an endpoint. */
   readonly announcePlacement: (endpoint: string, tokens: number) => void;
   /** Called once a request has begun to run, with the time of day at which it did. */
   readonly countRun: (workspace: string, at: number) => void;
@@ -124,41 +125,41 @@
 ): GatewayParts {
   const base = { settings, platform, clock, logger };
   const { store } = platform;
-  const own: GatewayItems = GatewayItems.create({
+  const items: GatewayItems = GatewayItems.create({
     ...base,
     store,
     isFirstStart: settings.instance.first_start,
     isWriter: () => members.isReader && members.isListed,
     getTimeOfDay: () => time.get(),
   });
-  const views = createState(
-    { ...base, settling: own.settling },
+  const state = createState(
+    { ...base, settling: items.settling },
     {
-      askPeers: (held) => vouching.ask(held),
+      askPeers: (held) => proofRequests.ask(held),
       getPeerWork: (endpoint) => members.getPeerWork(endpoint),
     },
   );
-  const { time, follower, directory, usage, counters, rates } = views;
-  const reporter: UsageReporter = createReporter(views, own, (key) => members.items.get(key));
-  const admission: Admission = createAdmission(views, () => members);
-  const members: Members = createMembers(views, reporter, {
+  const { time, follower, directory, usage, counters, rates } = state;
+  const reporter: UsageReporter = createReporter(state, items, (key) => members.items.get(key));
+  const admission: Admission = createAdmission(state, () => members);
+  const members: Members = createMembers(state, reporter, {
     answerAsk: (peer, ask) => admission.decideForPeer(peer, ask),
     onItem: (key, item, removal) => {
-      own.takeItem(key, item, removal);
+      items.takeItem(key, item, removal);
       crashes.handleItem(key, item, removal);
     },
     onTurn: () => {
       admission.updateDrainRates();
       crashes.review();
-      own.review();
+      items.review();
     },
   });
   const metrics = GatewayMetrics.create(settings.listen.metrics);
   reportEras(store.eras, logger, metrics);
-  const crashes: CrashProtection = createCrashes(views, members, metrics);
-  const { limits, permits, links } = createLimits(views, members, metrics);
-  const budget = createBudget(views, members, links);
-  const vouching: ProofRequests = ProofRequests.create(members.links, follower, Math.random);
+  const crashes: CrashProtection = createCrashes(state, members, metrics);
+  const { limits, permits, links } = createLimits(state, members, metrics);
+  const budget = createBudget(state, members, links);
+  const proofRequests: ProofRequests = ProofRequests.create(members.links, follower, Math.random);
   return {
     settings,
     platform,
@@ -183,13 +184,13 @@
       getViewAge: () => members.viewAge,
     }),
     rates,
-    placer: createPlacer(views, members),
+    placer: createPlacer(state, members),
     budget,
-    demand: views.demand,
+    demand: state.demand,
     counters,
     metrics,
-    leaderTasks: createLeaderTasks(views, members, reporter, own.leases),
-    settling: own.settling,
+    leaderTasks: createLeaderTasks(state, members, reporter, items.leases),
+    settling: items.settling,
     connectTimeoutMs: settings.endpoints.connect_timeout,
     announcePlacement: (endpoint, tokens) => members.announcePlacement(endpoint, tokens),
     countRun: (workspace, at) => usage.add(reporter.getWindow(at), workspace),
@@ -198,8 +199,8 @@
 }
 
 /**
- * Whether an instance knows enough to serve: a proven configuration, the endpoints, and the gateway's own items, as they say
- * which requests must not run.
+ * Whether an instance knows enough to serve: a configuration with a fresh proof, the endpoints, and the
+ * gateway's own items, which say what requests must not run.
  */
 export function canServe({
   follower,
@@ -215,13 +216,13 @@
 ): GatewayState {
   const { settings, platform, clock, logger, settling } = base;
   const { configuration, retries, quotas, endpoints } = settings;
-  const feedTimes = createFeedTimings(Math.min(endpoints.drain, configuration.apply_within));
+  const feedTimings = createFeedTimings(Math.min(endpoints.drain, configuration.apply_within));
   const follower = ConfigurationFollower.create({
     platform,
     clock,
     logger,
     proofIntervalMs: configuration.proof_interval,
-    readerIntervalMs: Math.min(configuration.proof_interval, feedTimes.proofIntervalMs),
+    readerIntervalMs: Math.min(configuration.proof_interval, feedTimings.proofIntervalMs),
     proofLifetimeMs: configuration.revoke_within - configuration.revoke_margin,
     firstWatchPauseMs,
     askPeers,
@@ -240,9 +241,9 @@
     clock,
     logger,
     getTimeSinceTrouble,
-    watchWaitMs: feedTimes.watchWaitMs,
+    watchWaitMs: feedTimings.watchWaitMs,
     firstWatchPauseMs,
-    unlistedMs: feedTimes.unlistedMs,
+    unlistedMs: feedTimings.unlistedMs,
   });
   const rates = PrefillRates.create({ clock, logger, initialRate: endpoints.prefill_rate });
   const countActive = (sum: number, { incarnation: life, active }: Endpoint): number =>
@@ -251,7 +252,7 @@
     ...base,
     incarnation: clock.getWallTime(),
     time: DisciplinedClock.create(clock),
-    feedTimes,
+    feedTimings,
     follower,
     directory,
     usage: UsageCounts.create(),
@@ -273,14 +274,14 @@
 }
 
 function createReporter(
-  views: GatewayState,
+  state: GatewayState,
   { committedWindows: fixed, settling }: GatewayItems,
   getItem: Members["items"]["get"],
 ): UsageReporter {
-  const { settings, platform, clock, logger, time, usage } = views;
+  const { settings, platform, clock, logger, time, usage } = state;
   return UsageReporter.create({
     store: platform.store,
-    orders: views.orders,
+    orders: state.orders,
     clock,
     logger,
     prefix: usagePrefix,
@@ -288,7 +289,7 @@
     getTimeOfDay: () => time.get(),
     checkpointKey: usageCheckpointKey,
     usage,
-    life: getIncarnationKey({ name: settings.instance.name, incarnation: views.incarnation }),
+    life: getIncarnationKey({ name: settings.instance.name, incarnation: state.incarnation }),
     getItem,
     committed: fixed,
     getDurableSince: () => settling.getDurableSince(),
@@ -296,18 +297,18 @@
 }
 
 function createMembers(
-  views: GatewayState,
+  state: GatewayState,
   reporter: UsageReporter,
   handlers: Pick<MembersOptions, "answerAsk" | "onItem" | "onTurn">,
 ): Members {
-  const { settings, platform, clock, logger, counters, usage, time, directory, follower, rates } = views;
+  const { settings, platform, clock, logger, counters, usage, time, directory, follower, rates } = state;
   const { instance, listen, peers } = settings;
   const members = Members.create({
     store: platform.store,
     clock,
     logger,
     name: instance.name,
-    incarnation: views.incarnation,
+    incarnation: state.incarnation,
     address: listen.peers,
     secret: peers.secret,
     reportIntervalMs: peers.report_interval,
@@ -315,10 +316,10 @@
     capacity: peers.capacity,
     largestMesh: peers.largest_mesh,
     revokeWithinMs: settings.configuration.revoke_within,
-    feedTimings: views.feedTimes,
+    feedTimings: state.feedTimings,
     counters,
     rates,
-    memory: views.memory,
+    memory: state.memory,
     usage,
     time,
     configuration: follower,
@@ -343,8 +344,8 @@
   });
 }
 
-function createCrashes(views: GatewayState, members: Members, metrics: GatewayMetrics): CrashProtection {
-  const { settings, platform, clock, logger, directory, follower } = views;
+function createCrashes(state: GatewayState, members: Members, metrics: GatewayMetrics): CrashProtection {
+  const { settings, platform, clock, logger, directory, follower } = state;
   const { connect_timeout: connectTimeoutMs, drain: drainMs } = settings.endpoints;
   return CrashProtection.create({
     own: settings.instance.name,
@@ -373,7 +374,7 @@
     getKnownShare: () => members.getKnownShare(),
     own: instance.name,
     arbiters: members.arbiters,
-    // Whoever knows limits of endpoints decides on repeats too.
+    // An instance that knows the limits of endpoints also decides on retries.
     supportsRetryCalls: (name) => links.isAble(name),
     getFleetSize: () => members.getFleetSize(),
   });
@@ -407,8 +408,8 @@
   return { limits, permits, links };
 }
 
-function createAdmission(views: GatewayState, getMembers: () => Members): Admission {
-  const { settings, clock, follower, counters } = views;
+function createAdmission(state: GatewayState, getMembers: () => Members): Admission {
+  const { settings, clock, follower, counters } = state;
   return Admission.create({
     clock,
     follower,
@@ -424,15 +425,15 @@
 }
 
 function createLeaderTasks(
-  views: GatewayState,
+  state: GatewayState,
   members: Members,
   reporter: UsageReporter,
   leases: FencedLeases,
 ): LeaderTasks {
-  const { settings, platform, clock, logger, directory, follower, demand } = views;
+  const { settings, platform, clock, logger, directory, follower, demand } = state;
   const { orders, instance } = settings;
   const capacity = CapacityOrders.create({
-    orders: views.orders,
+    orders: state.orders,
     clock,
     logger,
     getEndpoints: (service) => directory.getOfService(service),
@@ -452,7 +453,7 @@
     usage: reporter,
     capacity,
     isEligible: () => members.isCollector,
-    isFenceRefused: (fence) => views.orders.isRefused(fence),
+    isFenceRefused: (fence) => state.orders.isRefused(fence),
     isLeaseFree: () =>
       members.isFleetStable && members.isListed && directory.isListed && !members.items.has(leaderLeaseKey),
     getServices: () => follower.getTable()?.configuration.services.values() ?? [],
--- a/packages/gateway/src/gatewaySettings.ts
+++ b/packages/gateway/src/gatewaySettings.ts
@@ -1,5 +1,6 @@
 /**
- * Settings of an instance that runs the gateway.
+ * Declares the settings of an instance that runs the gateway: sections, keys, default values and allowed
+ * ranges.
  * @module
  */
 import {
@@ -29,7 +30,8 @@
     readiness: createAddress("where the platform asks whether the instance is ready"),
     peers: createAddress("where other instances connect"),
     metrics: createAddress("where metrics are read", "127.0.0.1:0"),
-    // An instance knows enough 0.1 to 0.3 s after its first open port (logs of restarts); who is refused comes back late.
+    // An instance knows enough to serve 0.1 to 0.3 s after its first port is open (logs of restarts); a refused
+    // caller retries much later.
     start_hold: createDuration(
       400,
       [0, minute],
@@ -131,7 +133,7 @@
   },
 } as const;
 
-/** Earlier names of sections and keys, and what they are called now. */
+/** Earlier names of sections and keys, and their current names. */
 export const renamedGatewaySettings: ReadonlyMap<string, string> = new Map([
   ["node", "instance"],
   ["backends", "endpoints"],
@@ -139,5 +141,5 @@
   ["orders.least_per_zone", "orders.least_per_hall"],
 ]);
 
-/** Settings as read. */
+/** The settings as they were read. */
 export type GatewaySettings = SettingsOf<typeof gatewaySchema>;
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway: serves requests that live and die with their connection, on a platform given by a plug-in.
+ * The gateway: serves requests that end with their caller's connection, on a platform that a plug-in provides.
  * @module
  */
 export * from "./types.js";
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -32,9 +32,9 @@
   private lastFedAt = -Infinity;
 
   private constructor(private readonly options: StoreFeedOptions) {
-    const { own, timings: times, configuration, followers } = options;
-    this.feed = FeedReplication.create(options.eras, configuration, followers, times.maxStoreAgeMs);
-    this.selection = ReaderSelection.create(own, times.patienceMs);
+    const { own, timings, configuration, followers } = options;
+    this.feed = FeedReplication.create(options.eras, configuration, followers, timings.maxStoreAgeMs);
+    this.selection = ReaderSelection.create(own, timings.patienceMs);
   }
 
   static create(options: StoreFeedOptions): StoreFeed {
