--- a/packages/gateway/test/countHandover.test.ts
+++ b/packages/gateway/test/countHandover.test.ts
@@ -2,14 +2,14 @@
 import { CounterKind, CountHandover, SharedCounters } from "@gladewall/gateway";
 import { VirtualClock } from "@gladewall/kernel";
 
-t.test("counts are asked for from the moment on at which an instance hears the whole fleet", async (t) => {
+t.test("counts are requested from the time at which an instance becomes a collector", async (t) => {
   const handover = CountHandover.create();
   handover.setRole(false, 0);
   t.notOk(handover.isAsking(0));
   handover.setRole(true, 500);
   handover.setRole(true, 1_400);
   t.ok(handover.isAsking(1_500));
-  t.notOk(handover.isAsking(1_501), "where all begin together, nobody has them");
+  t.notOk(handover.isAsking(1_501), "if all become collectors together, no instance has the counts");
   handover.setRole(false, 2_000);
   handover.setRole(true, 3_000);
   handover.complete();
@@ -17,25 +17,28 @@
   t.notOk(handover.isAsking(3_100));
 });
 
-t.test("what peers of any age take between a handover and their first word is counted once", async (t) => {
-  const windows = { 1: 8_000, 2: 10_000, 3: 10_000, 4: 4_000 };
-  const clock = VirtualClock.create();
-  const create = (own: string): SharedCounters => SharedCounters.create({ clock, own, windows });
-  const [old, reader] = [create("old"), create("reader")];
-  await clock.advance(11_000);
-  const [young, next] = [create("young"), create("next")];
-  const tell = (listener: SharedCounters): void => {
-    listener.applyReport("old", "old/1", old.createReport());
-    listener.applyReport("young", "young/1", young.createReport());
-  };
-  for (const peer of [old, young]) peer.add(CounterKind.Quota, "w", 10);
-  tell(reader);
-  const { totals } = next.createReport();
-  for (const peer of [old, young]) peer.add(CounterKind.Quota, "w", 3);
-  next.add(CounterKind.Quota, "w", 1);
-  next.applyView(reader.createView(), totals);
-  tell(next);
-  // Of the older peer, the reader had counted only what came after its own first word.
-  t.equal(next.getKnownSum(CounterKind.Quota, "w"), reader.getKnownSum(CounterKind.Quota, "w") + 7);
-  t.equal(next.reportingPeers, 2);
-});
+t.test(
+  "what a peer takes between a count handover and its first report is counted once, whatever the peer's uptime",
+  async (t) => {
+    const windows = { 1: 8_000, 2: 10_000, 3: 10_000, 4: 4_000 };
+    const clock = VirtualClock.create();
+    const create = (own: string): SharedCounters => SharedCounters.create({ clock, own, windows });
+    const [old, reader] = [create("old"), create("reader")];
+    await clock.advance(11_000);
+    const [young, next] = [create("young"), create("next")];
+    const reportTo = (receiver: SharedCounters): void => {
+      receiver.applyReport("old", "old/1", old.createReport());
+      receiver.applyReport("young", "young/1", young.createReport());
+    };
+    for (const peer of [old, young]) peer.add(CounterKind.Quota, "w", 10);
+    reportTo(reader);
+    const { totals } = next.createReport();
+    for (const peer of [old, young]) peer.add(CounterKind.Quota, "w", 3);
+    next.add(CounterKind.Quota, "w", 1);
+    next.applyView(reader.createView(), totals);
+    reportTo(next);
+    // Of the older peer, the reader had counted only what followed the peer's first report to it.
+    t.equal(next.getKnownSum(CounterKind.Quota, "w"), reader.getKnownSum(CounterKind.Quota, "w") + 7);
+    t.equal(next.reportingPeers, 2);
+  },
+);
--- a/packages/gateway/test/freePorts.test.ts
+++ b/packages/gateway/test/freePorts.test.ts
@@ -1,8 +1,9 @@
 import t from "tap";
 import { PortBlockAllocator } from "@gladewall/standins";
 
-// Ports were only looked at: two test files that began nearby were given the same ones before either listened.
-t.test("two owners of ports that begin at one place are given different ones", async (t) => {
+// Free ports were only looked up, not reserved: two test files that searched from nearby numbers got the same
+// ports before either listened on them.
+t.test("two owners that search for free ports from the same number get different ports", async (t) => {
   const owners = [PortBlockAllocator.create(process.pid), PortBlockAllocator.create(process.pid)];
   const given = await Promise.all(owners.map((owner) => owner.findFreeAddresses(150)));
   const addresses = given.flat();
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -19,12 +19,15 @@
   [CounterKind.PromptTokens]: 4_000,
 };
 
-/** Asks for so many tokens; what is foreseen between two views is at most as much as was taken in the last second. */
+/**
+ * Sends a request of so many tokens. Between two views at most as much is extrapolated as was taken in the last
+ * second.
+ */
 function ask(bench: GatewayTestBench, instance: BenchInstance, tokens: number): Promise<CallResult> {
   return bench.call(instance, { key: "key", headers: { "x-tokens": String(tokens) } });
 }
 
-/** A fleet of six instances that is larger than what may be a mesh. */
+/** Starts a fleet of six instances, which is too large for a full mesh. */
 async function createFleet(t: Pick<Test, "teardown">, burst: number, more: readonly string[] = []) {
   const workspace = createWorkspace({ ratePerSecond: 0.001, burst, unit: QuotaUnit.Tokens });
   const { bench, endpoint } = await startFleet(
@@ -38,7 +41,7 @@
 }
 
 t.test(
-  "in a large fleet the instances that can carry most hear all, and a limit holds over all instances",
+  "in a large fleet the instances with the greatest capacity are collectors, and a limit holds over the fleet",
   async (t) => {
     const { bench, endpoint } = await createFleet(t, 100);
     const { instances } = bench;
@@ -63,26 +66,30 @@
   },
 );
 
-t.test("a collector that ends is replaced by the next, which knows what was counted before", async (t) => {
-  const { bench } = await createFleet(t, 100);
-  const { instances } = bench;
-  await waitUntil(() => instances.every(({ gateway }) => gateway.knownShare === 1));
-  // What a peer's first report tells in the second after a view is lost: a fault of its own, with its own test below.
-  await waitUntil(() => instances.slice(3).every(({ gateway }) => gateway.reportingPeers === 5));
-  const [first, second, third, , , last] = instances;
-  for (const instance of [first!, second!, third!]) t.equal((await ask(bench, instance, 1)).status, 200);
-  await waitUntil(() => instances.every(({ gateway }) => gateway.getQuotaLevel("workspace") > 2.5));
-  await last!.gateway.close();
-  await waitUntil(() => third!.gateway.isCollector && third!.gateway.linkedPeers === 4);
-  // Until it hears all, a new collector keeps to its own part of the limit, and rightly refuses.
-  await waitUntil(() => third!.gateway.knownShare === 1);
-  t.equal((await ask(bench, third!, 60)).status, 200);
-  await waitUntil(() => first!.gateway.getQuotaLevel("workspace") > 62.5);
-  t.equal((await ask(bench, first!, 60)).status, 429);
-});
+t.test(
+  "a collector that stops is replaced by the next instance, which gets the earlier counts",
+  async (t) => {
+    const { bench } = await createFleet(t, 100);
+    const { instances } = bench;
+    await waitUntil(() => instances.every(({ gateway }) => gateway.knownShare === 1));
+    // What a peer's first report adds in the second after a view is lost; that fault has its own test below.
+    await waitUntil(() => instances.slice(3).every(({ gateway }) => gateway.reportingPeers === 5));
+    const [first, second, third, , , last] = instances;
+    for (const instance of [first!, second!, third!]) t.equal((await ask(bench, instance, 1)).status, 200);
+    await waitUntil(() => instances.every(({ gateway }) => gateway.getQuotaLevel("workspace") > 2.5));
+    await last!.gateway.close();
+    await waitUntil(() => third!.gateway.isCollector && third!.gateway.linkedPeers === 4);
+    // Until it receives the reports of all instances, a new collector is limited to its own part of the limit,
+    // and correctly refuses.
+    await waitUntil(() => third!.gateway.knownShare === 1);
+    t.equal((await ask(bench, third!, 60)).status, 200);
+    await waitUntil(() => first!.gateway.getQuotaLevel("workspace") > 62.5);
+    t.equal((await ask(bench, first!, 60)).status, 429);
+  },
+);
 
 t.test(
-  "only collectors ask the store: others learn of changes from them, and a proof as well",
+  "only collectors read the store: the other instances get changes and freshness proofs from them",
   { timeout: 20_000 },
   async (t) => {
     const { bench, endpoint } = await createFleet(t, 0, [
@@ -98,7 +105,7 @@
     await waitUntil(() =>
       instances.every(({ gateway }) => gateway.version === 2 && gateway.countEndpoints("web") === 2),
     );
-    // One too large to be passed on is read by each instance itself.
+    // A configuration that is too large to be sent is read by each instance itself.
     const large = Array.from({ length: 400 }, (_, index) =>
       createRoute({ name: `route-${index}`, prefix: `/${"p".repeat(40)}/${index}/` }),
     );
@@ -119,7 +126,7 @@
 );
 
 t.test(
-  "an instance whose collectors are turned away by the store asks it itself",
+  "an instance reads the store itself if the store refuses its collectors",
   { timeout: 20_000 },
   async (t) => {
     const { bench } = await createFleet(t, 0, [
@@ -136,48 +143,45 @@
     await waitUntil(() => instances.every(({ gateway }) => gateway.proofSentAt > since));
     t.ok(
       instances.every(({ gateway }) => gateway.isReady()),
-      "collectors have the others' word",
+      "collectors use the proofs of the others",
     );
     await waitUntil(() => !instances[0]!.gateway.isFeedActive);
   },
 );
 
-t.test(
-  "collectors are the same for all instances, and one that can't be reached is passed over",
-  async (t) => {
-    const clock = VirtualClock.create();
-    const names = Array.from({ length: 40 }, (_, index) => `n${index}`);
-    const down = new Set<string>();
-    const create = (own: string): FleetRoles => {
-      const collectors = FleetRoles.create({
-        clock,
-        own,
-        largestMesh: 24,
-        count: 3,
-        getNames: () => names,
-        getCapacity: (name) => (name === "n7" ? 10 : 1),
-        isLinked: (name) => !down.has(name),
-      });
-      collectors.setFleet();
-      return collectors;
-    };
-    const [one, other] = [create("n1"), create("n2")];
-    t.equal(one.getLinkTargets()[0], "n7");
-    t.equal(one.getLinkTargets().length, 3);
-    t.same(other.getLinkTargets(), one.getLinkTargets());
-    down.add("n7");
-    t.notOk(one.chooseReaders(), "a link may take a moment to come up");
-    await clock.advance(1_000);
-    t.ok(one.chooseReaders());
-    t.equal(one.getLinkTargets().length, 4);
-    t.notOk(one.getLinkedReaders().includes("n7"));
-    down.delete("n7");
-    one.chooseReaders();
-    t.equal(one.getLinkTargets().length, 3);
-  },
-);
+t.test("all instances choose the same collectors, and skip one that is unreachable", async (t) => {
+  const clock = VirtualClock.create();
+  const names = Array.from({ length: 40 }, (_, index) => `n${index}`);
+  const down = new Set<string>();
+  const create = (own: string): FleetRoles => {
+    const collectors = FleetRoles.create({
+      clock,
+      own,
+      largestMesh: 24,
+      count: 3,
+      getNames: () => names,
+      getCapacity: (name) => (name === "n7" ? 10 : 1),
+      isLinked: (name) => !down.has(name),
+    });
+    collectors.setFleet();
+    return collectors;
+  };
+  const [one, other] = [create("n1"), create("n2")];
+  t.equal(one.getLinkTargets()[0], "n7");
+  t.equal(one.getLinkTargets().length, 3);
+  t.same(other.getLinkTargets(), one.getLinkTargets());
+  down.add("n7");
+  t.notOk(one.chooseReaders(), "a link may take some time to be established");
+  await clock.advance(1_000);
+  t.ok(one.chooseReaders());
+  t.equal(one.getLinkTargets().length, 4);
+  t.notOk(one.getLinkedReaders().includes("n7"));
+  down.delete("n7");
+  one.chooseReaders();
+  t.equal(one.getLinkTargets().length, 3);
+});
 
-t.test("a view takes the place of what was known, and what it does not show yet is foreseen", async (t) => {
+t.test("a view replaces the sums, and what it does not include yet is extrapolated", async (t) => {
   const clock = VirtualClock.create();
   const collector = SharedCounters.create({ clock, windows });
   const member = SharedCounters.create({ clock, windows });
@@ -190,42 +194,52 @@
   collector.applyReport("member", "member/1", member.createReport());
   member.add(CounterKind.Quota, "workspace", 5);
   member.applyView(collector.createView(), totals);
-  // The member had lived for longer than the window: what it told first is taken as known.
+  // The member had run for longer than the window, so its first report is taken as included.
   t.equal(member.getSum(CounterKind.Quota, "workspace"), 505);
   await clock.advance(400);
   t.equal(member.getSum(CounterKind.Quota, "workspace"), 505 - 40 + 200);
   await clock.advance(700);
-  t.equal(member.getSum(CounterKind.Quota, "workspace"), 505 - 110, "nothing is foreseen from an old view");
+  t.equal(
+    member.getSum(CounterKind.Quota, "workspace"),
+    505 - 110,
+    "nothing is extrapolated from an old view",
+  );
 });
 
 /*
- * What happened: one collector of three never counted a unit that a peer had taken while the fleet started. Sequence: it
- * takes a view as it is no collector yet, becomes one, and within a second hears a peer for the first time. Cause: what a
- * young peer tells first is held to be in the view, also what it took after the view. What settled it: the levels of all
- * six instances at the stop, 2.99 at five and 1.99 at one collector (5 of 66 runs beside load).
+ * One collector of three never counted a unit that a peer had taken while the fleet started. It had applied a
+ * view before it became a collector, became one, and received the peer's first report within a second. A recently started
+ * peer's first report was taken to be included in the view, also what the peer took after the view. At the end
+ * five instances had a level of 2.99 and one collector 1.99 (5 of 66 runs under load).
  */
-t.test("what a peer took after a view is counted when it first reports soon after it", async (t) => {
-  const clock = VirtualClock.create();
-  const [peer, reader, late] = [1, 2, 3].map(() => SharedCounters.create({ clock, windows }));
-  peer!.add(CounterKind.Quota, "w", 1);
-  reader!.applyReport("peer", "peer/1", peer!.createReport());
-  late!.applyView(reader!.createView(), late!.createReport().totals);
-  await clock.advance(100);
-  peer!.add(CounterKind.Quota, "w", 1);
-  late!.applyReport("peer", "peer/1", peer!.createReport());
-  t.equal(late!.getKnownSum(CounterKind.Quota, "w"), 2);
-});
+t.test(
+  "what a peer took after a view is counted if its first report follows soon after the view",
+  async (t) => {
+    const clock = VirtualClock.create();
+    const [peer, reader, late] = [1, 2, 3].map(() => SharedCounters.create({ clock, windows }));
+    peer!.add(CounterKind.Quota, "w", 1);
+    reader!.applyReport("peer", "peer/1", peer!.createReport());
+    late!.applyView(reader!.createView(), late!.createReport().totals);
+    await clock.advance(100);
+    peer!.add(CounterKind.Quota, "w", 1);
+    late!.applyReport("peer", "peer/1", peer!.createReport());
+    t.equal(late!.getKnownSum(CounterKind.Quota, "w"), 2);
+  },
+);
 
-t.test("a view by a life that can't know what was before it only raises what is known", async (t) => {
-  const clock = VirtualClock.create();
-  const member = SharedCounters.create({ clock, windows });
-  member.add(CounterKind.Quota, "workspace", 300);
-  const { totals } = member.createReport();
-  const young = SharedCounters.create({ clock, windows });
-  young.add(CounterKind.Quota, "workspace", 10);
-  member.applyView(young.createView(), totals);
-  t.equal(member.getSum(CounterKind.Quota, "workspace"), 300);
-  young.add(CounterKind.Quota, "workspace", 400);
-  member.applyView(young.createView(), totals);
-  t.equal(member.getSum(CounterKind.Quota, "workspace"), 410);
-});
+t.test(
+  "a view of an instance that does not know the counts before its start only raises the sums",
+  async (t) => {
+    const clock = VirtualClock.create();
+    const member = SharedCounters.create({ clock, windows });
+    member.add(CounterKind.Quota, "workspace", 300);
+    const { totals } = member.createReport();
+    const recentlyStarted = SharedCounters.create({ clock, windows });
+    recentlyStarted.add(CounterKind.Quota, "workspace", 10);
+    member.applyView(recentlyStarted.createView(), totals);
+    t.equal(member.getSum(CounterKind.Quota, "workspace"), 300);
+    recentlyStarted.add(CounterKind.Quota, "workspace", 400);
+    member.applyView(recentlyStarted.createView(), totals);
+    t.equal(member.getSum(CounterKind.Quota, "workspace"), 410);
+  },
+);
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -1,7 +1,7 @@
 /**
- * A fleet that shares one workspace's limit, on a virtual clock and without sockets: instances report to three readers, ask
- * arbiters, are paused, killed and started again; messages are under way for a while. Judged by what ran, in an exact
- * sliding window.
+ * Simulates a fleet that shares one workspace's limit, on a virtual clock and without sockets: instances report
+ * to three readers, call arbiters, are paused, killed and started again, and messages take some time to arrive.
+ * The result is checked by what ran in an exact sliding window.
  * @module
  */
 import {
@@ -24,33 +24,33 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import { createSpreadRandom, StepClock } from "./stepClock.js";
 
-/** What is played; times are milliseconds from the start. */
+/** What is simulated; times are milliseconds from the start. */
 export interface LimitScenario {
   readonly seed: number;
   readonly instances: number;
   readonly ratePerSecond: number;
-  /** Time that a message is under way. */
+  /** Time that a message takes to arrive. */
   readonly delayMs: number;
-  /** Share of runs that are repeated. */
-  readonly repeatShare: number;
-  /** When a share of the instances stands still, and for how long. */
+  /** Share of runs that are retried. */
+  readonly retryShare: number;
+  /** When a share of the instances is paused, and for how long. */
   readonly pauses: readonly { readonly at: number; readonly share: number; readonly forMs: number }[];
   /** When the first of the readers is killed. */
   readonly readerKills: readonly number[];
   /** When all instances are killed at once. */
   readonly fleetKills: readonly number[];
-  /** Whether arbiters are asked; without, each instance decides by what it knows. */
+  /** Whether arbiters are called; without them, each instance decides by what it knows. */
   readonly hasArbiters: boolean;
   /** Load before and after the surge begins, as shares of the limit's rate. */
   readonly baseLoadShare: number;
   readonly surgeLoadShare: number;
-  /** Units of requests, which come by turns. */
+  /** Units of the requests, used in rotation. */
   readonly sizes: readonly number[];
 }
 
-/** What came of a play. */
+/** The result of a scenario. */
 export interface LimitResult {
-  /** Most of what is allowed that ran in any window, 1 being all of it. */
+  /** Greatest share of the allowed units that ran in any window; 1 is all of them. */
   readonly maxShare: number;
   /** Share of the rate that ran after the first window of the surge. */
   readonly admittedShare: number;
@@ -58,7 +58,7 @@
   readonly perSecond: readonly number[];
   /** Requests refused before the surge. */
   readonly refusedBeforeSurge: number;
-  /** Share of the requests of each size that were let in during the surge. */
+  /** Share of the requests of each size that were admitted during the surge. */
   readonly admittedBySize: readonly number[];
 }
 
@@ -79,14 +79,14 @@
 const silentMs = 1_000;
 const viewLifetimeMs = 1_500;
 const restartMs = 700;
-/** Time that each request has. */
+/** Time until the deadline of each request. */
 const leftMs = 5_000;
-/** Time after which a reader that ended is replaced. */
+/** Time after which a reader that was killed is replaced. */
 const replaceAfterMs = 800;
 
 const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 
-/** One life of one instance. */
+/** One instance from one start to its end. */
 class Member {
   readonly counters: SharedCounters;
   readonly admission: Admission;
@@ -105,7 +105,7 @@
     private readonly fleet: LimitedFleet,
     isFirstStart: boolean,
   ) {
-    const { clock, follower, play } = fleet;
+    const { clock, follower, scenario } = fleet;
     this.startedAt = clock.getTime();
     this.life = `${name}/${this.startedAt}`;
     this.counters = SharedCounters.create({ clock, own: name, windows });
@@ -116,7 +116,7 @@
       quotaWindowMs: windowMs,
       quotaSlack: slack,
       quotaOvershoot: overshoot,
-      getFleetSize: () => play.instances,
+      getFleetSize: () => scenario.instances,
       isFirstStart,
       getKnownShare: () => this.getKnownShare(),
       getRandom: fleet.draw,
@@ -132,9 +132,9 @@
         clock,
         logger,
         own: name,
-        getReaders: () => (play.hasArbiters ? fleet.readers : []),
+        getReaders: () => (scenario.hasArbiters ? fleet.readers : []),
         isLinked: (peer) => fleet.isAlive(peer),
-        call: (peer, ask, timeoutMs) => this.call(peer, ask as QuotaCall, timeoutMs),
+        call: (peer, call, timeoutMs) => this.call(peer, call as QuotaCall, timeoutMs),
       }),
       getViewAge: () => undefined,
     });
@@ -145,16 +145,20 @@
   }
 
   private getKnownShare(): number {
-    const { clock, play } = this.fleet;
+    const { clock, scenario } = this.fleet;
     const time = clock.getTime();
-    if (!this.isReader) return time - this.view.at <= viewLifetimeMs ? this.view.share : 1 / play.instances;
+    if (!this.isReader)
+      return time - this.view.at <= viewLifetimeMs ? this.view.share : 1 / scenario.instances;
     const silent = [...this.receivedAt].filter(
       ([peer, at]) => time - at > silentMs && this.fleet.isAlive(peer),
     ).length;
-    return Math.max(1, play.instances - silent) / play.instances;
+    return Math.max(1, scenario.instances - silent) / scenario.instances;
   }
 
-  /** Tells the readers; one of them answers with a view, or with its counts where this one has become a reader. */
+  /**
+   * Reports to the readers; one of them replies with a view, or with its counts if this instance has become a
+   * reader.
+   */
   report(): void {
     const { fleet } = this;
     this.handover.setRole(this.isReader, fleet.clock.getTime());
@@ -180,10 +184,10 @@
     const share = this.getKnownShare();
     this.fleet.send(peer.name, (member) => {
       if (member !== peer) return;
-      const told = peer.sentTotals.get(sequence);
-      if (!told || peer.isReader !== wantsCounts) return;
+      const included = peer.sentTotals.get(sequence);
+      if (!included || peer.isReader !== wantsCounts) return;
       if (wantsCounts && !peer.handover.isAsking(this.fleet.clock.getTime())) return;
-      peer.counters.applyView(view, told);
+      peer.counters.applyView(view, included);
       peer.handover.complete();
       peer.view = { share, at: this.fleet.clock.getTime() };
     });
@@ -216,20 +220,20 @@
   readonly follower: ConfigurationFollower;
   readonly workspace: Workspace;
   readers: readonly string[] = [];
-  refusedInCalm = 0;
+  refusedBeforeSurge = 0;
   private readonly members = new Map<string, Member>();
   private requests = 0;
-  /** Requests of each size during the surge, and those of them that were let in. */
+  /** Requests of each size during the surge, and those of them that were admitted. */
   private readonly asked: number[] = [];
   private readonly served: number[] = [];
 
-  constructor(readonly play: LimitScenario) {
-    const { seed, instances, ratePerSecond } = play;
+  constructor(readonly scenario: LimitScenario) {
+    const { seed, instances, ratePerSecond } = scenario;
     this.draw = createSpreadRandom(seed);
     this.workspace = createWorkspace({ ratePerSecond, burst: ratePerSecond });
     const configuration = { version: 1, routes: [], services: new Map(), limits };
     const table = RouteTable.create({ ...configuration, workspaces: [this.workspace] });
-    // All that limits ask of a follower.
+    // The only method of a follower that limits use.
     this.follower = { getTable: () => table } as Partial<ConfigurationFollower> as ConfigurationFollower;
     for (let index = 0; index < instances; index++) this.start(`i${index}`, true);
     this.chooseReaders();
@@ -239,7 +243,7 @@
     return this.members.has(name);
   }
 
-  /** Delivers a message when it has arrived and its receiver does not stand still. */
+  /** Delivers a message once it has arrived and its receiver is not paused. */
   send(name: string, take: (member: Member) => void): void {
     const deliver = (): void => {
       const member = this.members.get(name);
@@ -248,19 +252,19 @@
       if (wait > 0) this.clock.startTimer(wait, deliver);
       else take(member);
     };
-    this.clock.startTimer(this.play.delayMs, deliver);
+    this.clock.startTimer(this.scenario.delayMs, deliver);
   }
 
-  /** Plays until all is over. */
+  /** Runs the scenario to its end. */
   async run(): Promise<LimitResult> {
-    const { clock, play } = this;
-    this.planTroubles();
-    const meanSize = play.sizes.reduce((sum, size) => sum + size, 0) / play.sizes.length;
-    const perStep = (play.ratePerSecond / meanSize / 1_000) * stepMs;
+    const { clock, scenario } = this;
+    this.scheduleFaults();
+    const meanSize = scenario.sizes.reduce((sum, size) => sum + size, 0) / scenario.sizes.length;
+    const perStep = (scenario.ratePerSecond / meanSize / 1_000) * stepMs;
     let due = 0;
     while (clock.getTime() < endsAt) {
       await clock.advance(stepMs);
-      due += perStep * (clock.getTime() < surgeAt ? play.baseLoadShare : play.surgeLoadShare);
+      due += perStep * (clock.getTime() < surgeAt ? scenario.baseLoadShare : scenario.surgeLoadShare);
       for (; due >= 1; due--) this.request();
     }
     const from = surgeAt + windowMs;
@@ -273,7 +277,7 @@
         { length: endsAt / 1_000 },
         (_, second) => this.runs.getSum("w", second * 1_000, (second + 1) * 1_000) / ratePerSecond,
       ),
-      refusedBeforeSurge: this.refusedInCalm,
+      refusedBeforeSurge: this.refusedBeforeSurge,
       admittedBySize: this.asked.map((count, size) => (this.served[size] ?? 0) / count),
     };
   }
@@ -281,12 +285,12 @@
   private start(name: string, isFirst: boolean): void {
     const member = new Member(name, this, isFirst);
     this.members.set(name, member);
-    const tell = (): void => {
+    const report = (): void => {
       if (this.members.get(name) !== member) return;
       if (member.pausedUntil <= this.clock.getTime()) member.report();
-      this.clock.startTimer(reportMs * (0.95 + 0.1 * this.draw()), tell);
+      this.clock.startTimer(reportMs * (0.95 + 0.1 * this.draw()), report);
     };
-    this.clock.startTimer(this.draw() * reportMs, tell);
+    this.clock.startTimer(this.draw() * reportMs, report);
   }
 
   private kill(name: string): void {
@@ -295,15 +299,15 @@
     this.clock.startTimer(replaceAfterMs, () => this.chooseReaders());
   }
 
-  /** The readers that live stay; others take the places of those that ended. */
+  /** Running readers remain; others replace those that were killed. */
   private chooseReaders(): void {
     const staying = this.readers.filter((name) => this.isAlive(name));
     const others = [...this.members.keys()].filter((name) => !staying.includes(name));
     this.readers = [...staying, ...others].slice(0, readerCount);
   }
 
-  private planTroubles(): void {
-    const { pauses, readerKills, fleetKills } = this.play;
+  private scheduleFaults(): void {
+    const { pauses, readerKills, fleetKills } = this.scenario;
     const at = (time: number, act: () => void): void => void this.clock.startTimer(time, act);
     for (const { at: time, share, forMs } of pauses) {
       at(time, () => {
@@ -321,17 +325,17 @@
   }
 
   private request(): void {
-    const member = this.members.get(`i${Math.floor(this.draw() * this.play.instances)}`);
+    const member = this.members.get(`i${Math.floor(this.draw() * this.scenario.instances)}`);
     if (!member || member.pausedUntil > this.clock.getTime()) return;
     void this.serve(member);
   }
 
   private async serve(member: Member): Promise<void> {
-    const isCalm = this.clock.getTime() < surgeAt;
-    const { sizes, repeatShare } = this.play;
+    const isBeforeSurge = this.clock.getTime() < surgeAt;
+    const { sizes, retryShare } = this.scenario;
     const size = this.requests++ % sizes.length;
     const units = sizes[size]!;
-    if (!isCalm) this.asked[size] = (this.asked[size] ?? 0) + 1;
+    if (!isBeforeSurge) this.asked[size] = (this.asked[size] ?? 0) + 1;
     const charge = await member.charges.take({
       request: "request",
       workspace: this.workspace,
@@ -339,28 +343,28 @@
       leftMs,
     });
     if (charge.isErr()) {
-      if (isCalm) this.refusedInCalm += 1;
+      if (isBeforeSurge) this.refusedBeforeSurge += 1;
       return;
     }
-    if (!isCalm) this.served[size] = (this.served[size] ?? 0) + 1;
+    if (!isBeforeSurge) this.served[size] = (this.served[size] ?? 0) + 1;
     this.noteRun(member, units);
-    if (this.draw() >= repeatShare) return;
+    if (this.draw() >= retryShare) return;
     if ((await member.charges.takeRetry(charge.value, leftMs)).isOk()) this.noteRun(member, units);
   }
 
-  /** What a paused instance had let in runs when it goes on. */
+  /** What a paused instance has admitted runs when it resumes. */
   private noteRun(member: Member, units: number): void {
     this.runs.record("w", Math.max(this.clock.getTime(), member.pausedUntil), units);
   }
 }
 
-/** A surge to eight times a limit, and no troubles. */
+/** A surge to eight times a limit, without faults. */
 export const baselineSurge: LimitScenario = {
   seed: 1,
   instances: 24,
   ratePerSecond: 200_000,
   delayMs: 15,
-  repeatShare: 0,
+  retryShare: 0,
   pauses: [],
   readerKills: [],
   fleetKills: [],
@@ -370,7 +374,7 @@
   sizes: [12_000],
 };
 
-/** Draws the troubles of a seed. */
+/** Creates the scenario of a seed, with random faults. */
 export function createRandomScenario(seed: number): LimitScenario {
   const draw = createSpreadRandom(seed * 31);
   const choose = <Item>(items: readonly Item[]): Item => items[Math.floor(draw() * items.length)]!;
@@ -381,14 +385,14 @@
     instances: choose([8, 24, 77]),
     ratePerSecond: choose([36_000, 200_000, 900_000]),
     delayMs: choose([1, 15, 150, 400]),
-    repeatShare: choose([0, 0.1, 0.3]),
+    retryShare: choose([0, 0.1, 0.3]),
     pauses: drawTimes(3).map((at) => ({ at, share: choose([0.2, 0.5]), forMs: choose([100, 400, 1_400]) })),
     readerKills: choose([[], drawTimes(2), [6_000, 8_000, 10_000, 12_000]]),
     fleetKills: choose([[], [9_000], [9_000, 12_500]]),
   };
 }
 
-/** Plays a surge on one workspace's limit. */
-export function runLimitScenario(play: LimitScenario): Promise<LimitResult> {
-  return new LimitedFleet(play).run();
+/** Runs a scenario on one workspace's limit. */
+export function runLimitScenario(scenario: LimitScenario): Promise<LimitResult> {
+  return new LimitedFleet(scenario).run();
 }
--- a/packages/gateway/test/restarts.test.ts
+++ b/packages/gateway/test/restarts.test.ts
@@ -1,7 +1,7 @@
 /*
- * What happened: after all instances had been killed at once, the first second served few. Requests that came before an
- * instance knew its configuration were refused and came back late, limits counted nine tenths of their room as taken, and
- * instances linked with many peers that they dropped at once.
+ * After all instances had been killed together, few requests were served in the first second. Requests that
+ * arrived before an instance knew its configuration were refused and retried late, limits counted nine tenths
+ * of their capacity as taken, and instances opened links to many peers that they closed immediately.
  */
 import t from "tap";
 import { Admission, CounterKind, MemberRecords, SharedCounters } from "@gladewall/gateway";
@@ -16,7 +16,7 @@
 } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 
-t.test("a request that comes while an instance starts waits for it and is served", async (t) => {
+t.test("a request that arrives while an instance starts waits until it is ready and is served", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
   const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
@@ -31,7 +31,7 @@
   t.equal((await answer).status, 200);
 });
 
-t.test("one that comes to an instance which has not known enough for longer is refused", async (t) => {
+t.test("a request is refused if the instance is not ready within the hold time", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.shared.fault = StoreFault.Down;
   const instance = await bench.start(["listen.start_hold=0"]);
@@ -51,7 +51,7 @@
 const limit = { ratePerSecond: 36_000, burst: 36_000 };
 const quotaSlack = 140_000;
 
-/** Takes as much of a limit as one life of the fleet gives out over some time; returns the units taken. */
+/** Takes as much of a limit as the fleet admits within some time after a start; returns the units taken. */
 async function takeAll(clock: VirtualClock, isFirstStart: boolean, forMs: number): Promise<number> {
   const follower = createConfigurationFollower(FakePlatform.create(clock).createAdapter(), clock);
   const admission = Admission.create({
@@ -73,25 +73,22 @@
   return taken;
 }
 
-t.test(
-  "restarts of the whole fleet neither exceed a limit nor refuse all that comes after them",
-  async (t) => {
-    const { ratePerSecond, burst } = limit;
-    for (const livesMs of [[4_000], [1_000, 3_000], [2_000, 2_000, 2_000], [500, 500, 6_000]]) {
-      const clock = VirtualClock.create();
-      let taken = await takeAll(clock, true, 1_000);
-      const before = taken;
-      for (const lifeMs of livesMs) taken += await takeAll(clock, false, lifeMs);
-      const allowed = (ratePerSecond * windowMs) / 1_000 + burst;
-      t.ok(taken <= allowed * 1.1 + quotaSlack, `${taken} of ${allowed * 1.1 + quotaSlack}`);
-      t.ok(before > burst);
-    }
-    const atOnce = await takeAll(VirtualClock.create(), false, 100);
-    t.ok(atOnce >= ratePerSecond, `a second's worth at once: ${atOnce}`);
-  },
-);
+t.test("restarts of the whole fleet neither exceed a limit nor refuse all later requests", async (t) => {
+  const { ratePerSecond, burst } = limit;
+  for (const runTimesMs of [[4_000], [1_000, 3_000], [2_000, 2_000, 2_000], [500, 500, 6_000]]) {
+    const clock = VirtualClock.create();
+    let taken = await takeAll(clock, true, 1_000);
+    const before = taken;
+    for (const runTimeMs of runTimesMs) taken += await takeAll(clock, false, runTimeMs);
+    const allowed = (ratePerSecond * windowMs) / 1_000 + burst;
+    t.ok(taken <= allowed * 1.1 + quotaSlack, `${taken} of ${allowed * 1.1 + quotaSlack}`);
+    t.ok(before > burst);
+  }
+  const atOnce = await takeAll(VirtualClock.create(), false, 100);
+  t.ok(atOnce >= ratePerSecond, `a second's worth at once: ${atOnce}`);
+});
 
-t.test("a fleet that is listed at once is told of once", async (t) => {
+t.test("members that are listed together are reported once", async (t) => {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock);
   for (let index = 0; index < 40; index++) {
--- a/packages/gateway/test/silentPeers.test.ts
+++ b/packages/gateway/test/silentPeers.test.ts
@@ -2,17 +2,17 @@
 import { SilentPeers } from "@gladewall/gateway";
 
 t.test(
-  "a peer that is cut off keeps its part for as long as it may serve, from its last word on",
+  "a peer that is cut off keeps its part for as long as it may serve, counted from its last report",
   async (t) => {
     const peers = SilentPeers.create(5_000);
     peers.recordReport("cut", 1_000);
     t.notOk(peers.mayBeServing("cut", 1_900, true));
-    t.ok(peers.mayBeServing("cut", 2_100, true), "linked and silent");
+    t.ok(peers.mayBeServing("cut", 2_100, true), "it is linked and silent");
     peers.recordDisconnect("cut", 3_500);
     t.ok(peers.mayBeServing("cut", 6_900, false));
     t.notOk(
       peers.mayBeServing("cut", 7_000, false),
-      "the time in which the loss was noticed does not count twice",
+      "the time until the loss was detected does not count twice",
     );
     peers.recordReport("cut", 7_500);
     t.notOk(peers.mayBeServing("cut", 7_600, true));
@@ -24,16 +24,19 @@
   peers.recordReport("ended", 1_000);
   peers.recordDisconnect("ended", 1_400);
   t.notOk(peers.mayBeServing("ended", 1_500, false));
-  peers.recordDisconnect("unheard", 9_000);
-  t.notOk(peers.mayBeServing("unheard", 9_100, true));
+  peers.recordDisconnect("unreported", 9_000);
+  t.notOk(peers.mayBeServing("unreported", 9_100, true));
 });
 
-t.test("how long a peer may serve unheard follows from the operators' bound on removed keys", async (t) => {
-  for (const revokeWithinMs of [3_000, 8_000]) {
-    const peers = SilentPeers.create(revokeWithinMs);
-    peers.recordReport("cut", 0);
-    peers.recordDisconnect("cut", 2_500);
-    t.ok(peers.mayBeServing("cut", revokeWithinMs + 900, false));
-    t.notOk(peers.mayBeServing("cut", revokeWithinMs + 1_000, false));
-  }
-});
+t.test(
+  "the time for which a silent peer may serve follows from the operators' bound on removed keys",
+  async (t) => {
+    for (const revokeWithinMs of [3_000, 8_000]) {
+      const peers = SilentPeers.create(revokeWithinMs);
+      peers.recordReport("cut", 0);
+      peers.recordDisconnect("cut", 2_500);
+      t.ok(peers.mayBeServing("cut", revokeWithinMs + 900, false));
+      t.notOk(peers.mayBeServing("cut", revokeWithinMs + 1_000, false));
+    }
+  },
+);
--- a/packages/gateway/test/startedFleet.ts
+++ b/packages/gateway/test/startedFleet.ts
@@ -1,12 +1,12 @@
 /**
- * A fleet of instances of one test, started one after the other before one endpoint that all of them know; each can carry
- * more than the one before it.
+ * Starts a fleet of instances for one test, one after the other, with one endpoint that all of them know. Each
+ * instance has a greater capacity than the one before it.
  * @module
  */
 import type { Test } from "tap";
 import { respondSuccess, GatewayTestBench, ScriptedEndpoint } from "@gladewall/standins";
 
-/** Starts so many instances on a platform that `prepare` has configured; `overrides` are `section.key=value`. */
+/** Starts `size` instances on a platform that `prepare` has configured; `overrides` are `section.key=value`. */
 export async function startFleet(
   t: Pick<Test, "teardown">,
   size: number,
--- a/packages/gateway/test/stepClock.ts
+++ b/packages/gateway/test/stepClock.ts
@@ -1,16 +1,19 @@
 /**
- * A virtual clock and draws for plays of large fleets.
+ * A virtual clock and random numbers for simulations of large fleets.
  * @module
  */
 import type { Clock, Timer } from "@gladewall/kernel";
 import { createRandom } from "@gladewall/standins";
 
-/** Returns draws that differ from the first one on, also between seeds that are near each other. */
+/** Returns a random generator whose first numbers differ too between seeds that are close to each other. */
 export function createSpreadRandom(seed: number): () => number {
   return createRandom((seed * 2_654_435_761) >>> 0);
 }
 
-/** A clock that moves in milliseconds and lets promises settle once in each; cheap enough for hundreds of instances. */
+/**
+ * A clock that advances by milliseconds and lets promises settle once in each; cheap enough for hundreds of
+ * instances.
+ */
 export class StepClock implements Clock {
   private time = 0;
   private readonly timers = new Map<number, Set<() => void>>();
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -1,14 +1,15 @@
 /*
- * A machine may be suspended for seconds, and the monotonic clock does not count them: the proof of the configuration was as
- * young after a suspension as before it, so keys that had been removed meanwhile still ran requests, and a lease that another
- * instance had taken over still counted as held. The time of day counts a suspension, but it may also be set.
+ * A machine may be suspended for seconds, which the monotonic clock does not count. The proof of the
+ * configuration had the same age after a suspension as before it, so that keys which had been removed in the
+ * meantime still ran requests, and a lease that another instance had acquired still counted as held. The time
+ * of day counts a suspension, but it may also be set.
  */
 import t from "tap";
 import { BootClock, VirtualClock } from "@gladewall/kernel";
 import { FakePlatform } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 
-/** A follower that has just proven its configuration, before a store that answers no more. */
+/** Creates a follower with a new proof of its configuration. */
 async function createProvenFollower(t: Pick<typeof import("tap").t, "teardown">) {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock);
@@ -20,25 +21,25 @@
   return { clock, platform, follower };
 }
 
-t.test("a proof is older by the time for which the machine was suspended", async (t) => {
+t.test("the age of a proof includes the time for which the machine was suspended", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
   t.ok(follower.hasFreshProof());
   clock.shiftWallTime(5_000);
-  t.notOk(follower.hasFreshProof(), "at once, before any timer has run");
+  t.notOk(follower.hasFreshProof(), "immediately, before any timer has run");
   t.ok(follower.getProofAge() >= 5_000);
-  t.equal(follower.createProof({ revision: 0 }), undefined, "nor does it vouch for the configuration");
+  t.equal(follower.createProof({ revision: 0 }), undefined, "it sends no proof to peers either");
   await clock.advance(1_600);
-  t.ok(follower.hasFreshProof(), "the next read proves it again");
+  t.ok(follower.hasFreshProof(), "the next read is a fresh proof");
 });
 
-t.test("a shorter suspension counts for as long as it was", async (t) => {
+t.test("a shorter suspension adds its duration to the age", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
   clock.shiftWallTime(3_000);
   t.ok(follower.hasFreshProof());
   t.ok((follower.createProof({ revision: 0 })?.proofAgeMs ?? 0) >= 3_000);
 });
 
-t.test("a peer's word that was asked for before a suspension is as old as the question", async (t) => {
+t.test("a peer's proof that was requested before a suspension is as old as the request", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
   const askedAt = clock.getBootTime();
   clock.shiftWallTime(10_000);
@@ -46,7 +47,7 @@
   t.notOk(follower.hasFreshProof());
 });
 
-t.test("a time of day that is set back makes no proof younger", async (t) => {
+t.test("setting the time of day back makes no proof younger", async (t) => {
   const { clock, platform, follower } = await createProvenFollower(t);
   platform.shared.put("unrelated", "");
   const age = follower.getProofAge();
@@ -56,7 +57,7 @@
   t.ok(follower.getProofAge() >= 60_000, "set forward, it may have been a suspension");
 });
 
-t.test("small differences between the clocks add nothing up", (t) => {
+t.test("small differences between the clocks do not add up", (t) => {
   let time = 0;
   let wall = 1_000;
   const bootTime = BootClock.create(
