--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -306,8 +306,8 @@
 
   /**
    * Asks peers for their proofs, in case the store refuses this instance but serves others. The age of a peer's
-   * proof is added to the time at which this instance asked, not to the arrival of the reply, so that the time
-   * which the reply spent on its way is included.
+   * proof counts back from the time at which this instance asked, not from the arrival of the reply, so that no
+   * proof is taken for younger than it is, however long the reply took.
    */
   private async askPeers(): Promise<void> {
     if (this.isAskingPeers) return;
@@ -351,7 +351,7 @@
   }
 
   private isBehind({ version, era = initialEra, revision }: ConfigurationProof): boolean {
-    const { taken: taken, table } = this;
+    const { taken, table } = this;
     if (taken && isSamePosition(taken.position, { era, revision })) return false;
     if (version !== undefined) return version > (table?.version ?? -Infinity);
     return revision > (taken?.position.revision ?? 0);
--- a/packages/gateway/src/feedTimings.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -23,7 +23,7 @@
   readonly unlistedMs: number;
 }
 
-/** Two reads fit into the maximum age, so that a reader is still believed if one read is lost. */
+/** Two reads fit into the maximum age, so that a reader's messages are still applied if one read is lost. */
 const proofShare = 0.3;
 const storeAgeShare = 0.6;
 /** The rest of the time is for one listing, its retry, and the interval until the missing answer is noticed. */
