--- a/packages/gateway/src/fleetRoles.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -70,7 +70,7 @@
   }
 
   /** Applies a new list of members. */
-  setFleet(): void {
+  updateMembers(): void {
     const { own, getNames, getCapacity } = this.options;
     const names = new Set([...getNames(), own]);
     const ranked = [...names].map((name) => ({ name, capacity: getCapacity(name), hash: hashText(name) }));
--- a/packages/gateway/src/fleetWork.ts
+++ b/packages/gateway/src/fleetWork.ts
@@ -95,7 +95,7 @@
   }
 
   /** Applies a placement that a peer sent ahead of its report. */
-  takePlaced(peer: string, entry: PlacementEntry): void {
+  applyPlacement(peer: string, entry: PlacementEntry): void {
     const [endpoint, tokens] = entry;
     this.reports.addPlacement(peer, endpoint, tokens);
     this.relay.add(peer, entry);
@@ -103,26 +103,26 @@
   }
 
   /** Records a placement of this instance, to be relayed. */
-  notePlaced(entry: PlacementEntry): void {
+  recordPlacement(entry: PlacementEntry): void {
     this.relay.add(this.options.own, entry);
   }
 
   /** Relays which prompt parts endpoints have processed. */
-  relayRead(read: PrefixReport): void {
+  relayReadParts(read: PrefixReport): void {
     this.relay.addReadParts(read);
   }
 
   /** Records that an instance receives views from this one; placements are relayed to it from now on. */
-  noteAsked(name: string): void {
+  addSubscriber(name: string): void {
     this.relay.noteSubscriber(name);
   }
 
-  takeRelayed({ first, entries }: PlacementRelayMessage, peer: PeerIdentity): void {
+  applyRelay({ first, entries }: PlacementRelayMessage, peer: PeerIdentity): void {
     if (this.placements.takeRelayed(getIncarnationKey(peer), first, entries)) this.isStale = true;
   }
 
   /** Records a view that includes all placements up to a number. */
-  noteView(peer: PeerIdentity, placedNumber: number): void {
+  recordView(peer: PeerIdentity, placedNumber: number): void {
     this.placements.noteView(getIncarnationKey(peer), placedNumber);
     this.isStale = true;
   }
--- a/packages/gateway/src/memberMessages.ts
+++ b/packages/gateway/src/memberMessages.ts
@@ -63,7 +63,7 @@
 }
 
 /** A reader's reply to a report of a collector. */
-export interface FeedAnswer extends PeerMessage {
+export interface FeedReply extends PeerMessage {
   readonly kind: MemberMessageKind.Feed;
   /** Number of the receiver's report that asked. */
   readonly sequence: number;
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -21,7 +21,7 @@
 import { CountHandover } from "./countHandover.js";
 import {
   type CountsMessage,
-  type FeedAnswer,
+  type FeedReply,
   MemberMessageKind,
   type PingMessage,
   type PlacementMessage,
@@ -121,7 +121,7 @@
       getPingFields: () => ({ time: options.time.get() }),
     });
     const isLinked = (peer: string): boolean => this.links.isLinked(peer);
-    const onChange = (): void => this.setFleet();
+    const onChange = (): void => this.updateMembers();
     this.records = MemberRecords.create({ ...options, onChange, isLinked });
     this.roles = FleetRoles.create({
       clock,
@@ -259,7 +259,7 @@
       return;
     }
     for (const name of this.roles.getLinkedReaders()) this.links.send(name, message);
-    this.work.notePlaced([endpoint, message.tokens]);
+    this.work.recordPlacement([endpoint, message.tokens]);
   }
 
   /** Other instances' work at an endpoint, as last received. */
@@ -288,11 +288,11 @@
     );
     this.links.setHandler(MemberMessageKind.PlacementRelay, (message, peer) => {
       const relayed = message as PlacementRelayMessage;
-      this.work.takeRelayed(relayed, peer);
+      this.work.applyRelay(relayed, peer);
       this.options.memory.mergePeer(relayed.read);
     });
     this.links.setHandler(MemberMessageKind.Feed, (message) => {
-      const { sequence, feed } = message as FeedAnswer;
+      const { sequence, feed } = message as FeedReply;
       this.applyFeed(sequence, feed);
     });
     this.links.setHandler(MemberMessageKind.Counts, (message, peer) =>
@@ -314,8 +314,8 @@
     });
   }
 
-  private setFleet(): void {
-    this.roles.setFleet();
+  private updateMembers(): void {
+    this.roles.updateMembers();
     this.links.setPeers(this.records.getAddresses(), this.roles.getLinkTargets());
   }
 
@@ -325,7 +325,7 @@
     while (!signal.aborted) {
       await waitFor(clock, this.roles.isMesh ? reportIntervalMs : largeFleetIntervalMs, signal);
       time.adjust(this.peerClocks.getOffsets(time.get()));
-      if (this.roles.chooseReaders()) this.setFleet();
+      if (this.roles.chooseReaders()) this.updateMembers();
       this.work.refresh();
       this.feed.setRole(this.roles.isReader);
       this.handover.setRole(this.roles.isCollector, clock.getTime());
@@ -362,7 +362,7 @@
     const report = counters.createReport(isOwn || isHistoryWanted);
     this.views.recordReport(this.sequence, report.totals);
     const read = this.options.memory.takeUnreported();
-    this.work.relayRead(read);
+    this.work.relayReadParts(read);
     const hasUsage = isMesh || this.sequence % reportsPerUsage === 0;
     return {
       kind: MemberMessageKind.Report,
@@ -385,14 +385,14 @@
     if (message.rates) rates.mergePeer(peer.name, message.rates);
     if (message.read) {
       this.options.memory.mergePeer(message.read);
-      this.work.relayRead(message.read);
+      this.work.relayReadParts(message.read);
     }
     this.silentPeers.recordReport(peer.name, clock.getTime());
     this.peerClocks.record(peer.name, message.time);
     this.work.applyReport(peer.name, message.work);
     if (message.wantsCounts) this.sendCounts(message, peer);
     if (!message.feed) return;
-    if (!message.hearsAll) this.work.noteAsked(peer.name);
+    if (!message.hearsAll) this.work.addSubscriber(peer.name);
     this.links.send(peer.name, this.createReply(message, message.feed));
   }
 
@@ -429,14 +429,14 @@
     });
   }
 
-  private createReply(report: ReportMessage, state: FeedState): FeedAnswer | ViewMessage {
+  private createReply(report: ReportMessage, state: FeedState): FeedReply | ViewMessage {
     if (!report.hearsAll) return this.createView(report, state);
     const feed = this.feed.createMessage(state);
     return { kind: MemberMessageKind.Feed, sequence: report.sequence, feed };
   }
 
   private applyPlacement({ endpoint, tokens }: PlacementMessage, peer: PeerIdentity): void {
-    if (endpoint !== undefined) this.work.takePlaced(peer.name, [endpoint, tokens]);
+    if (endpoint !== undefined) this.work.applyPlacement(peer.name, [endpoint, tokens]);
   }
 
   private createView(report: ReportMessage, state: FeedState): ViewMessage {
@@ -455,7 +455,7 @@
     if (this.roles.isCollector || this.views.findSentAt(view.sequence) === undefined) return;
     this.applyFeed(view.sequence, view.feed);
     if (view.rates) this.options.rates.mergePeer(peer.name, view.rates);
-    if (this.views.applyView(view, peer)) this.work.noteView(peer, view.placedNumber ?? 0);
+    if (this.views.applyView(view, peer)) this.work.recordView(peer, view.placedNumber ?? 0);
   }
 
   private applyFeed(sequence: number, feed: FeedMessage): void {
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -101,9 +101,9 @@
   /** Removals are known completely only from this revision on. */
   private removalsCompleteFrom = 0;
   private readonly stop = new AbortController();
-  private round = new AbortController();
+  private attempt = new AbortController();
   private isPassive = false;
-  private hasWatched = false;
+  private hasPaused = false;
   private wake: () => void = () => undefined;
   private task: Promise<void> = Promise.resolve();
 
@@ -119,7 +119,7 @@
 
   /** Aborts the pending watch and lists again; called when the store answers again after a failure. */
   restart(): void {
-    this.round.abort();
+    this.attempt.abort();
   }
 
   /**
@@ -129,7 +129,7 @@
   setPassive(isPassive: boolean): void {
     if (isPassive === this.isPassive) return;
     this.isPassive = isPassive;
-    if (isPassive) this.round.abort();
+    if (isPassive) this.attempt.abort();
     else this.wake();
   }
 
@@ -184,7 +184,7 @@
 
   async close(): Promise<void> {
     this.stop.abort();
-    this.round.abort();
+    this.attempt.abort();
     this.wake();
     await this.task;
   }
@@ -195,15 +195,16 @@
     while (!this.stop.signal.aborted) {
       await this.waitWhilePassive();
       if (this.stop.signal.aborted) return;
-      this.round = new AbortController();
+      this.attempt = new AbortController();
       const startedAt = clock.getTime();
-      const failure = await this.followOnce(this.round.signal);
+      const failure = await this.followOnce(this.attempt.signal);
       if (this.stop.signal.aborted) return;
       if (this.isIdle) continue;
       const hasLasted = clock.getTime() - startedAt > maxRetryPauseMs;
-      pause = hasLasted || this.round.signal.aborted ? minRetryPauseMs : Math.min(maxRetryPauseMs, pause * 2);
+      pause =
+        hasLasted || this.attempt.signal.aborted ? minRetryPauseMs : Math.min(maxRetryPauseMs, pause * 2);
       logger.info("store.follow", { prefix, outcome: "relist", failure: failure.name, pauseMs: pause });
-      await waitFor(clock, pause, this.round.signal.aborted ? this.stop.signal : this.round.signal);
+      await waitFor(clock, pause, this.attempt.signal.aborted ? this.stop.signal : this.attempt.signal);
     }
   }
 
@@ -249,8 +250,8 @@
 
   /** Waits once before the first watch, so that a reader can begin to feed this instance. */
   private async pauseOnce(signal: AbortSignal): Promise<void> {
-    if (this.hasWatched) return;
-    this.hasWatched = true;
+    if (this.hasPaused) return;
+    this.hasPaused = true;
     await waitFor(this.options.clock, this.options.firstWatchPauseMs ?? 0, signal);
   }
 
--- a/packages/gateway/src/proofRequests.ts
+++ b/packages/gateway/src/proofRequests.ts
@@ -12,15 +12,15 @@
 
 /** Message numbers; they follow those of `MemberMessageKind`. */
 enum ProofMessageKind {
-  Ask = 40,
+  Request = 40,
 }
 
 interface ProofRequestMessage extends PeerMessage, HeldConfiguration {
-  readonly kind: ProofMessageKind.Ask;
+  readonly kind: ProofMessageKind.Request;
 }
 
 const askedPeerCount = 3;
-const askTimeoutMs = 400;
+const requestTimeoutMs = 400;
 
 /** Sends and replies requests for configuration proofs. */
 export class ProofRequests {
@@ -31,15 +31,17 @@
 
   /** Registers the handler that replies peers' requests with the follower's proof. */
   static create(links: PeerLinks, follower: ConfigurationFollower, getRandom: () => number): ProofRequests {
-    links.setHandler(ProofMessageKind.Ask, (message) => follower.createProof(message as ProofRequestMessage));
+    links.setHandler(ProofMessageKind.Request, (message) =>
+      follower.createProof(message as ProofRequestMessage),
+    );
     return new ProofRequests(links, getRandom);
   }
 
   /** Asks a few linked peers, chosen at random; returns the proofs of those that have one. */
   async ask(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
-    const message: ProofRequestMessage = { kind: ProofMessageKind.Ask, ...held };
+    const message: ProofRequestMessage = { kind: ProofMessageKind.Request, ...held };
     const replies = await Promise.all(
-      this.choosePeers().map((name) => this.links.call(name, message, askTimeoutMs)),
+      this.choosePeers().map((name) => this.links.call(name, message, requestTimeoutMs)),
     );
     return replies.flatMap((reply) => (reply.isOk() && isProof(reply.value) ? [reply.value] : []));
   }
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -163,7 +163,7 @@
       getCapacity: (name) => (name === "n7" ? 10 : 1),
       isLinked: (name) => !down.has(name),
     });
-    collectors.setFleet();
+    collectors.updateMembers();
     return collectors;
   };
   const [one, other] = [create("n1"), create("n2")];
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -119,7 +119,7 @@
       getFleetSize: () => scenario.instances,
       isFirstStart,
       getKnownShare: () => this.getKnownShare(),
-      getRandom: fleet.draw,
+      getRandom: fleet.getRandom,
     });
     const logger = Logger.createSilent();
     this.charges = QuotaCharges.create({
@@ -215,7 +215,7 @@
 /** All instances, and the clock that they share. */
 class LimitedFleet {
   readonly runs = RunUnitLog.create();
-  readonly draw: () => number;
+  readonly getRandom: () => number;
   readonly clock = new StepClock();
   readonly follower: ConfigurationFollower;
   readonly workspace: Workspace;
@@ -229,7 +229,7 @@
 
   constructor(readonly scenario: LimitScenario) {
     const { seed, instances, ratePerSecond } = scenario;
-    this.draw = createSpreadRandom(seed);
+    this.getRandom = createSpreadRandom(seed);
     this.workspace = createWorkspace({ ratePerSecond, burst: ratePerSecond });
     const configuration = { version: 1, routes: [], services: new Map(), limits };
     const table = RouteTable.create({ ...configuration, workspaces: [this.workspace] });
@@ -288,9 +288,9 @@
     const report = (): void => {
       if (this.members.get(name) !== member) return;
       if (member.pausedUntil <= this.clock.getTime()) member.report();
-      this.clock.startTimer(reportMs * (0.95 + 0.1 * this.draw()), report);
+      this.clock.startTimer(reportMs * (0.95 + 0.1 * this.getRandom()), report);
     };
-    this.clock.startTimer(this.draw() * reportMs, report);
+    this.clock.startTimer(this.getRandom() * reportMs, report);
   }
 
   private kill(name: string): void {
@@ -312,7 +312,7 @@
     for (const { at: time, share, forMs } of pauses) {
       at(time, () => {
         for (const member of this.members.values()) {
-          if (this.draw() < share) member.pausedUntil = this.clock.getTime() + forMs;
+          if (this.getRandom() < share) member.pausedUntil = this.clock.getTime() + forMs;
         }
       });
     }
@@ -325,7 +325,7 @@
   }
 
   private request(): void {
-    const member = this.members.get(`i${Math.floor(this.draw() * this.scenario.instances)}`);
+    const member = this.members.get(`i${Math.floor(this.getRandom() * this.scenario.instances)}`);
     if (!member || member.pausedUntil > this.clock.getTime()) return;
     void this.serve(member);
   }
@@ -348,7 +348,7 @@
     }
     if (!isBeforeSurge) this.served[size] = (this.served[size] ?? 0) + 1;
     this.noteRun(member, units);
-    if (this.draw() >= retryShare) return;
+    if (this.getRandom() >= retryShare) return;
     if ((await member.charges.takeRetry(charge.value, leftMs)).isOk()) this.noteRun(member, units);
   }
 
@@ -376,9 +376,10 @@
 
 /** Creates the scenario of a seed, with random faults. */
 export function createRandomScenario(seed: number): LimitScenario {
-  const draw = createSpreadRandom(seed * 31);
-  const choose = <Item>(items: readonly Item[]): Item => items[Math.floor(draw() * items.length)]!;
-  const drawTimes = (count: number): number[] => Array.from({ length: count }, () => 3_000 + draw() * 14_000);
+  const random = createSpreadRandom(seed * 31);
+  const choose = <Item>(items: readonly Item[]): Item => items[Math.floor(random() * items.length)]!;
+  const createTimes = (count: number): number[] =>
+    Array.from({ length: count }, () => 3_000 + random() * 14_000);
   return {
     ...baselineSurge,
     seed,
@@ -386,8 +387,8 @@
     ratePerSecond: choose([36_000, 200_000, 900_000]),
     delayMs: choose([1, 15, 150, 400]),
     retryShare: choose([0, 0.1, 0.3]),
-    pauses: drawTimes(3).map((at) => ({ at, share: choose([0.2, 0.5]), forMs: choose([100, 400, 1_400]) })),
-    readerKills: choose([[], drawTimes(2), [6_000, 8_000, 10_000, 12_000]]),
+    pauses: createTimes(3).map((at) => ({ at, share: choose([0.2, 0.5]), forMs: choose([100, 400, 1_400]) })),
+    readerKills: choose([[], createTimes(2), [6_000, 8_000, 10_000, 12_000]]),
     fleetKills: choose([[], [9_000], [9_000, 12_500]]),
   };
 }
