--- a/packages/gateway/src/feedTimings.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -31,7 +31,7 @@
 /** Two readers can be asked within the feed's lifetime. */
 const patienceShare = 0.2;
 
-/** A dead watch is detected within twice this share, and a listing and one report interval follow. */
+/** A broken watch is detected within twice this share, and a listing and one report interval follow. */
 const watchShare = 0.3;
 /** Share that a missing record may add to the longest time until a change is known. */
 const unlistedShare = 0.2;
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -46,7 +46,7 @@
   readonly logger: Logger;
   readonly listener: PrefixListener;
   /**
-   * Maximum duration of a watch, in milliseconds. A watch whose connection is dead without an error receives
+   * Maximum duration of a watch, in milliseconds. A watch whose connection is broken without an error receives
    * nothing for at most twice that time.
    */
   readonly watchWaitMs?: number;
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -154,7 +154,7 @@
   const names = Array.from({ length: 40 }, (_, index) => `n${index}`);
   const down = new Set<string>();
   const create = (own: string): FleetRoles => {
-    const collectors = FleetRoles.create({
+    const roles = FleetRoles.create({
       clock,
       own,
       largestMesh: 24,
@@ -163,8 +163,8 @@
       getCapacity: (name) => (name === "n7" ? 10 : 1),
       isLinked: (name) => !down.has(name),
     });
-    collectors.updateMembers();
-    return collectors;
+    roles.updateMembers();
+    return roles;
   };
   const [one, other] = [create("n1"), create("n2")];
   t.equal(one.getLinkTargets()[0], "n7");
--- a/packages/gateway/test/readers.test.ts
+++ b/packages/gateway/test/readers.test.ts
@@ -99,17 +99,17 @@
   "a reader that does not answer, or that the store does not serve, is skipped for the next",
   async (t) => {
     const readers = ["r1", "r2", "r3"];
-    const asked = ReaderSelection.create("instance", 400);
-    asked.recordAnswer(1_000);
-    const first = asked.choose(readers, 1_400);
-    t.equal(asked.choose(readers, 1_100), first);
-    const second = asked.choose(readers, 1_401);
+    const selection = ReaderSelection.create("instance", 400);
+    selection.recordAnswer(1_000);
+    const first = selection.choose(readers, 1_400);
+    t.equal(selection.choose(readers, 1_100), first);
+    const second = selection.choose(readers, 1_401);
     t.not(second, first);
-    t.equal(asked.choose(readers, 1_700), second, "it has the same time to answer");
-    asked.recordAnswer(1_700);
-    asked.skip(1_700);
-    t.equal(new Set([first, second, asked.choose(readers, 1_800)]).size, 3);
-    t.equal(asked.choose([], 1_800), undefined);
+    t.equal(selection.choose(readers, 1_700), second, "it has the same time to answer");
+    selection.recordAnswer(1_700);
+    selection.skip(1_700);
+    t.equal(new Set([first, second, selection.choose(readers, 1_800)]).size, 3);
+    t.equal(selection.choose([], 1_800), undefined);
   },
 );
 
