--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -8,7 +8,7 @@
  * proof expired before it admits anything.
  *
  * The version in force never decreases. Configurations are ordered by their own version number, because the
- * store's revisions go back when the store is restored from a copy. After a restore, reads prove nothing until
+ * store's revisions go back when the store is restored from a snapshot. After a restore, reads prove nothing until
  * the lost writes have been written again.
  * @module
  */
--- a/packages/gateway/src/eraSettling.ts
+++ b/packages/gateway/src/eraSettling.ts
@@ -1,6 +1,6 @@
 /**
  * Decides from when on reads of the store show everything that was acknowledged. A store that was restored from
- * a copy lacks what operators have written since the copy, until they have written it again, and no read proves
+ * a snapshot lacks what operators have written since the snapshot, until they have written it again, and no read proves
  * anything before that. An era is settled once that time is over. A record in the store then says so to
  * instances that start later.
  * @module
--- a/packages/gateway/src/feedReplication.ts
+++ b/packages/gateway/src/feedReplication.ts
@@ -35,7 +35,7 @@
 /**
  * Larger configurations are not sent to the many instances that a reader feeds, because the reader's network
  * link may be narrow while the store's is not. A peer that requests a proof because the store refuses it gets
- * them anyway.
+ * larger ones too.
  */
 const maxConfigurationBytes = 32_768;
 /** Sent instead of infinity if no call ever failed, because not every codec can represent infinity. */
--- a/packages/gateway/src/fleetRoles.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -23,7 +23,7 @@
   readonly isLinked: (name: string) => boolean;
 }
 
-/** Time for a link to be established; after it, the next instance is chosen in addition. */
+/** Time in which a link is expected to be established; after it, the next instance is chosen in addition. */
 const linkTimeoutMs = 800;
 
 /** Chooses the readers, and knows whether this instance is a reader or a collector. */
--- a/packages/gateway/src/gatewayItems.ts
+++ b/packages/gateway/src/gatewayItems.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps the gateway's own items of the store in memory, and writes them again if a store that was restored from
- * a copy lacks them.
+ * a snapshot lacks them.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
--- a/packages/gateway/src/memberRecords.ts
+++ b/packages/gateway/src/memberRecords.ts
@@ -159,7 +159,7 @@
     const renewed = await store.renewLease(lease);
     // Only a definite response ends the lease, because it may have been renewed if the response was lost.
     if (renewed.isOk() || renewed.error.code !== FailureCode.LeaseLost) return false;
-    // A store that was restored from a copy may still have the record and its lease. A read costs the store
+    // A store that was restored from a snapshot may still have the record and its lease. A read costs the store
     // less than two writes.
     this.lease = await this.findOwnLease();
     if (this.lease === undefined) return true;
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -76,7 +76,7 @@
 /** Number of readers: one may end and another may lose its connection to the store at the same time. */
 const readerCount = 3;
 const reportedWindows = 4;
-/** In a large fleet, every so many reports one contains the usage. */
+/** In a large fleet, one of this many reports contains the usage. */
 const reportsPerUsage = 2;
 const pingIntervalMs = 1_000;
 const lostAfterMs = 2_500;
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -14,7 +14,7 @@
 /** Why an item is no longer listed. */
 export enum RemovalCause {
   Removed = 1,
-  /** The store was restored from a copy that lacks the item; its writer may write it again. */
+  /** The store was restored from a snapshot that lacks the item; its writer may write it again. */
   Lost = 2,
 }
 
@@ -31,7 +31,7 @@
 /** Receives the changes of a prefix, in the order of the store's revisions. */
 export interface PrefixListener {
   /**
-   * `isRestored`: the item may come from the copy that the store was restored from, and be older than what was
+   * `isRestored`: the item may come from the snapshot that the store was restored from, and be older than what was
    * known before.
    */
   handlePut(item: StoreItem, isRestored: boolean): void;
--- a/packages/gateway/src/storeEras.ts
+++ b/packages/gateway/src/storeEras.ts
@@ -1,6 +1,6 @@
 /**
  * Tracks eras of the store. An era is a period of the store's history in which revisions only grow. A store
- * that is restored from a copy issues the same revisions again, so that revisions are ordered within one era
+ * that is restored from a snapshot issues the same revisions again, so that revisions are ordered within one era
  * only.
  *
  * The store reports its era in its responses. If it reports none, a revision below one that was known when the
@@ -69,7 +69,7 @@
 }
 
 /**
- * Whether the store was restored from a copy. Otherwise it has only reported its era to this instance for the
+ * Whether the store was restored from a snapshot. Otherwise it has only reported its era to this instance for the
  * first time.
  */
 export function isRestore({ from, revisionBefore }: Pick<EraChange, "from" | "revisionBefore">): boolean {
--- a/packages/gateway/test/storeRestore.test.ts
+++ b/packages/gateway/test/storeRestore.test.ts
@@ -48,19 +48,19 @@
   return follower.hasFreshProof() && follower.getTable()?.findWorkspaceByKey("removed") !== undefined;
 }
 
-// A store that is restored from a copy issues the same revisions again, so that new changes have lower
+// A store that is restored from a snapshot issues the same revisions again, so that new changes have lower
 // revisions than older ones.
 t.test(
   "a key that is removed after a restore runs nothing, because no read proves the configuration",
   async (t) => {
     const { clock, shared, configure, followProven } = createTestBench(t);
     const { follower } = await followProven();
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     for (let count = 0; count < 20; count++) shared.put("written-since", "x");
     configure(both);
     await clock.advance(1_000);
     t.equal(follower.getTable()?.version, 2);
-    shared.restore(copy);
+    shared.restore(snapshot);
     configure(both);
     await clock.advance(500);
     const removed = configure(["kept"]);
@@ -80,11 +80,11 @@
     const { clock, shared, configure, followProven } = createTestBench(t);
     shared.reportsEra = false;
     const { follower, store } = await followProven();
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     for (let count = 0; count < 20; count++) shared.put("written-since", "x");
     configure(both);
     await clock.advance(2_000);
-    shared.restore(copy);
+    shared.restore(snapshot);
     configure(both);
     await clock.advance(500);
     configure(["kept"]);
@@ -100,10 +100,10 @@
   async (t) => {
     const { clock, shared, configure, followProven } = createTestBench(t);
     const { follower } = await followProven();
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     configure(["kept"]);
     await clock.advance(1_000);
-    shared.restore(copy);
+    shared.restore(snapshot);
     for (let time = 0; time < 20_000; time += 250) {
       await clock.advance(250);
       t.notOk(admitsRemovedKey(follower), `${time} ms`);
@@ -118,11 +118,11 @@
   async (t) => {
     const { clock, shared, configure, followProven } = createTestBench(t);
     const { follower } = await followProven();
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     shared.fault = StoreFault.Down;
     await clock.advance(4_000);
     shared.fault = StoreFault.None;
-    shared.restore(copy);
+    shared.restore(snapshot);
     await clock.advance(1_500);
     t.notOk(follower.hasFreshProof(), "a removal may have been acknowledged right before");
     configure(["kept"]);
@@ -137,12 +137,12 @@
 t.test("reads prove nothing while the store has an older version than the one in force", async (t) => {
   const { clock, shared, configure, followProven } = createTestBench(t);
   const { follower } = await followProven();
-  const copy = shared.takeSnapshot();
+  const snapshot = shared.takeSnapshot();
   configure([...both, "more"]);
   await clock.advance(500);
   // Acknowledged, and lost before any instance had read it.
   configure(["kept", "more"]);
-  shared.restore(copy);
+  shared.restore(snapshot);
   shared.fault = StoreFault.Down;
   await clock.advance(3_000);
   shared.fault = StoreFault.None;
@@ -172,11 +172,11 @@
 t.test("a second restore while an era is not settled starts the wait again", async (t) => {
   const { clock, shared, configure, followProven } = createTestBench(t);
   const { follower } = await followProven();
-  const copy = shared.takeSnapshot();
+  const snapshot = shared.takeSnapshot();
   configure(["kept", "removed", "more"]);
   await clock.advance(500);
   for (const pauseMs of [1_000, 300, 2_000]) {
-    shared.restore(copy);
+    shared.restore(snapshot);
     await clock.advance(pauseMs);
   }
   shared.era += 3;
@@ -194,14 +194,14 @@
     configure(both);
     const { follower: running } = follow();
     await clock.advance(2_000);
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     configure(["kept"]);
     await clock.advance(1_000);
-    shared.restore(copy);
+    shared.restore(snapshot);
     await clock.advance(50);
     const { follower: fresh } = followAgain();
     await clock.advance(500);
-    t.notOk(fresh.hasFreshProof(), "it knows only the copy");
+    t.notOk(fresh.hasFreshProof(), "it knows only the snapshot");
     const askedAt = clock.getBootTime();
     const proof = running.createProof(fresh.getHeld());
     t.ok(proof?.value, "a peer has a newer configuration");
@@ -224,7 +224,7 @@
   const { store, endpointPrefix } = platform.createAdapter();
   const standin: FakeMetadataStore = platform.stores.at(-1)!;
   const lease = (await store.grantLease(60_000)).unwrap();
-  const copy = shared.takeSnapshot();
+  const snapshot = shared.takeSnapshot();
   standin.responseDelayMs = 500;
   const calls = [
     store.read(platform.createAdapter().configurationKey),
@@ -235,7 +235,7 @@
   ];
   await clock.advance(100);
   standin.responseDelayMs = 0;
-  shared.restore(copy);
+  shared.restore(snapshot);
   t.ok((await store.read("other")).isOk());
   t.equal(standin.eras.current, 2);
   await clock.advance(1_000);
@@ -264,8 +264,8 @@
   const { clock, platform, shared } = createTestBench(t);
   const { store } = platform.createAdapter();
   const listing = (await store.list("p/")).unwrap();
-  const copy = shared.takeSnapshot();
-  shared.restore(copy);
+  const snapshot = shared.takeSnapshot();
+  shared.restore(snapshot);
   for (let count = 0; count < 30; count++) shared.put("p/x", "x");
   const watch = store.watch("p/", listing.position, 1_000, new AbortController().signal);
   await clock.advance(2_000);
@@ -281,9 +281,9 @@
     const { follower: running } = follow();
     const { follower: cutOff, store } = follow();
     await clock.advance(2_000);
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     store.fault = StoreFault.Down;
-    shared.restore(copy);
+    shared.restore(snapshot);
     configure(["kept"]);
     await clock.advance(3_500);
     t.equal(store.eras.current, 1);
--- a/packages/gateway/test/storeRestoreEndpoints.test.ts
+++ b/packages/gateway/test/storeRestoreEndpoints.test.ts
@@ -6,7 +6,7 @@
 
 const address = "127.0.0.1:1";
 
-/** Creates a directory of endpoints on a virtual clock, with a store that can be restored from a copy. */
+/** Creates a directory of endpoints on a virtual clock, with a store that can be restored from a snapshot. */
 async function createTestBench(t: Pick<Test, "teardown">) {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock, 20);
@@ -32,34 +32,37 @@
   return { clock, platform, shared: platform.shared, directory, uses, store: platform.stores[0]! };
 }
 
-t.test("an endpoint that left stays out of use although the restored copy lists it as ready", async (t) => {
-  const { clock, platform, shared, uses } = await createTestBench(t);
-  const copy = shared.takeSnapshot();
-  for (let count = 0; count < 20; count++) shared.put("other", "x");
-  platform.putEndpoint({ id: "a", address, isLeaving: true });
-  platform.removeEndpoint("b");
-  await clock.advance(500);
-  t.notOk(uses("a") || uses("b"));
-  shared.restore(copy);
-  for (let time = 0; time < 4_000; time += 100) {
-    await clock.advance(100);
-    t.notOk(uses("a") || uses("b"), `${time} ms`);
-    t.ok(uses("c") && uses("d"));
-  }
-  await clock.advance(3_000);
-  t.notOk(uses("a"), "what it said of itself still holds");
-  t.ok(uses("b"), "a record that stays in the store belongs to a running endpoint");
-});
+t.test(
+  "an endpoint that left stays out of use although the restored snapshot lists it as ready",
+  async (t) => {
+    const { clock, platform, shared, uses } = await createTestBench(t);
+    const snapshot = shared.takeSnapshot();
+    for (let count = 0; count < 20; count++) shared.put("other", "x");
+    platform.putEndpoint({ id: "a", address, isLeaving: true });
+    platform.removeEndpoint("b");
+    await clock.advance(500);
+    t.notOk(uses("a") || uses("b"));
+    shared.restore(snapshot);
+    for (let time = 0; time < 4_000; time += 100) {
+      await clock.advance(100);
+      t.notOk(uses("a") || uses("b"), `${time} ms`);
+      t.ok(uses("c") && uses("d"));
+    }
+    await clock.advance(3_000);
+    t.notOk(uses("a"), "what it said of itself still holds");
+    t.ok(uses("b"), "a record that stays in the store belongs to a running endpoint");
+  },
+);
 
 t.test(
   "changes after a restore are applied, although their revisions are below those that were known",
   async (t) => {
     const { clock, platform, shared, uses } = await createTestBench(t);
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     for (let count = 0; count < 20; count++) shared.put("other", "x");
     platform.putEndpoint({ id: "new", address });
     await clock.advance(500);
-    shared.restore(copy);
+    shared.restore(snapshot);
     platform.putEndpoint({ id: "new", address });
     platform.putEndpoint({ id: "a", address, isLeaving: true });
     platform.removeEndpoint("b");
@@ -75,13 +78,13 @@
 );
 
 t.test(
-  "an endpoint that the copy lacks stays in use until it is written again, for a limited time",
+  "an endpoint that the snapshot lacks stays in use until it is written again, for a limited time",
   async (t) => {
     const { clock, platform, shared, uses } = await createTestBench(t);
-    const copy = shared.takeSnapshot();
+    const snapshot = shared.takeSnapshot();
     for (const id of ["again", "never"]) platform.putEndpoint({ id, address });
     await clock.advance(500);
-    shared.restore(copy);
+    shared.restore(snapshot);
     await clock.advance(1_000);
     t.ok(uses("again") && uses("never"));
     platform.putEndpoint({ id: "again", address });
@@ -93,9 +96,9 @@
 
 t.test("a follower that was cut off lists again, also if the store reports no lost history", async (t) => {
   const { clock, platform, shared, store, uses } = await createTestBench(t);
-  const copy = shared.takeSnapshot();
+  const snapshot = shared.takeSnapshot();
   store.fault = StoreFault.Down;
-  shared.restore(copy);
+  shared.restore(snapshot);
   platform.removeEndpoint("a");
   for (let count = 0; count < 40; count++) shared.put("other", "x");
   store.fault = StoreFault.None;
