--- a/packages/gateway/src/feedTimings.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -14,7 +14,7 @@
   /** An instance that no reader has answered for this time reads the store itself. */
   readonly feedLifetimeMs: number;
   /** A reader that has not answered for this time is skipped for the next. */
-  readonly patienceMs: number;
+  readonly readerTimeoutMs: number;
   /** Maximum duration of a watch of endpoints. */
   readonly watchWaitMs: number;
   /**
@@ -29,7 +29,7 @@
 /** The rest of the time is for one listing, its retry, and the interval until the missing answer is noticed. */
 const lifetimeShare = 0.5;
 /** Two readers can be asked within the feed's lifetime. */
-const patienceShare = 0.2;
+const readerTimeoutShare = 0.2;
 
 /** A broken watch is detected within twice this share, and a listing and one report interval follow. */
 const watchShare = 0.3;
@@ -42,7 +42,7 @@
     proofIntervalMs: boundMs * proofShare,
     maxStoreAgeMs: boundMs * storeAgeShare,
     feedLifetimeMs: boundMs * lifetimeShare,
-    patienceMs: boundMs * patienceShare,
+    readerTimeoutMs: boundMs * readerTimeoutShare,
     watchWaitMs: boundMs * watchShare,
     unlistedMs: boundMs * unlistedShare,
   };
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -70,7 +70,7 @@
   /** Called before each report. */
   readonly onTurn: () => void;
   /** Decides on a call as the arbiter of a limit. */
-  readonly answerAsk: (peer: PeerIdentity, ask: QuotaCall) => QuotaReply;
+  readonly answerAsk: (peer: PeerIdentity, call: QuotaCall) => QuotaReply;
 }
 
 /** Number of readers: one may end and another may lose its connection to the store at the same time. */
@@ -408,9 +408,9 @@
   }
 
   /** An instance that is not a collector knows too little to decide. */
-  private answerAsk(ask: QuotaCall, peer: PeerIdentity): QuotaReply {
+  private answerAsk(call: QuotaCall, peer: PeerIdentity): QuotaReply {
     return this.roles.isCollector
-      ? this.options.answerAsk(peer, ask)
+      ? this.options.answerAsk(peer, call)
       : { word: GrantDecision.Unknown, level: 0 };
   }
 
--- a/packages/gateway/src/readerSelection.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -14,17 +14,17 @@
 
   private constructor(
     private readonly own: string,
-    private readonly patienceMs: number,
+    private readonly timeoutMs: number,
   ) {}
 
-  /** `patienceMs`: time without an answer after which a reader is skipped. */
-  static create(own: string, patienceMs: number): ReaderSelection {
-    return new ReaderSelection(own, patienceMs);
+  /** `timeoutMs`: time without an answer after which a reader is skipped. */
+  static create(own: string, timeoutMs: number): ReaderSelection {
+    return new ReaderSelection(own, timeoutMs);
   }
 
   /** Returns the reader to ask now; undefined if none is linked. */
   choose(linked: readonly string[], time: number): string | undefined {
-    if (time - Math.max(this.answeredAt, this.selectedAt) > this.patienceMs) this.skip(time);
+    if (time - Math.max(this.answeredAt, this.selectedAt) > this.timeoutMs) this.skip(time);
     return linked[(hashText(this.own) + this.skipCount) % Math.max(1, linked.length)];
   }
 
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -34,7 +34,7 @@
   private constructor(private readonly options: StoreFeedOptions) {
     const { own, timings, configuration, followers } = options;
     this.feed = FeedReplication.create(options.eras, configuration, followers, timings.maxStoreAgeMs);
-    this.selection = ReaderSelection.create(own, timings.patienceMs);
+    this.selection = ReaderSelection.create(own, timings.readerTimeoutMs);
   }
 
   static create(options: StoreFeedOptions): StoreFeed {
--- a/packages/gateway/test/readers.test.ts
+++ b/packages/gateway/test/readers.test.ts
@@ -83,15 +83,10 @@
 
 t.test("whatever fails on the way, the store is read well before a change must be applied", async (t) => {
   for (const boundMs of [500, 2_000, 3_000, 4_000, 30_000]) {
-    const {
-      proofIntervalMs,
-      maxStoreAgeMs: longestStoreAgeMs,
-      feedLifetimeMs: lifetimeMs,
-      patienceMs,
-    } = createFeedTimings(boundMs);
-    t.ok(longestStoreAgeMs >= 2 * proofIntervalMs, "one read may be lost");
-    t.ok(lifetimeMs > 2 * patienceMs, "two readers can be asked in time");
-    t.ok(Math.max(longestStoreAgeMs, lifetimeMs) <= 0.6 * boundMs, "the rest is for a listing and its retry");
+    const { proofIntervalMs, maxStoreAgeMs, feedLifetimeMs, readerTimeoutMs } = createFeedTimings(boundMs);
+    t.ok(maxStoreAgeMs >= 2 * proofIntervalMs, "one read may be lost");
+    t.ok(feedLifetimeMs > 2 * readerTimeoutMs, "two readers can be asked in time");
+    t.ok(Math.max(maxStoreAgeMs, feedLifetimeMs) <= 0.6 * boundMs, "the rest is for a listing and its retry");
   }
 });
 
