--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -357,9 +357,9 @@
   private createReport(): ReportMessage {
     const { counters, rates, usage, time, getWindow } = this.options;
     this.sequence += 1;
-    const { isMesh, isCollector: isOwn } = this.roles;
-    const isHistoryWanted = this.views.takeHistoryRequest();
-    const report = counters.createReport(isOwn || isHistoryWanted);
+    const { isMesh, isCollector } = this.roles;
+    const isHistoryRequested = this.views.takeHistoryRequest();
+    const report = counters.createReport(isCollector || isHistoryRequested);
     this.views.recordReport(this.sequence, report.totals);
     const read = this.options.memory.takeUnreported();
     this.work.relayReadParts(read);
@@ -371,7 +371,7 @@
       counters: report,
       work: this.work.own,
       rates: rates.createReport(),
-      hearsAll: isOwn,
+      hearsAll: isCollector,
       read,
       ...(hasUsage ? { usage: usage.getOwnCounts(getWindow(), reportedWindows) } : {}),
     };
--- a/packages/gateway/src/readerViews.ts
+++ b/packages/gateway/src/readerViews.ts
@@ -68,9 +68,9 @@
    * request.
    */
   takeHistoryRequest(): boolean {
-    const isWanted = this.isHistoryRequested;
+    const isRequested = this.isHistoryRequested;
     this.isHistoryRequested = false;
-    return isWanted;
+    return isRequested;
   }
 
   /** Milliseconds since the last view was received; undefined before the first, and after it has expired. */
