--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -31,46 +31,46 @@
 } from "./types.js";
 
 /** What a finished attempt means for the request. */
-enum Next {
+enum NextStep {
   Done = 1,
-  TryAgain = 2,
-  GiveUp = 3,
+  Retry = 2,
+  Fail = 3,
 }
 
-const firstServerError = 500;
-const leastAttemptMs = 5;
+const minServerErrorStatus = 500;
+const minAttemptMs = 5;
 /** Reading that would make another request late if it came behind unknown: a tenth of the shortest usual objective. */
-const toldAtOnceMs = 25;
+const minAnnouncedReadMs = 25;
 const retryAfterMs = 300;
 /** Endpoints ended 40 to 120 ms after they began to run the request under which they did. */
-const survivedMs = 200;
+const trialSurvivalMs = 200;
 /** Refused permits after which a request goes only where none is needed. */
-const mostPermitRefusals = 3;
+const maxPermitRefusals = 3;
 /** Added to the rank of a repeat: permits go to first tries before. */
-const repeatRank = 1_000;
-const urgencyLevels = 9;
+const retryRankOffset = 1_000;
+const maxUrgency = 9;
 const urgencyPerWorkspaceRank = 3;
 
 /** Serves one request. */
 export class ActiveRequest implements InFlightRequest {
   private attempt: Attempt | undefined;
   /** Whether the attempt has neither an answer's head nor failed. */
-  private isUnderWay = false;
+  private isAttemptPending = false;
   private relay: StreamRelay | undefined;
   private readonly excluded = new Set<string>();
   private readonly history = AttemptHistory.create();
   private placement: Placement | undefined;
   /** Where it runs apart from others under which endpoints ended. */
   private trial: Trial | undefined;
-  private knownSubject: CrashSubject | undefined;
+  private cachedSubject: CrashSubject | undefined;
   private firstEventMs: number | undefined;
   private permitRefusals = 0;
   /** Repeats that the budget has given. */
-  private repeats = 0;
-  private isCounted = false;
+  private grantedRetries = 0;
+  private isUsageCounted = false;
   private isOver = false;
   private timer: Timer | undefined;
-  private readonly endsAt: number;
+  private readonly deadlineAt: number;
   private end: RequestOutcome | undefined;
 
   private constructor(
@@ -78,7 +78,7 @@
     private readonly request: ActiveRequestInput,
   ) {
     const { admitted, head, arrivedAt } = request;
-    this.endsAt = arrivedAt + getTimeLimit(admitted.route, head);
+    this.deadlineAt = arrivedAt + getTimeLimit(admitted.route, head);
   }
 
   static create(parts: ActiveRequestParts, request: ActiveRequestInput): ActiveRequest {
@@ -93,34 +93,34 @@
     this.timer = this.parts.clock.startTimer(this.getTimeLeft(), () => this.giveUp());
     this.parts.budget.countRequest(this.request.service.name);
     this.parts.demand.countPromptTokens(this.request.service.name, this.request.head.promptTokens ?? 0);
-    let next = Next.TryAgain;
-    while (next === Next.TryAgain && !this.isOver) next = await this.tryOnce();
-    if (next === Next.GiveUp && !this.isOver) this.answerFailure(this.createFinalFailure());
+    let next = NextStep.Retry;
+    while (next === NextStep.Retry && !this.isOver) next = await this.attemptOnce();
+    if (next === NextStep.Fail && !this.isOver) this.respondWithFailure(this.createFinalFailure());
     this.isOver = true;
     this.timer.cancel();
     response.off("close", handleClose);
-    return this.end ?? this.createEnd(response.statusCode, undefined);
+    return this.end ?? this.createOutcome(response.statusCode, undefined);
   }
 
-  private createEnd(status: number, failure: Failure | undefined): RequestOutcome {
+  private createOutcome(status: number, failure: Failure | undefined): RequestOutcome {
     const { placement, history, firstEventMs, runs } = this;
     return { status, failure, placement, arrivals: history.arrivals, runs, firstEventMs };
   }
 
   private getTimeLeft(): number {
-    return this.endsAt - this.parts.clock.getTime();
+    return this.deadlineAt - this.parts.clock.getTime();
   }
 
   /** Whether the request may run on more than one endpoint. */
-  private get isRepeatable(): boolean {
+  private get isRetryable(): boolean {
     const { kind, isResumable } = this.request.admitted.route;
     return kind === RouteKind.Safe || (kind === RouteKind.Stream && isResumable);
   }
 
   /** Tells the same request again, whatever its id and instance. */
   get subject(): CrashSubject {
-    this.knownSubject ??= this.createSubject();
-    return this.knownSubject;
+    this.cachedSubject ??= this.createSubject();
+    return this.cachedSubject;
   }
 
   private createSubject(): CrashSubject {
@@ -138,30 +138,30 @@
     return this.request.admitted.workspace?.name ?? "";
   }
 
-  private async tryOnce(): Promise<Next> {
+  private async attemptOnce(): Promise<NextStep> {
     const { service } = this.request;
-    if (this.isChargeDue && !(await this.tryCharge())) {
+    if (this.needsCharge && !(await this.chargeRun())) {
       this.log("retry.refused", { service: service.name, cause: "limit" });
-      return Next.GiveUp;
+      return NextStep.Fail;
     }
-    if (this.isOver) return Next.Done;
-    if (this.isRepeatDue && !(await this.tryRepeat())) {
+    if (this.isOver) return NextStep.Done;
+    if (this.needsRetryGrant && !(await this.acquireRetry())) {
       this.log("retry.refused", { service: service.name, cause: "budget" });
-      return Next.GiveUp;
+      return NextStep.Fail;
     }
-    if (this.isOver) return Next.Done;
+    if (this.isOver) return NextStep.Done;
     const placement = await this.choose();
     const next = placement.isOk()
-      ? await this.tryPermitted(placement.value)
-      : this.noteNotPlaced(placement.error);
+      ? await this.sendWithPermit(placement.value)
+      : this.failUnplaced(placement.error);
     this.trial?.end();
     this.trial = undefined;
     return next;
   }
 
-  private noteNotPlaced(failure: Failure): Next {
+  private failUnplaced(failure: Failure): NextStep {
     this.history.noteNoEndpoint(failure);
-    return Next.GiveUp;
+    return NextStep.Fail;
   }
 
   /** Chooses an endpoint; an isolated request has one apart from the others of its kind. */
@@ -170,7 +170,7 @@
     const { service, head } = this.request;
     const { excluded } = this;
     const { promptTokens = 0, parts } = head;
-    const avoidsLimited = this.permitRefusals >= mostPermitRefusals;
+    const avoidsLimited = this.permitRefusals >= maxPermitRefusals;
     const wanted = { service, promptTokens, parts, excluded, rank: this.permitRank, avoidsLimited };
     if (suspects.hasSuspects(this.workspace)) {
       const { subject } = this;
@@ -191,14 +191,14 @@
   }
 
   /** Sends it where no permit is needed or one is to be had; else it is placed anew. */
-  private async tryPermitted(placement: Placement): Promise<Next> {
+  private async sendWithPermit(placement: Placement): Promise<NextStep> {
     const { permits, clock } = this.parts;
     const { endpoint } = placement;
-    if (permits.isUnlimited(endpoint)) return this.tryAt(placement);
+    if (permits.isUnlimited(endpoint)) return this.sendTo(placement);
     const wanted = { id: this.request.head.id, rank: this.permitRank, leftMs: this.getTimeLeft() };
     const isGranted = await permits.acquire(endpoint, wanted);
     // The endpoint may have said something else while the permit was asked for.
-    if (isGranted && endpoint.acceptsPermitted(clock.getTime())) return this.tryAt(placement);
+    if (isGranted && endpoint.acceptsPermitted(clock.getTime())) return this.sendTo(placement);
     this.permitRefusals += 1;
     const { limit } = endpoint.availability;
     this.log("permit.refused", {
@@ -208,13 +208,13 @@
       rank: wanted.rank,
       waitMs: Math.round(limit.getWaitMs(clock.getTime())),
     });
-    if (!this.trial) return Next.TryAgain;
-    return this.noteNotPlaced(createRefusal(FailureCode.CrashSuspect, this.request.service));
+    if (!this.trial) return NextStep.Retry;
+    return this.failUnplaced(createRefusal(FailureCode.CrashSuspect, this.request.service));
   }
 
   /** Urgency of the request, 0 first; of a repeat behind all first tries. */
   private get permitRank(): number {
-    return this.rank + (this.history.arrivals > 0 ? repeatRank : 0);
+    return this.rank + (this.history.arrivals > 0 ? retryRankOffset : 0);
   }
 
   private get rank(): number {
@@ -222,10 +222,10 @@
     return (workspace?.priority ?? 0) * urgencyPerWorkspaceRank + route.priority;
   }
 
-  private async tryAt(placement: Placement): Promise<Next> {
+  private async sendTo(placement: Placement): Promise<NextStep> {
     const { service } = this.request;
-    if (this.isOver) return Next.Done;
-    if (this.getTimeLeft() < leastAttemptMs) return Next.GiveUp;
+    if (this.isOver) return NextStep.Done;
+    if (this.getTimeLeft() < minAttemptMs) return NextStep.Fail;
     const { endpoint } = placement;
     this.excluded.add(endpoint.incarnation);
     this.placement = placement;
@@ -233,7 +233,7 @@
     endpoint.inFlight.add(this);
     const pending = service.engine ? placement.uncachedTokens : 0;
     endpoint.pendingTokens += pending;
-    this.tellIfLong(placement, pending);
+    this.announceIfLong(placement, pending);
     let isPending = true;
     const clearPending = (): void => {
       if (isPending) endpoint.pendingTokens -= pending;
@@ -247,57 +247,57 @@
   }
 
   /** Whether the next sending is a repeat that the budget has not been asked for. */
-  private get isRepeatDue(): boolean {
-    return this.history.arrivals > this.repeats;
+  private get needsRetryGrant(): boolean {
+    return this.history.arrivals > this.grantedRetries;
   }
 
   /** Takes one repeat of the budget that all instances share; false where it is spent. */
-  private async tryRepeat(): Promise<boolean> {
+  private async acquireRetry(): Promise<boolean> {
     const isTaken = await this.parts.budget.take(this.request.service.name, this.getTimeLeft());
-    if (isTaken) this.repeats += 1;
+    if (isTaken) this.grantedRetries += 1;
     return isTaken;
   }
 
   /** Whether all runs that were charged may have been. */
-  private get isChargeDue(): boolean {
+  private get needsCharge(): boolean {
     const { charge } = this.request;
     return charge !== undefined && this.history.runs >= charge.runs;
   }
 
   /** Charges one more run; false where the limit is spent. */
-  private async tryCharge(): Promise<boolean> {
+  private async chargeRun(): Promise<boolean> {
     const { charge } = this.request;
     return !charge || (await this.parts.charges.takeRetry(charge, this.getTimeLeft())).isOk();
   }
 
-  private tellIfLong({ endpoint }: Placement, tokens: number): void {
-    const { rates, announcePlacement: tellPlaced } = this.parts;
-    if (tokens / rates.get(this.request.service.name) < toldAtOnceMs) return;
-    tellPlaced(endpoint.incarnation, tokens);
+  private announceIfLong({ endpoint }: Placement, tokens: number): void {
+    const { rates, announcePlacement } = this.parts;
+    if (tokens / rates.get(this.request.service.name) < minAnnouncedReadMs) return;
+    announcePlacement(endpoint.incarnation, tokens);
   }
 
-  private async send(placement: Placement, clearPending: () => void): Promise<Next> {
+  private async send(placement: Placement, clearPending: () => void): Promise<NextStep> {
     const { endpoint } = placement;
     const startedAt = this.parts.clock.getTime();
     const beganAt = this.parts.getTimeOfDay();
     const attempt = this.createAttempt(endpoint);
     this.attempt = attempt;
-    this.isUnderWay = true;
+    this.isAttemptPending = true;
     const round = endpoint.availability.beginAttempt();
     const result = await attempt.result;
     endpoint.availability.endAttempt(round, result.end === AttemptOutcome.Answered);
-    this.isUnderWay = false;
+    this.isAttemptPending = false;
     this.parts.metrics.countAttempt(this.request.service.name, AttemptOutcome[result.end]);
     if (result.end !== AttemptOutcome.NotSent) this.history.noteArrival();
-    if (this.isOver) return Next.Done;
+    if (this.isOver) return NextStep.Done;
     if (result.end !== AttemptOutcome.Answered || !result.response)
-      return this.handleNoAnswer(endpoint, result, beganAt);
+      return this.handleNoResponse(endpoint, result, beganAt);
     this.history.noteRun();
     const { route } = this.request.admitted;
     const isStream = route.kind === RouteKind.Stream && (result.response.statusCode ?? 0) < 300;
     if (isStream) return this.relayStream(placement, result.response, startedAt, clearPending);
-    this.countOnce(beganAt);
-    return this.answerWhole(endpoint, result.response, startedAt);
+    this.countUsageOnce(beganAt);
+    return this.forwardResponse(endpoint, result.response, startedAt);
   }
 
   private createAttempt(endpoint: Endpoint): Attempt {
@@ -308,7 +308,7 @@
       endpointId: endpoint.id,
       workspace: workspace?.name,
       deadlineMs: this.getTimeLeft(),
-      urgency: service.engine ? Math.min(urgencyLevels, this.rank) : undefined,
+      urgency: service.engine ? Math.min(maxUrgency, this.rank) : undefined,
       lastEventId: this.relay?.lastEventId,
     });
     const pool = connections.get(endpoint);
@@ -317,12 +317,12 @@
     const base = { pool, protocol: platform.endpoints, requestId: head.id, connectTimeoutMs };
     const sentAt = this.parts.clock.getTime();
     const onHead = (answer: ResponseHead, status: number): void =>
-      this.takeHead(endpoint, answer, { requestId: head.id, status, sentAt });
+      this.handleResponseHead(endpoint, answer, { requestId: head.id, status, sentAt });
     return Attempt.create({ ...base, method, target, headers, body, onHead });
   }
 
   /** Takes what an endpoint says of itself, whatever becomes of the request. */
-  private takeHead(
+  private handleResponseHead(
     endpoint: Endpoint,
     { executionStatus: word, load, notice, limit }: ResponseHead,
     source: LimitSource,
@@ -332,11 +332,15 @@
     if (word === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
     if (notice) directory.handleNotice(endpoint, notice, source);
     // A refusal or a failure without the word says nothing of its end: the endpoint may be in need all the same.
-    const isServed = word === ExecutionStatus.Ran && source.status < firstServerError;
+    const isServed = word === ExecutionStatus.Ran && source.status < minServerErrorStatus;
     if (limit !== undefined || isServed) limits.handleAnswer(endpoint, limit, source);
   }
 
-  private async handleNoAnswer(endpoint: Endpoint, result: AttemptResult, beganAt: number): Promise<Next> {
+  private async handleNoResponse(
+    endpoint: Endpoint,
+    result: AttemptResult,
+    beganAt: number,
+  ): Promise<NextStep> {
     const { clock, directory } = this.parts;
     const { service } = this.request;
     const time = clock.getTime();
@@ -350,56 +354,60 @@
     });
     if (isLost) {
       this.history.noteRun();
-      this.countOnce(beganAt);
+      this.countUsageOnce(beganAt);
       endpoint.noteOutcome(false, time);
-      return this.handleCut(endpoint);
+      return this.handleInterruption(endpoint);
     }
     if (result.end === AttemptOutcome.NotSent) endpoint.noteUnreachable(time);
     if (result.end === AttemptOutcome.WrongEndpoint) directory.handleReplaced(endpoint);
     if (result.end === AttemptOutcome.NotRun) endpoint.noteOutcome(false, time);
     this.history.noteNotRun(createRefusal(FailureCode.Overloaded, service));
-    return this.history.isTriedOut ? Next.GiveUp : Next.TryAgain;
+    return this.history.isExhausted ? NextStep.Fail : NextStep.Retry;
   }
 
   /**
    * Goes on after a run whose connection was cut. Sent on before it is known that the endpoint has ended, what had run there
    * would go on together at the next one, beside the request that ends both.
    */
-  private async handleCut(endpoint: Endpoint): Promise<Next> {
+  private async handleInterruption(endpoint: Endpoint): Promise<NextStep> {
     this.history.noteRunFailed(Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.id }));
     const checked = this.parts.suspects.noteInterruption(endpoint, this);
-    if (!this.isRepeatAllowed()) return Next.GiveUp;
+    if (!this.isRetryAllowed()) return NextStep.Fail;
     await checked;
-    return this.isOver ? Next.Done : Next.TryAgain;
+    return this.isOver ? NextStep.Done : NextStep.Retry;
   }
 
-  private isRepeatAllowed(): boolean {
-    return this.isRepeatable && this.history.runs < this.request.admitted.route.attempts && !this.isOver;
+  private isRetryAllowed(): boolean {
+    return this.isRetryable && this.history.runs < this.request.admitted.route.attempts && !this.isOver;
   }
 
   /** Reads a whole answer, then passes it on; a failure of the endpoint's own may be tried elsewhere first. */
-  private async answerWhole(endpoint: Endpoint, response: IncomingMessage, startedAt: number): Promise<Next> {
+  private async forwardResponse(
+    endpoint: Endpoint,
+    response: IncomingMessage,
+    startedAt: number,
+  ): Promise<NextStep> {
     const body: ReceivedBody = await readResponseBody(response);
-    if (this.isOver) return Next.Done;
+    if (this.isOver) return NextStep.Done;
     const status = response.statusCode ?? 0;
-    const isFailed = !body.isComplete || status >= firstServerError;
+    const isFailed = !body.isComplete || status >= minServerErrorStatus;
     endpoint.noteOutcome(!isFailed, this.parts.clock.getTime());
     if (!isFailed) endpoint.noteLatency(this.parts.clock.getTime() - startedAt);
-    if (isFailed && this.isRepeatAllowed()) {
+    if (isFailed && this.isRetryAllowed()) {
       this.log("attempt.failed", {
         endpoint: endpoint.id,
         end: "Answered",
         status,
         complete: body.isComplete,
       });
-      if (!body.isComplete) return this.handleCut(endpoint);
+      if (!body.isComplete) return this.handleInterruption(endpoint);
       this.history.noteRunFailed(
         Failure.create(FailureCode.EndpointFailed, { endpoint: endpoint.id, status }),
       );
-      return Next.TryAgain;
+      return NextStep.Retry;
     }
-    if (!body.isComplete) return this.handleCut(endpoint);
-    this.noteWhole();
+    if (!body.isComplete) return this.handleInterruption(endpoint);
+    this.clearSuspicion();
     writeEndpointResponse(
       this.request.response,
       this.request.message.method,
@@ -407,7 +415,7 @@
       body.bytes,
       this.parts.isLeaving(),
     );
-    return Next.Done;
+    return NextStep.Done;
   }
 
   private async relayStream(
@@ -415,7 +423,7 @@
     answer: IncomingMessage,
     startedAt: number,
     clearPending: () => void,
-  ): Promise<Next> {
+  ): Promise<NextStep> {
     const { response, admitted, head } = this.request;
     const { endpoint } = placement;
     this.relay ??= StreamRelay.create(response, admitted.route.isResumable, this.parts.isLeaving);
@@ -423,48 +431,48 @@
       clearPending();
       const time = this.parts.clock.getTime();
       this.firstEventMs ??= time - this.request.arrivedAt;
-      this.noteFirstEvent(placement, time - startedAt);
-      this.endTrialLater();
-      this.countOnce(this.parts.getTimeOfDay());
+      this.recordPrefillRate(placement, time - startedAt);
+      this.scheduleTrialEnd();
+      this.countUsageOnce(this.parts.getTimeOfDay());
       this.parts.placer.memory.noteSent(head.parts, endpoint.incarnation);
     };
-    const relayEnd = await this.relay.relay(answer, onFirst);
-    if (this.isOver) return Next.Done;
-    endpoint.noteOutcome(relayEnd === RelayOutcome.Complete, this.parts.clock.getTime());
-    if (relayEnd === RelayOutcome.Complete) {
-      this.noteWhole();
-      return Next.Done;
+    const relayOutcome = await this.relay.relay(answer, onFirst);
+    if (this.isOver) return NextStep.Done;
+    endpoint.noteOutcome(relayOutcome === RelayOutcome.Complete, this.parts.clock.getTime());
+    if (relayOutcome === RelayOutcome.Complete) {
+      this.clearSuspicion();
+      return NextStep.Done;
     }
     const { relay, subject } = this;
     const { fingerprint } = subject;
     this.log("stream.cut", { endpoint: endpoint.id, lastEvent: relay.lastEventId, fingerprint });
-    return this.handleCut(endpoint);
+    return this.handleInterruption(endpoint);
   }
 
   /** An endpoint that has answered it whole was not ended by it. */
-  private noteWhole(): void {
+  private clearSuspicion(): void {
     const { suspects } = this.parts;
     if (suspects.hasSuspects(this.workspace)) suspects.clear(this.subject);
   }
 
   /** An isolated request that has given events for a while lets the next begin: it ends endpoints at once if at all. */
-  private endTrialLater(): void {
+  private scheduleTrialEnd(): void {
     const { trial } = this;
-    if (trial) this.parts.clock.startTimer(survivedMs, () => trial.end());
+    if (trial) this.parts.clock.startTimer(trialSurvivalMs, () => trial.end());
   }
 
   /** Only a prompt that is read from its beginning, with none before it, tells how fast an engine reads. */
-  private noteFirstEvent({ uncachedTokens, tokensAhead }: Placement, elapsedMs: number): void {
+  private recordPrefillRate({ uncachedTokens, tokensAhead }: Placement, elapsedMs: number): void {
     const { service, head } = this.request;
     const isResumed = head.lastEventId !== undefined || this.history.runs > 1;
     if (!service.engine || isResumed || tokensAhead > 0) return;
     this.parts.rates.note(service.name, { tokens: uncachedTokens, elapsedMs });
   }
 
-  private countOnce(at: number): void {
+  private countUsageOnce(at: number): void {
     const workspace = this.request.admitted.workspace?.name;
-    if (this.isCounted || workspace === undefined) return;
-    this.isCounted = true;
+    if (this.isUsageCounted || workspace === undefined) return;
+    this.isUsageCounted = true;
     this.parts.countRun(workspace, at);
   }
 
@@ -478,7 +486,7 @@
 
   /** Sendings that may have run, by what came of them or is under way. */
   private get runs(): number {
-    const isRunning = this.isUnderWay && this.attempt?.mayHaveRun === true;
+    const isRunning = this.isAttemptPending && this.attempt?.mayHaveRun === true;
     return this.history.runs + (isRunning ? 1 : 0);
   }
 
@@ -493,20 +501,20 @@
       runs > 0
         ? Failure.create(FailureCode.RouteTimeout, { limit: route.timeoutMs })
         : createRefusal(FailureCode.Overloaded, this.request.service);
-    this.answerFailure(failure);
+    this.respondWithFailure(failure);
   }
 
   private handleCallerGone(): void {
     if (this.isOver || this.request.response.writableFinished) return;
     this.isOver = true;
     this.attempt?.abort("caller gone");
-    this.end = this.createEnd(0, Failure.create(FailureCode.CallerGone));
+    this.end = this.createOutcome(0, Failure.create(FailureCode.CallerGone));
   }
 
   /** Gives the final answer; an answer that has begun is cut, so that it does not look complete. */
-  private answerFailure(failure: Failure): void {
+  private respondWithFailure(failure: Failure): void {
     const { response, head } = this.request;
-    this.end = this.createEnd(failure.status, failure);
+    this.end = this.createOutcome(failure.status, failure);
     if (response.headersSent) {
       response.destroy();
       return;
--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -55,29 +55,29 @@
 
 const notReadyRetryMs = 500;
 /** Most of the room that a life which does not know what was used before it counts as taken. */
-const mostSeededShare = 0.9;
+const maxAssumedShare = 0.9;
 /** Of the room, as much is taken where the arbiter does not answer: a workspace in calm goes on, a surge does not. */
-const unansweredShare = 0.25;
+const fallbackShare = 0.25;
 /** Time after which all instances have told what another arbiter granted them: one report of a large fleet, and its way. */
-const takeoverMs = 300;
+const arbiterTakeoverMs = 300;
 /** An arbiter that was not asked for so long may have had another in its place. */
-const arbiterRestMs = 1_000;
+const arbiterIdleMs = 1_000;
 const millisecondsPerSecond = 1_000;
 /** Share of the fleet that must be heard for a request larger than the room; two halves could each let one in. */
-const leastShareOfOversized = 0.5;
+const minShareForOversized = 0.5;
 /** Share of the room up to which units are taken untold. */
-const uncheckedShare = 0.5;
+const localGrantShare = 0.5;
 /** A request counts as the largest of its workspace for as long. */
-const largestKeptMs = 10_000;
+const largestRequestTtlMs = 10_000;
 /** Most of the room that is kept for the largest request. */
-const mostLargestShare = 0.25;
-const shortestRetryMs = 300;
+const maxLargestShare = 0.25;
+const minRetryAfterMs = 300;
 const percent = 100;
 
 /** Decides on requests. */
 export class Admission {
   /** Largest share of the fleet that a limit's level was seeded for, by workspace. */
-  private readonly seededShares = new Map<string, number>();
+  private readonly assumedShares = new Map<string, number>();
   /** Largest request of late, by workspace. */
   private readonly largest = new Map<string, LargestRequest>();
   /** Since when this instance has been asked about a limit, and when it was last, by workspace. */
@@ -122,36 +122,36 @@
     // Instances that may be serving unheard keep their parts, so that the parts of all add up to the limit.
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
-    const room = this.getRoom(workspace, share, use);
-    const needed = this.getNeeded(workspace, cost, room);
-    return this.takeWithin({ workspace, cost, needed, level, room, share });
+    const capacity = this.getCapacity(workspace, share, use);
+    const needed = this.getRequired(workspace, cost, capacity);
+    return this.takeIfAvailable({ workspace, cost, needed, level, capacity, share });
   }
 
   /** Takes units while the arbiter of the limit does not answer: only where little of the limit is taken. */
   takeWithoutArbiter(workspace: Workspace, cost: number): Result<void, Failure> {
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
-    const room = this.getRoom(workspace, share, QuotaUse.First) * unansweredShare;
-    const needed = this.getNeeded(workspace, cost, room);
-    return this.takeWithin({ workspace, cost, needed, level, room, share });
+    const capacity = this.getCapacity(workspace, share, QuotaUse.First) * fallbackShare;
+    const needed = this.getRequired(workspace, cost, capacity);
+    return this.takeIfAvailable({ workspace, cost, needed, level, capacity, share });
   }
 
   /** Returns the refusal of what the limit has no room for, as known here; undefined where there may be room. */
   findRefusal(workspace: Workspace, cost: number, use: QuotaUse): Failure | undefined {
-    const taking = this.createTaking(workspace, cost, use);
-    return getExcess(taking) > 0 ? this.refuse(taking) : undefined;
+    const taking = this.createCheck(workspace, cost, use);
+    return getExcess(taking) > 0 ? this.createQuotaFailure(taking) : undefined;
   }
 
   /** Returns the refusal of what the arbiter of the limit has no room for. */
   createRefusal(workspace: Workspace, cost: number, use: QuotaUse): Failure {
-    return this.refuse(this.createTaking(workspace, cost, use));
+    return this.createQuotaFailure(this.createCheck(workspace, cost, use));
   }
 
-  private createTaking(workspace: Workspace, cost: number, use: QuotaUse): QuotaTaking {
+  private createCheck(workspace: Workspace, cost: number, use: QuotaUse): QuotaCheck {
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getKnownSum(CounterKind.Quota, workspace.name);
-    const room = this.getRoom(workspace, share, use);
-    return { workspace, cost, needed: this.getNeeded(workspace, cost, room), level, room, share };
+    const capacity = this.getCapacity(workspace, share, use);
+    return { workspace, cost, needed: this.getRequired(workspace, cost, capacity), level, capacity, share };
   }
 
   /**
@@ -160,11 +160,14 @@
    */
   tryTakeUnreported(workspace: Workspace, cost: number): boolean {
     const { counters, getFleetSize } = this.options;
-    const { unreported: untold } = this.getAllowances(workspace);
-    const { knownLevel: known, capacity: room } = this.getQuotaState(workspace);
+    const { unreported } = this.getAllowances(workspace);
+    const { knownLevel, capacity } = this.getQuotaState(workspace);
     // Only short requests fit into the part: beside a spent limit they would take what long ones wait for.
-    if (known + cost > room * uncheckedShare) return false;
-    if (counters.getUnreported(CounterKind.Quota, workspace.name) + cost > untold / (getFleetSize?.() ?? 1))
+    if (knownLevel + cost > capacity * localGrantShare) return false;
+    if (
+      counters.getUnreported(CounterKind.Quota, workspace.name) + cost >
+      unreported / (getFleetSize?.() ?? 1)
+    )
       return false;
     this.addQuota(workspace, cost);
     return true;
@@ -181,26 +184,28 @@
     const workspace = follower.getTable()?.findWorkspaceByName(name);
     if (!workspace) return { word: GrantDecision.Unknown, level: 0 };
     const share = this.prepareLimit(workspace);
-    const room = this.getRoom(workspace, share, use) - this.getTakeoverMargin(workspace);
-    const early = { peer: peer.name, life: getIncarnationKey(peer), uptime, name, total };
-    const word = counters.applyTotal(CounterKind.Quota, early, (cost) => {
+    const capacity = this.getCapacity(workspace, share, use) - this.getTakeoverMargin(workspace);
+    const peerTotal = { peer: peer.name, life: getIncarnationKey(peer), uptime, name, total };
+    const decision = counters.applyTotal(CounterKind.Quota, peerTotal, (cost) => {
       const level = counters.getSum(CounterKind.Quota, name);
-      const needed = this.getNeeded(workspace, cost, room);
-      return workspace.ratePerSecond <= 0 || getExcess({ workspace, cost, needed, level, room, share }) <= 0;
+      const needed = this.getRequired(workspace, cost, capacity);
+      return (
+        workspace.ratePerSecond <= 0 || getExcess({ workspace, cost, needed, level, capacity, share }) <= 0
+      );
     });
-    return { word, level: Math.round(counters.getKnownSum(CounterKind.Quota, name)) };
+    return { word: decision, level: Math.round(counters.getKnownSum(CounterKind.Quota, name)) };
   }
 
   /**
    * Room that must be left for a request: that of the workspace's largest one of late. By its own size alone, hardly any long
    * request would be let in beside short ones while the limit is spent.
    */
-  private getNeeded({ name }: Workspace, cost: number, room: number): number {
+  private getRequired({ name }: Workspace, cost: number, capacity: number): number {
     const time = this.options.clock.getTime();
     const known = this.largest.get(name);
-    const isLargest = !known || cost >= known.units || time - known.at > largestKeptMs;
+    const isLargest = !known || cost >= known.units || time - known.at > largestRequestTtlMs;
     if (isLargest) this.largest.set(name, { units: cost, at: time });
-    return Math.max(cost, Math.min(isLargest ? cost : known.units, room * mostLargestShare));
+    return Math.max(cost, Math.min(isLargest ? cost : known.units, capacity * maxLargestShare));
   }
 
   /**
@@ -210,21 +215,21 @@
   private getTakeoverMargin({ name, ratePerSecond }: Workspace): number {
     const time = this.options.clock.getTime();
     const term = this.arbiterTerms.get(name);
-    const since = term && time - term.askedAt <= arbiterRestMs ? term.since : time;
-    this.arbiterTerms.set(name, { since, askedAt: time });
+    const since = term && time - term.calledAt <= arbiterIdleMs ? term.since : time;
+    this.arbiterTerms.set(name, { since, calledAt: time });
     // What a life that knows nothing before it counts as taken holds this too.
     if (!this.options.counters.knowsHistory) return 0;
-    return time - since < takeoverMs ? (ratePerSecond * takeoverMs) / millisecondsPerSecond : 0;
+    return time - since < arbiterTakeoverMs ? (ratePerSecond * arbiterTakeoverMs) / millisecondsPerSecond : 0;
   }
 
-  private takeWithin(taking: QuotaTaking): Result<void, Failure> {
-    if (getExcess(taking) > 0) return Err(this.refuse(taking));
+  private takeIfAvailable(taking: QuotaCheck): Result<void, Failure> {
+    if (getExcess(taking) > 0) return Err(this.createQuotaFailure(taking));
     this.addQuota(taking.workspace, taking.cost);
     return Ok(undefined);
   }
 
-  private refuse(taking: QuotaTaking): Failure {
-    const { workspace, level, room, share } = taking;
+  private createQuotaFailure(taking: QuotaCheck): Failure {
+    const { workspace, level, capacity, share } = taking;
     const wait = this.options.counters.getTimeUntilFreed(
       CounterKind.Quota,
       workspace.name,
@@ -234,11 +239,11 @@
       workspace: workspace.name,
       limit: workspace.ratePerSecond,
       level: Math.round(level),
-      room: Math.round(room),
+      room: Math.round(capacity),
       share: Math.round(share * percent),
     };
     // Others wait for the same room: coming back a little later spares being refused again.
-    const retryAfter = shortestRetryMs + wait * (1 + this.options.getRandom());
+    const retryAfter = minRetryAfterMs + wait * (1 + this.options.getRandom());
     return Failure.create(FailureCode.QuotaSpent, values, retryAfter);
   }
 
@@ -249,7 +254,7 @@
     return {
       level: counters.getSum(CounterKind.Quota, workspace.name),
       knownLevel: counters.getKnownSum(CounterKind.Quota, workspace.name),
-      capacity: this.getRoom(workspace, share, QuotaUse.First),
+      capacity: this.getCapacity(workspace, share, QuotaUse.First),
       share,
     };
   }
@@ -266,16 +271,16 @@
     return getAllowances(workspace, { slack, overshoot, windowMs });
   }
 
-  private getRoom(workspace: Workspace, share: number, use: QuotaUse): number {
-    const { extraBurst: given, retries: repeats } = this.getAllowances(workspace);
-    const more = use === QuotaUse.Retry ? repeats : 0;
-    return (workspace.burst + given + more) * share;
+  private getCapacity(workspace: Workspace, share: number, use: QuotaUse): number {
+    const { extraBurst, retries } = this.getAllowances(workspace);
+    const retryCapacity = use === QuotaUse.Retry ? retries : 0;
+    return (workspace.burst + extraBurst + retryCapacity) * share;
   }
 
   /** Sets how fast a limit's level falls; returns the share of the fleet whose counts are known. */
   private prepareLimit(workspace: Workspace): number {
     const share = this.options.getKnownShare();
-    this.seedUnknown(workspace, share);
+    this.assumePriorUse(workspace, share);
     this.options.counters.setRate(workspace.name, workspace.ratePerSecond * share);
     return share;
   }
@@ -286,21 +291,21 @@
   }
 
   /**
-   * A life that is not the first cannot know what was used just before it: it counts most of the room as taken. One that
+   * A life that is not the first cannot know what was used just before it counts most of the room as taken. One that
    * began with its own part of the room does so again for the whole, or new readers would let many times
    * the rate run after a restart of the whole fleet.
    */
-  private seedUnknown(workspace: Workspace, share: number): void {
+  private assumePriorUse(workspace: Workspace, share: number): void {
     const { name } = workspace;
-    if (share <= (this.seededShares.get(name) ?? 0)) return;
-    this.seededShares.set(name, share);
+    if (share <= (this.assumedShares.get(name) ?? 0)) return;
+    this.assumedShares.set(name, share);
     const { counters, quotaWindowMs, isFirstStart } = this.options;
     if (isFirstStart || counters.knowsHistory || counters.getUptime() > quotaWindowMs) return;
-    const room = this.getRoom(workspace, share, QuotaUse.First);
+    const capacity = this.getCapacity(workspace, share, QuotaUse.First);
     const unknown = this.getAllowances(workspace).restart * share;
-    const seeded = Math.min(room * mostSeededShare, Math.max(0, room - unknown));
-    if (counters.getKnownSum(CounterKind.Quota, name) >= seeded) return;
-    counters.assumePriorUse(CounterKind.Quota, name, seeded);
+    const assumed = Math.min(capacity * maxAssumedShare, Math.max(0, capacity - unknown));
+    if (counters.getKnownSum(CounterKind.Quota, name) >= assumed) return;
+    counters.assumePriorUse(CounterKind.Quota, name, assumed);
   }
 }
 
@@ -313,17 +318,17 @@
 /** One span of time in which an instance is the arbiter of a limit. */
 interface ArbiterTerm {
   readonly since: number;
-  readonly askedAt: number;
+  readonly calledAt: number;
 }
 
 /** Units that are to be taken of a limit, and what is taken already. */
-interface QuotaTaking {
+interface QuotaCheck {
   readonly workspace: Workspace;
   readonly cost: number;
   /** Room that must be left for it. */
   readonly needed: number;
   readonly level: number;
-  readonly room: number;
+  readonly capacity: number;
   readonly share: number;
 }
 
@@ -331,7 +336,7 @@
  * Units by which a request exceeds the room. One larger than the room is let in when nothing else is, but not by instances
  * that are cut off: each of them knows only its own level.
  */
-function getExcess({ needed, level, room, share }: QuotaTaking): number {
-  const isAlone = level === 0 && share >= leastShareOfOversized;
-  return isAlone ? 0 : level + needed - room;
+function getExcess({ needed, level, capacity, share }: QuotaCheck): number {
+  const isAlone = level === 0 && share >= minShareForOversized;
+  return isAlone ? 0 : level + needed - capacity;
 }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -44,7 +44,7 @@
   readonly onHead: (head: ResponseHead, status: number) => void;
 }
 
-const endsByWord: Readonly<Record<ExecutionStatus, AttemptOutcome>> = {
+const outcomesByStatus: Readonly<Record<ExecutionStatus, AttemptOutcome>> = {
   [ExecutionStatus.Ran]: AttemptOutcome.Answered,
   [ExecutionStatus.NotRun]: AttemptOutcome.NotRun,
   [ExecutionStatus.WrongEndpoint]: AttemptOutcome.WrongEndpoint,
@@ -57,10 +57,10 @@
   readonly result: Promise<AttemptResult>;
   private readonly sent: ClientRequest;
   private isConnected = false;
-  private settle: (result: AttemptResult) => void = () => undefined;
+  private resolveResult: (result: AttemptResult) => void = () => undefined;
 
   private constructor(private readonly options: AttemptOptions) {
-    this.result = new Promise((resolve) => (this.settle = resolve));
+    this.result = new Promise((resolve) => (this.resolveResult = resolve));
     this.sent = this.send();
   }
 
@@ -87,7 +87,7 @@
       agent,
       method,
       path: target,
-      headers: createSentHeaders(headers, method, body),
+      headers: addContentLength(headers, method, body),
       setHost: false,
     });
     sent.on("socket", (socket) => {
@@ -109,28 +109,28 @@
 
   private fail(detail: string): void {
     const end = this.isConnected ? AttemptOutcome.Lost : AttemptOutcome.NotSent;
-    this.settle({ end, detail, response: undefined });
+    this.resolveResult({ end, detail, response: undefined });
   }
 
   private takeResponse(response: IncomingMessage): void {
     const { protocol, requestId, onHead } = this.options;
     const status = response.statusCode ?? 0;
     const head = protocol.readResponseHead(requestId, status, response.headers);
-    const end = endsByWord[head.executionStatus];
+    const end = outcomesByStatus[head.executionStatus];
     onHead(head, status);
     // Errors of the body are seen by whoever reads it; an event without a listener would end the process.
     response.on("error", () => undefined);
     if (end === AttemptOutcome.Answered) {
-      this.settle({ end, detail: `status ${status}`, response });
+      this.resolveResult({ end, detail: `status ${status}`, response });
       return;
     }
     if (end === AttemptOutcome.Lost) this.abort("foreign answer");
     else response.resume();
-    this.settle({ end, detail: `status ${status}`, response: undefined });
+    this.resolveResult({ end, detail: `status ${status}`, response: undefined });
   }
 }
 
-function createSentHeaders(headers: readonly string[], method: string, body: Buffer): string[] {
+function addContentLength(headers: readonly string[], method: string, body: Buffer): string[] {
   const isBodyExpected = method !== "GET" && method !== "HEAD";
   if (body.length === 0 && !isBodyExpected) return [...headers];
   return [...headers, "Content-Length", String(body.length)];
--- a/packages/gateway/src/attemptHistory.ts
+++ b/packages/gateway/src/attemptHistory.ts
@@ -5,7 +5,7 @@
 import type { Failure } from "@gladewall/kernel";
 
 /** Tries that did not run, after which a request is refused. */
-const mostNotRunTries = 4;
+const maxNotRunAttempts = 4;
 
 /** Tries of one request. */
 export class AttemptHistory {
@@ -13,7 +13,7 @@
   runs = 0;
   /** Sendings that reached an endpoint. */
   arrivals = 0;
-  private notRunTries = 0;
+  private notRunAttempts = 0;
   /** Why the last try did not run; undefined before the first that did not. */
   private refusal: Failure | undefined;
   /** What became of the last try that may have run: from then on the request can't be said not to have run. */
@@ -26,8 +26,8 @@
   }
 
   /** Whether no further try is made after those that did not run. */
-  get isTriedOut(): boolean {
-    return this.notRunTries >= mostNotRunTries;
+  get isExhausted(): boolean {
+    return this.notRunAttempts >= maxNotRunAttempts;
   }
 
   noteArrival(): void {
@@ -45,7 +45,7 @@
   /** Takes note that an endpoint was reached or tried, and did not run the request. */
   noteNotRun(failure: Failure): void {
     this.refusal = failure;
-    this.notRunTries += 1;
+    this.notRunAttempts += 1;
   }
 
   /** Takes note that there is no endpoint to try; why an earlier try did not run says more. */
--- a/packages/gateway/src/callerServer.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -15,11 +15,11 @@
   readonly handle: (message: IncomingMessage, response: ServerResponse) => Promise<void>;
 }
 
-const headerBytes = 32_768;
-const checkIntervalMs = 500;
-const good = 200;
-const notFound = 404;
-const unavailable = 503;
+const maxHeaderBytes = 32_768;
+const timeoutCheckIntervalMs = 500;
+const statusOk = 200;
+const statusNotFound = 404;
+const statusUnavailable = 503;
 
 /** Listens for callers and for the platform's question whether the instance is ready. */
 export class CallerServer implements Closeable {
@@ -28,8 +28,8 @@
 
   private constructor(private readonly options: CallerServerOptions) {
     const bounds = {
-      maxHeaderSize: headerBytes,
-      connectionsCheckingInterval: checkIntervalMs,
+      maxHeaderSize: maxHeaderBytes,
+      connectionsCheckingInterval: timeoutCheckIntervalMs,
       noDelay: true,
     };
     this.callers = createServer(bounds, (message, response) => void options.handle(message, response));
@@ -67,7 +67,7 @@
 
   private answerReadiness(message: IncomingMessage, response: ServerResponse): void {
     const isKnown = message.url === this.options.readinessPath;
-    response.statusCode = isKnown ? (this.options.isReady() ? good : unavailable) : notFound;
+    response.statusCode = isKnown ? (this.options.isReady() ? statusOk : statusUnavailable) : statusNotFound;
     response.end();
   }
 }
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -31,24 +31,24 @@
   readonly at: number;
 }
 
-const refusedPauseMs = 2_000;
-const failedPauseMs = 800;
+const refusalCooldownMs = 2_000;
+const failureCooldownMs = 800;
 /** A wanted number that is not there yet is ordered again after this long. */
-const repeatMs = 6_000;
+const resendIntervalMs = 6_000;
 /** How long reclaimable endpoints count as scarce after a refusal. */
-const scarceMs = 4_000;
+const scarcityMs = 4_000;
 /** Share of a data hall's reclaimable endpoints that leave together only where the data hall is reclaimed. */
-const reclaimedShare = 0.5;
+const reclaimDetectionShare = 0.5;
 /** Reclaims come in waves: so long after one, the next data hall is provided for. */
-const waveMs = 8_000;
+const reclaimWaveMs = 8_000;
 /** Share of that data hall that is provided for: on-demand endpoints are dear, and not every wave goes on. */
-const providedShare = 0.5;
+const provisionShare = 0.5;
 /** Endpoints record themselves over some time; once none has been found for so long, all are known. */
-const settledMs = 1_600;
+const discoveryMs = 1_600;
 
 /** Keeps the numbers of endpoints as planned. */
 export class CapacityOrders {
-  private readonly last = new Map<string, LastOrder>();
+  private readonly lastOrders = new Map<string, LastOrder>();
   /** When each data hall last refused reclaimable endpoints; forgotten once it gives some. */
   private readonly refusedAt = new Map<string, number>();
   private scarceUntil = -Infinity;
@@ -67,20 +67,20 @@
 
   /** Forgets what was ordered; for a new holder, who cannot know what others ordered meanwhile. */
   reset(): void {
-    this.last.clear();
+    this.lastOrders.clear();
     this.refusedAt.clear();
   }
 
   /** Gives the orders of one service that are due. */
   async step(service: Service, getSender: () => OrderSender | undefined): Promise<void> {
     const { scaling } = service;
-    if (!scaling || this.options.clock.getTime() - this.failedAt < failedPauseMs) return;
+    if (!scaling || this.options.clock.getTime() - this.failedAt < failureCooldownMs) return;
     const halls = this.countHalls(service.name, scaling);
     const onDemand = halls.reduce((sum, hall) => sum + hall.onDemand, 0);
     const reclaimable = halls.reduce((sum, hall) => sum + hall.reclaimable, 0);
     // While one class takes the place of the other both are there for a time; they are not needed twice.
     const present = Math.max(onDemand, reclaimable);
-    const isSettled = this.noteFound(service.name, onDemand);
+    const isSettled = this.recordDiscovered(service.name, onDemand);
     const plan = planCapacity({
       service: service.name,
       limits: scaling,
@@ -94,31 +94,31 @@
       if (!this.isDue(order, halls)) continue;
       const sender = getSender();
       if (!sender) return;
-      const isAnswered = await this.give(order, sender);
+      const isAnswered = await this.send(order, sender);
       if (!isAnswered) return;
     }
   }
 
   /** Takes note of how many endpoints were found; returns whether no more are to be expected. */
-  private noteFound(service: string, count: number): boolean {
+  private recordDiscovered(service: string, count: number): boolean {
     const time = this.options.clock.getTime();
     const found = this.found.get(service);
-    if (found && found.count >= count) return time - found.at > settledMs;
+    if (found && found.count >= count) return time - found.at > discoveryMs;
     this.found.set(service, { count, at: time });
     return false;
   }
 
   /** Reclaimable endpoints that the next reclaim of a wave would take. */
   private countAtRisk(halls: readonly HallCount[]): number {
-    if (this.options.clock.getTime() - this.reclaimedAt > waveMs) return 0;
-    return Math.floor(Math.max(...halls.map(({ reclaimable }) => reclaimable)) * providedShare);
+    if (this.options.clock.getTime() - this.reclaimedAt > reclaimWaveMs) return 0;
+    return Math.floor(Math.max(...halls.map(({ reclaimable }) => reclaimable)) * provisionShare);
   }
 
   /** Takes note of a data hall whose reclaimable endpoints leave together. */
-  private noteLeaving(hall: string, endpoints: readonly Endpoint[]): void {
+  private detectReclaim(hall: string, endpoints: readonly Endpoint[]): void {
     const here = endpoints.filter(({ record }) => record.hall === hall && record.isReclaimable);
     const leaving = here.filter((endpoint) => !endpoint.isUsable()).length;
-    if (leaving > 1 && leaving >= here.length * reclaimedShare)
+    if (leaving > 1 && leaving >= here.length * reclaimDetectionShare)
       this.reclaimedAt = this.options.clock.getTime();
   }
 
@@ -128,19 +128,19 @@
     const endpoints = known.filter((endpoint) => endpoint.isUsable());
     const names = new Set([...hallPrices.keys(), ...endpoints.map((endpoint) => endpoint.record.hall)]);
     return [...names].map((hall) => {
-      this.noteLeaving(hall, known);
+      this.detectReclaim(hall, known);
       const here = endpoints.filter((endpoint) => endpoint.record.hall === hall);
       const reclaimable = here.filter((endpoint) => endpoint.record.isReclaimable).length;
       const refusedAt = this.refusedAt.get(hall);
       const isReclaimableDry = refusedAt !== undefined;
-      const isReclaimableRefused = isReclaimableDry && time - refusedAt < refusedPauseMs;
+      const isReclaimableRefused = isReclaimableDry && time - refusedAt < refusalCooldownMs;
       const onDemand = here.length - reclaimable;
-      const ordered = this.last.get(getKey({ service, hall, isReclaimable: false }))?.desired;
+      const ordered = this.lastOrders.get(getKey({ service, hall, isReclaimable: false }))?.desired;
       return {
         hall,
         reclaimable,
         onDemand,
-        reclaimableOrdered: this.last.get(getKey({ service, hall, isReclaimable: true }))?.desired ?? 0,
+        reclaimableOrdered: this.lastOrders.get(getKey({ service, hall, isReclaimable: true }))?.desired ?? 0,
         onDemandOrdered: ordered ?? onDemand,
         isReclaimableRefused,
         isReclaimableDry,
@@ -152,13 +152,13 @@
     const count = halls.find(({ hall }) => hall === order.hall);
     if (!count || (order.isReclaimable && count.isReclaimableRefused)) return false;
     const present = order.isReclaimable ? count.reclaimable : count.onDemand;
-    const last = this.last.get(getKey(order));
+    const last = this.lastOrders.get(getKey(order));
     if (!last) return order.desired !== present;
     if (last.desired !== order.desired) return true;
-    return present !== order.desired && this.options.clock.getTime() - last.at > repeatMs;
+    return present !== order.desired && this.options.clock.getTime() - last.at > resendIntervalMs;
   }
 
-  private async give(order: CapacityOrder, sender: OrderSender): Promise<boolean> {
+  private async send(order: CapacityOrder, sender: OrderSender): Promise<boolean> {
     const { orders, clock, logger } = this.options;
     const at = clock.getTime();
     const taken = await orders.orderCapacity(order, sender);
@@ -170,12 +170,12 @@
       return false;
     }
     if (taken.value === OrderOutcome.Taken) {
-      this.last.set(getKey(order), { desired, at });
+      this.lastOrders.set(getKey(order), { desired, at });
       if (isReclaimable) this.refusedAt.delete(hall);
       return true;
     }
     this.refusedAt.set(hall, at);
-    this.scarceUntil = at + scarceMs;
+    this.scarceUntil = at + scarcityMs;
     return true;
   }
 }
--- a/packages/gateway/src/capacityPlan.ts
+++ b/packages/gateway/src/capacityPlan.ts
@@ -39,9 +39,9 @@
 /** Share of the needed endpoints that must serve before on-demand ones are given up. */
 const releaseShare = 0.85;
 /** Share of the needed endpoints that is made up with on-demand ones: at their price, less headroom is worth it. */
-const dearShare = 0.7;
+const onDemandShare = 0.7;
 /** On-demand endpoints that are kept, as a share of those that are missing. */
-const surplusShare = 1.2;
+const maxSurplusShare = 1.2;
 
 /** Returns the wanted numbers of every data hall and class. */
 export function planCapacity(input: CapacityInput): readonly CapacityOrder[] {
@@ -64,7 +64,7 @@
   let left = needed - halls.filter((hall) => hall.isReclaimableRefused).reduce(sumReclaimable, 0);
   const sorted = [...open].sort((one, other) => getPrice(limits, one.hall) - getPrice(limits, other.hall));
   while (left > 0) {
-    const next = findLeast(sorted, wanted, limits.max);
+    const next = findSmallestHall(sorted, wanted, limits.max);
     if (next === undefined) return wanted;
     wanted.set(next, (wanted.get(next) ?? 0) + 1);
     left -= 1;
@@ -86,11 +86,11 @@
   const kept = serving - atRisk;
   const missing = isEnough
     ? 0
-    : Math.max(0, Math.ceil(needed * (isReclaimableScarce ? dearShare : 1)) - kept);
+    : Math.max(0, Math.ceil(needed * (isReclaimableScarce ? onDemandShare : 1)) - kept);
   const sorted = [...halls].sort((one, other) => getPrice(limits, one.hall) - getPrice(limits, other.hall));
   const wanted = new Map<string, number>();
   for (const hall of sorted) {
-    const room = getRoom(hall, limits, reclaimable.get(hall.hall) ?? 0);
+    const room = getFreePlaces(hall, limits, reclaimable.get(hall.hall) ?? 0);
     const least = Math.max(0, limits.min - (reclaimable.get(hall.hall) ?? 0));
     wanted.set(hall.hall, Math.max(least, Math.min(room, isEnough ? 0 : hall.onDemandOrdered)));
   }
@@ -99,9 +99,9 @@
   let left = missing - sumValues(wanted);
   while (left > 0) {
     const open = sorted.filter(
-      (hall) => (wanted.get(hall.hall) ?? 0) < getRoom(hall, limits, reclaimable.get(hall.hall) ?? 0),
+      (hall) => (wanted.get(hall.hall) ?? 0) < getFreePlaces(hall, limits, reclaimable.get(hall.hall) ?? 0),
     );
-    const next = findLeast(open, wanted, limits.max);
+    const next = findSmallestHall(open, wanted, limits.max);
     if (next === undefined) return wanted;
     wanted.set(next, (wanted.get(next) ?? 0) + 1);
     left -= 1;
@@ -110,7 +110,7 @@
 }
 
 /** On-demand endpoints that a data hall has room for: the limit counts both classes together. */
-function getRoom(hall: HallCount, limits: ScalingLimits, reclaimableWanted: number): number {
+function getFreePlaces(hall: HallCount, limits: ScalingLimits, reclaimableWanted: number): number {
   // Where reclaimable ones can be had, on-demand ones must not keep their places; but only an order that was taken
   // shows that they can, or on-demand ones would be given up before each order that is refused.
   const taken = hall.isReclaimableDry ? hall.reclaimable : Math.max(hall.reclaimable, reclaimableWanted);
@@ -123,7 +123,7 @@
   cheapestFirst: readonly HallCount[],
   missing: number,
 ): void {
-  let surplus = sumValues(wanted) - Math.ceil(missing * surplusShare);
+  let surplus = sumValues(wanted) - Math.ceil(missing * maxSurplusShare);
   for (const { hall } of [...cheapestFirst].reverse()) {
     const given = Math.min(Math.max(0, surplus), wanted.get(hall) ?? 0);
     wanted.set(hall, (wanted.get(hall) ?? 0) - given);
@@ -135,7 +135,7 @@
   return [...counts.values()].reduce((sum, count) => sum + count, 0);
 }
 
-function findLeast(
+function findSmallestHall(
   halls: readonly HallCount[],
   wanted: ReadonlyMap<string, number>,
   most: number,
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -22,7 +22,7 @@
 
 /** Environment variable that names the settings file. */
 const fileVariable = "GLADEWALL_CONFIG";
-const badSettings = 2;
+const invalidSettingsExitCode = 2;
 const filePollMs = 2_000;
 
 /** Runs one instance until it is told to stop. */
@@ -69,7 +69,7 @@
 
 function exitWith(failures: readonly Failure[]): void {
   printFailures(failures);
-  process.exitCode = badSettings;
+  process.exitCode = invalidSettingsExitCode;
 }
 
 function handleSignals(gateway: Gateway, logs: DaemonLogs, options: DaemonArguments): void {
--- a/packages/gateway/src/demandEstimator.ts
+++ b/packages/gateway/src/demandEstimator.ts
@@ -26,12 +26,12 @@
 }
 
 /** Share of an engine's slots that is planned with: requests come in clumps, and none should wait for a slot. */
-const slotShare = 0.4;
+const maxSlotShare = 0.4;
 
 /** Time for which a need that has passed is still provided for. */
-const holdMs = 15_000;
+const peakHoldMs = 15_000;
 /** Time after which the load seen says more than the number of endpoints that was found. */
-const learnMs = 8_000;
+const warmupMs = 8_000;
 
 interface Peak {
   needed: number;
@@ -61,39 +61,32 @@
 
   /** Returns the endpoints that a service needs, `present` of which are there over so many data halls. */
   getNeededEndpoints(service: Service, halls: number, present: number): number {
-    const {
-      clock,
-      counters,
-      getReadingRate,
-      isRateLearned,
-      utilization,
-      minEndpointsPerHall: leastPerHall,
-      windowMs,
-    } = this.options;
+    const { clock, counters, getReadingRate, isRateLearned, utilization, minEndpointsPerHall, windowMs } =
+      this.options;
     const time = clock.getTime();
     const tokensPerMs = counters.getSum(CounterKind.PromptTokens, service.name) / windowMs;
     if (tokensPerMs > 0 && !this.loadSince.has(service.name)) this.loadSince.set(service.name, time);
-    const hasLearnt = time - (this.loadSince.get(service.name) ?? time) > learnMs;
+    const isWarmedUp = time - (this.loadSince.get(service.name) ?? time) > warmupMs;
     // An assumed rate may be far off: until engines have shown theirs, it is no reason to order any.
-    const isRateKnown = hasLearnt || isRateLearned(service.name);
+    const isRateKnown = isWarmedUp || isRateLearned(service.name);
     const tokensPerEndpoint = getReadingRate(service.name) * utilization;
     const forTokens = isRateKnown ? Math.ceil(tokensPerMs / tokensPerEndpoint) : 0;
     const forLoad = Math.max(forTokens, this.getNeededForSlots(service));
     // Until the load is known, the number that was found is the operators' own estimate of it.
-    const least = hasLearnt
-      ? Math.ceil(halls * leastPerHall)
-      : Math.max(present, Math.ceil(halls * leastPerHall));
-    return this.holdPeak(service.name, Math.max(forLoad, least), time);
+    const minimum = isWarmedUp
+      ? Math.ceil(halls * minEndpointsPerHall)
+      : Math.max(present, Math.ceil(halls * minEndpointsPerHall));
+    return this.holdPeak(service.name, Math.max(forLoad, minimum), time);
   }
 
   private getNeededForSlots({ name, engine }: Service): number {
     if (!engine) return 0;
-    return Math.ceil(this.options.getActive(name) / (engine.slots * slotShare));
+    return Math.ceil(this.options.getActive(name) / (engine.slots * maxSlotShare));
   }
 
   private holdPeak(service: string, needed: number, time: number): number {
     const peak = this.peaks.get(service);
-    if (peak && peak.needed > needed && time - peak.at < holdMs) return peak.needed;
+    if (peak && peak.needed > needed && time - peak.at < peakHoldMs) return peak.needed;
     this.peaks.set(service, { needed, at: time });
     return needed;
   }
--- a/packages/gateway/src/fencedLeases.ts
+++ b/packages/gateway/src/fencedLeases.ts
@@ -37,7 +37,7 @@
 /** Takes, renews and gives back leases. */
 export class FencedLeases implements LeaseService {
   /** The latest that was heard of, also where the store has lost it. */
-  private heard: FenceOffset | undefined;
+  private latest: FenceOffset | undefined;
 
   private constructor(private readonly options: FencedLeasesOptions) {}
 
@@ -47,7 +47,7 @@
 
   /** Takes an item of the store; passes over those of others. */
   takeItem(key: string, item: StoreItem | undefined): void {
-    if (key === this.options.offsetKey && item) this.hear(decodeItem(offsetSchema, item.value));
+    if (key === this.options.offsetKey && item) this.keepLatest(decodeItem(offsetSchema, item.value));
   }
 
   async acquireLease(
@@ -59,24 +59,24 @@
     const reading = await store.read(offsetKey);
     if (reading.isErr()) return reading;
     const { item, era } = reading.value;
-    this.hear(item && decodeItem(offsetSchema, item.value));
+    this.keepLatest(item && decodeItem(offsetSchema, item.value));
     const granted = await store.grantLease(ttl);
     if (granted.isErr()) return granted;
     const lease = granted.value;
-    const current = createOffset(this.heard, era);
+    const current = createOffset(this.latest, era);
     const expected = [
       { key: name, revision: 0 },
       { key: offsetKey, revision: item?.revision ?? 0 },
     ];
-    const isKept = current.era === initialEra || (item !== undefined && this.heard?.era === era);
-    const kept = isKept ? [] : [{ key: offsetKey, value: Buffer.from(JSON.stringify(current)) }];
-    const put = [{ key: name, value: Buffer.from(holder), lease }, ...kept];
+    const isStored = current.era === initialEra || (item !== undefined && this.latest?.era === era);
+    const offsetWrites = isStored ? [] : [{ key: offsetKey, value: Buffer.from(JSON.stringify(current)) }];
+    const put = [{ key: name, value: Buffer.from(holder), lease }, ...offsetWrites];
     const taken = await store.transact({ expected, put, remove: [] });
     if (taken.isErr()) {
       void store.releaseLease(lease);
       return taken.error.code === FailureCode.ServiceConflict ? Ok(undefined) : taken;
     }
-    this.hear(current);
+    this.keepLatest(current);
     return Ok({ session: lease, fence: current.offset + taken.value.revision });
   }
 
@@ -88,9 +88,9 @@
     return this.options.store.releaseLease(session);
   }
 
-  private hear(told: FenceOffset | undefined): void {
-    if (told && told.offset >= (this.heard?.offset ?? 0) && told.era >= (this.heard?.era ?? 0))
-      this.heard = told;
+  private keepLatest(found: FenceOffset | undefined): void {
+    if (found && found.offset >= (this.latest?.offset ?? 0) && found.era >= (this.latest?.era ?? 0))
+      this.latest = found;
   }
 }
 
@@ -98,7 +98,7 @@
 function createOffset(earlier: FenceOffset | undefined, era: number): FenceOffset {
   const { era: earlierEra, offset } = earlier ?? { era: initialEra, offset: 0 };
   // A store that begins to tell its era has not come back by that.
-  const isFirstTold = earlierEra === initialEra && isReportedEra(era);
-  const grownBy = isFirstTold ? 0 : Math.max(0, era - earlierEra);
+  const isFirstReported = earlierEra === initialEra && isReportedEra(era);
+  const grownBy = isFirstReported ? 0 : Math.max(0, era - earlierEra);
   return { era, offset: offset + grownBy * offsetPerEra };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -24,7 +24,7 @@
 /** Part of the grace that is kept for the end of the process. */
 const exitMarginMs = 800;
 /** Time for the last answers to leave. */
-const lastAnswersMs = 100;
+const responseFlushMs = 100;
 const idleCheckMs = 50;
 /** Age told of a view where there is none. */
 const noViewAge = -1;
@@ -44,7 +44,7 @@
     const { listen } = settings;
     this.requests = RequestServer.create({
       parts,
-      servedMs: settings.leaving.grace - exitMarginMs,
+      serveWhileLeavingMs: settings.leaving.grace - exitMarginMs,
       getLeavingSince: () => this.leavingSince,
     });
     this.front = CallerServer.create({
@@ -225,8 +225,8 @@
     requests.stop();
     logger.info("instance.stopping", { open: requests.open });
     requests.giveUpAll();
-    await Promise.race([dutiesClosed, waitFor(clock, lastAnswersMs)]);
-    await waitFor(clock, lastAnswersMs);
+    await Promise.race([dutiesClosed, waitFor(clock, responseFlushMs)]);
+    await waitFor(clock, responseFlushMs);
     logger.info("instance.stopped", { open: requests.open });
   }
 
@@ -236,7 +236,7 @@
     const isBusy = (): boolean => this.requests.open > 0 && clock.getTime() < endsAt;
     do {
       while (isBusy()) await waitFor(clock, idleCheckMs);
-      await waitFor(clock, lastAnswersMs);
+      await waitFor(clock, responseFlushMs);
     } while (isBusy());
   }
 
--- a/packages/gateway/src/leaderTasks.ts
+++ b/packages/gateway/src/leaderTasks.ts
@@ -43,9 +43,9 @@
 /** Length of the lease, as a share of the time in which no two instances may act by turns. */
 const leaseShare = 0.5;
 /** Time that a new holder waits, as a share of it: twice this wait is longer than that time. */
-const settleShare = 0.57;
+const takeoverDelayShare = 0.57;
 /** Part of the lease that is not acted in: covers clocks and the way of a call. */
-const marginShare = 0.25;
+const safetyMarginShare = 0.25;
 
 /** Holds the lease and acts on it. */
 export class LeaderTasks implements Closeable {
@@ -54,28 +54,19 @@
   private task: Promise<void> = Promise.resolve();
   private actingFence = 0;
   /** Whether nobody ever acted before: then there is nobody to wait for. */
-  private isFirstEver = false;
+  private isFirstLeaderEver = false;
   /** Whether nobody can have acted unless the mark says so: a store that came back from a copy may have lost it. */
-  private isMarkSure: boolean;
-  private markedFence = 0;
+  private isMarkerReliable: boolean;
+  private checkedFence = 0;
 
   private constructor(private readonly options: LeaderTasksOptions) {
-    const {
-      store,
-      leases,
-      clock,
-      logger,
-      name,
-      leaseKey,
-      alternationWindowMs: turnMs,
-      isLeaseFree: isFree,
-      isEligible,
-    } = options;
-    this.isMarkSure = options.isFirstStart;
-    store.eras.onEraChange((rise) => {
-      if (!isRestore(rise)) return;
-      this.isMarkSure = false;
-      this.isFirstEver = false;
+    const { store, leases, clock, logger, name, leaseKey, alternationWindowMs, isLeaseFree, isEligible } =
+      options;
+    this.isMarkerReliable = options.isFirstStart;
+    store.eras.onEraChange((change) => {
+      if (!isRestore(change)) return;
+      this.isMarkerReliable = false;
+      this.isFirstLeaderEver = false;
     });
     this.holder = LeaseHolder.create({
       service: leases,
@@ -83,10 +74,10 @@
       logger,
       name: leaseKey,
       holder: name,
-      ttlMs: turnMs * leaseShare,
-      safetyMarginMs: turnMs * leaseShare * marginShare,
+      ttlMs: alternationWindowMs * leaseShare,
+      safetyMarginMs: alternationWindowMs * leaseShare * safetyMarginShare,
       getRandom: Math.random,
-      shouldAcquire: () => isEligible() && isFree(),
+      shouldAcquire: () => isEligible() && isLeaseFree(),
       shouldKeep: () => isEligible() && !this.isFenceRefused(),
     });
   }
@@ -97,7 +88,7 @@
 
   start(): void {
     this.holder.start();
-    this.task = this.act();
+    this.task = this.run();
   }
 
   /** Stops acting. The lease runs out by itself: given back early, it could come round to this instance too soon. */
@@ -113,11 +104,12 @@
   }
 
   private getSender(): OrderSender | undefined {
-    const { name, alternationWindowMs: turnMs } = this.options;
+    const { name, alternationWindowMs } = this.options;
     const fence = this.holder.getFencingToken();
     if (this.stop.signal.aborted || fence.isErr() || !this.options.isEligible()) return undefined;
     if (this.options.isFenceRefused(fence.value)) return undefined;
-    if (!this.isFirstEver && this.holder.getHeldMs() < turnMs * settleShare) return undefined;
+    if (!this.isFirstLeaderEver && this.holder.getHeldMs() < alternationWindowMs * takeoverDelayShare)
+      return undefined;
     return { holder: name, fence: fence.value };
   }
 
@@ -128,24 +120,24 @@
   }
 
   /** Leaves a mark in the store that duties have begun; whoever makes it is the first. */
-  private async markFirst(): Promise<void> {
-    const { store, markerKey: markKey } = this.options;
+  private async writeMarker(): Promise<void> {
+    const { store, markerKey } = this.options;
     const fence = this.holder.getFencingToken();
-    if (fence.isErr() || fence.value === this.markedFence) return;
-    this.markedFence = fence.value;
-    this.isFirstEver = false;
-    const put = [{ key: markKey, value: Buffer.from(String(fence.value)) }];
-    const marked = await store.transact({ expected: [{ key: markKey, revision: 0 }], put, remove: [] });
-    this.isFirstEver = marked.isOk() && this.isMarkSure;
+    if (fence.isErr() || fence.value === this.checkedFence) return;
+    this.checkedFence = fence.value;
+    this.isFirstLeaderEver = false;
+    const put = [{ key: markerKey, value: Buffer.from(String(fence.value)) }];
+    const marked = await store.transact({ expected: [{ key: markerKey, revision: 0 }], put, remove: [] });
+    this.isFirstLeaderEver = marked.isOk() && this.isMarkerReliable;
   }
 
-  private async act(): Promise<void> {
+  private async run(): Promise<void> {
     const { clock, usage, capacity, getServices, logger } = this.options;
     const { signal } = this.stop;
     const getSender = (): OrderSender | undefined => this.getSender();
     while (!signal.aborted) {
       await waitFor(clock, stepMs, signal);
-      await this.markFirst();
+      await this.writeMarker();
       const sender = this.getSender();
       if (!sender) continue;
       if (sender.fence !== this.actingFence) {
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -53,7 +53,7 @@
 /** Milliseconds that one more running request adds at an engine. */
 const runningCostMs = 1.5;
 /** Milliseconds by which choices that are as good as equal are spread. */
-const spreadMs = 4;
+const tieBreakMs = 4;
 /** Milliseconds that work is taken to last where no answer has been seen. */
 const unknownLatencyMs = 50;
 
@@ -73,14 +73,14 @@
   choose(request: PlacementRequest): Placement | undefined {
     const time = this.options.clock.getTime();
     const candidates = this.getCandidates(request, time);
-    const home = findHome(request.parts, candidates);
+    const home = findAffinityEndpoint(request.parts, candidates);
     let best: Placement | undefined;
     let bestScore = Infinity;
     for (const endpoint of candidates) {
       const peers = this.options.getPeerWork(endpoint.incarnation);
       const uncachedTokens = this.getUncachedTokens(request, endpoint, endpoint === home);
       const expectedMs = this.getExpectedMs(request.service, endpoint, peers, uncachedTokens);
-      const score = expectedMs + getPenalty(endpoint, time) + this.options.getRandom() * spreadMs;
+      const score = expectedMs + getPenalty(endpoint, time) + this.options.getRandom() * tieBreakMs;
       if (score >= bestScore) continue;
       bestScore = score;
       const tokensAhead = endpoint.pendingTokens + peers.pendingTokens;
@@ -154,7 +154,10 @@
 }
 
 /** The endpoint that all instances choose alike for prompts with the same shared parts. */
-function findHome(parts: readonly PromptPart[], candidates: readonly Endpoint[]): Endpoint | undefined {
+function findAffinityEndpoint(
+  parts: readonly PromptPart[],
+  candidates: readonly Endpoint[],
+): Endpoint | undefined {
   const part = parts.at(-2) ?? parts.at(-1);
   if (!part) return undefined;
   const partHash = hashText(part.id);
--- a/packages/gateway/src/placementRelay.ts
+++ b/packages/gateway/src/placementRelay.ts
@@ -17,7 +17,7 @@
   readonly send: (name: string, message: PlacementRelayMessage) => void;
 }
 
-interface Queued {
+interface QueuedPlacement {
   readonly sender: string;
   readonly entry: PlacementEntry;
 }
@@ -30,24 +30,24 @@
 /**
  * Placements handed on at once, of some 20 bytes each: an instance hears 16 KB/s of them at most, whatever the load.
  */
-const mostEntries = 16;
+const maxEntries = 16;
 /** Parts that go along at once, as many as one instance tells with a report; what is beyond it is only not known. */
-const mostParts = 64;
+const maxParts = 64;
 /** An instance that has not asked for this long is told nothing more: it asks another reader. */
-const audienceLifetimeMs = 1_500;
+const subscriptionTtlMs = 1_500;
 /** What stands in place of an instance's own placements, so that all instances are told the same numbers. */
-const none: PlacementEntry = ["", 0];
+const ownPlacement: PlacementEntry = ["", 0];
 
 /** A reader's part. */
 export class PlacementRelay {
-  private queue: Queued[] = [];
+  private queue: QueuedPlacement[] = [];
   /** Number of the first placement in the queue. */
   private first = 1;
   /** Parts that endpoints have read, to go along with the next placements. */
   private read: Record<string, string[]> = {};
   private partCount = 0;
   /** When each instance last asked. */
-  private readonly audience = new Map<string, number>();
+  private readonly subscribers = new Map<string, number>();
   private timer: Timer | undefined;
 
   private constructor(private readonly options: PlacementRelayOptions) {}
@@ -63,12 +63,12 @@
 
   /** Takes note that an instance asks this one. */
   noteSubscriber(name: string): void {
-    this.audience.set(name, this.options.clock.getTime());
+    this.subscribers.set(name, this.options.clock.getTime());
   }
 
   /** Takes a placement of this or another instance. */
   add(sender: string, entry: PlacementEntry): void {
-    if (this.audience.size === 0) {
+    if (this.subscribers.size === 0) {
       this.first += 1;
       return;
     }
@@ -78,10 +78,10 @@
 
   /** Takes what an instance tells of parts that endpoints have read. */
   addReadParts(report: PrefixReport): void {
-    if (this.audience.size === 0) return;
+    if (this.subscribers.size === 0) return;
     for (const [endpoint, parts] of Object.entries(report)) {
-      const room = Math.max(0, mostParts - this.partCount);
-      const taken = parts.slice(0, room);
+      const remaining = Math.max(0, maxParts - this.partCount);
+      const taken = parts.slice(0, remaining);
       if (taken.length === 0) continue;
       (this.read[endpoint] ??= []).push(...taken);
       this.partCount += taken.length;
@@ -99,9 +99,9 @@
     this.first += queue.length;
     this.read = {};
     this.partCount = 0;
-    const limit = this.options.clock.getTime() - audienceLifetimeMs;
-    for (const [name, askedAt] of this.audience) {
-      if (askedAt < limit) this.audience.delete(name);
+    const limit = this.options.clock.getTime() - subscriptionTtlMs;
+    for (const [name, subscribedAt] of this.subscribers) {
+      if (subscribedAt < limit) this.subscribers.delete(name);
       else this.options.send(name, createMessage(name, first, queue, read));
     }
   }
@@ -110,11 +110,16 @@
 function createMessage(
   receiver: string,
   first: number,
-  queue: readonly Queued[],
+  queue: readonly QueuedPlacement[],
   read: PrefixReport,
 ): PlacementRelayMessage {
   // The latest are told: an older one is nearer to the next view.
-  const told = queue.slice(-mostEntries);
-  const entries = told.map(({ sender, entry }) => (sender === receiver ? none : entry));
-  return { kind: MemberMessageKind.PlacementRelay, first: first + queue.length - told.length, entries, read };
+  const latest = queue.slice(-maxEntries);
+  const entries = latest.map(({ sender, entry }) => (sender === receiver ? ownPlacement : entry));
+  return {
+    kind: MemberMessageKind.PlacementRelay,
+    first: first + queue.length - latest.length,
+    entries,
+    read,
+  };
 }
--- a/packages/gateway/src/quotaAllowances.ts
+++ b/packages/gateway/src/quotaAllowances.ts
@@ -37,15 +37,15 @@
 /** Restarts of the whole fleet in one window that the allowances are dealt out for. */
 export const restartsPerWindow = 2;
 
-const givenShare = 0.35;
+const extraBurstShare = 0.35;
 /** A second's worth at once after a restart, of the smallest limits (36,000 a second beside a slack of 140,000). */
 const restartShare = 0.26;
 const restartLimitShare = 0.1;
 /** One of the longest prompts (12,000 tokens beside a slack of 140,000). */
-const repeatShare = 0.13;
-const untoldShare = 0.4;
+const retryShare = 0.13;
+const unreportedShare = 0.4;
 /** Another arbiter's grants of 0.36 s, in windows of 8 s: a report of a large fleet, and its way. */
-const lateShare = 0.4;
+const arbiterOverlapShare = 0.4;
 
 const millisecondsPerSecond = 1_000;
 
@@ -56,10 +56,10 @@
 ): QuotaAllowances {
   const borne = overshoot * ((ratePerSecond * windowMs) / millisecondsPerSecond + burst);
   return {
-    extraBurst: slack * givenShare,
+    extraBurst: slack * extraBurstShare,
     restart: slack * restartShare + borne * restartLimitShare,
-    retries: slack * repeatShare,
-    unreported: borne * untoldShare,
-    arbiterOverlap: borne * lateShare,
+    retries: slack * retryShare,
+    unreported: borne * unreportedShare,
+    arbiterOverlap: borne * arbiterOverlapShare,
   };
 }
--- a/packages/gateway/src/quotaCharges.ts
+++ b/packages/gateway/src/quotaCharges.ts
@@ -47,14 +47,14 @@
 }
 
 /** Of the time that a request has left, an arbiter is waited for this share at most: the rest is for its run. */
-const waitedShare = 0.5;
+const arbiterWaitShare = 0.5;
 /** Share of the room from which on charges are logged: below it, no error of the count can matter. */
-const loggedShare = 0.5;
+const minLoggedShare = 0.5;
 
 /** Charges requests. */
 export class QuotaCharges {
   /** Limited workspaces that were charged, as the configuration last had them. */
-  private readonly shown = new Map<string, Workspace>();
+  private readonly monitored = new Map<string, Workspace>();
 
   private constructor(private readonly options: QuotaChargesOptions) {}
 
@@ -64,7 +64,7 @@
 
   /** Charges a request for its first run; fails with `QuotaSpent`. */
   async take({ request, workspace, units, leftMs }: ChargeRequest): Promise<Result<RequestCharge, Failure>> {
-    this.show(workspace);
+    this.registerGauges(workspace);
     const charge: RequestCharge = { request, workspace, units, runs: 0, chargedAt: 0 };
     return (await this.charge(charge, QuotaUse.First, leftMs)).map(() => charge);
   }
@@ -108,14 +108,18 @@
     const refusal = admission.findRefusal(workspace, units, use);
     if (refusal) return Err(refusal);
     if (admission.tryTakeUnreported(workspace, units)) return Ok(undefined);
-    return this.ask(charge, use, leftMs * waitedShare);
+    return this.callArbiter(charge, use, leftMs * arbiterWaitShare);
   }
 
   /**
    * Asks the arbiter. The units are counted before the question leaves, so that no report tells less than was granted; an
    * answer that is lost leaves the arbiter with too much until the next report.
    */
-  private async ask(charge: RequestCharge, use: QuotaUse, waitMs: number): Promise<Result<void, Failure>> {
+  private async callArbiter(
+    charge: RequestCharge,
+    use: QuotaUse,
+    waitMs: number,
+  ): Promise<Result<void, Failure>> {
     const { admission, arbiters, counters, metrics } = this.options;
     const { request, workspace, units } = charge;
     const { name } = workspace;
@@ -140,14 +144,14 @@
     return isGranted ? Ok(undefined) : Err(admission.createRefusal(workspace, units, use));
   }
 
-  private show(workspace: Workspace): void {
+  private registerGauges(workspace: Workspace): void {
     const { name, ratePerSecond } = workspace;
     if (ratePerSecond <= 0) return;
-    const isShown = this.shown.has(name);
-    this.shown.set(name, workspace);
+    const isShown = this.monitored.has(name);
+    this.monitored.set(name, workspace);
     if (isShown) return;
     const { admission, metrics } = this.options;
-    const getState = (): QuotaState => admission.getQuotaState(this.shown.get(name) ?? workspace);
+    const getState = (): QuotaState => admission.getQuotaState(this.monitored.get(name) ?? workspace);
     metrics.registerQuotaGauges(name, {
       getLevel: () => getState().level,
       getCapacity: () => getState().capacity,
@@ -162,7 +166,7 @@
       capacity: room,
       share,
     } = this.options.admission.getQuotaState(workspace);
-    if (level < room * loggedShare) return;
+    if (level < room * minLoggedShare) return;
     const viewAge = this.options.getViewAge();
     this.options.logger.debug("quota.taken", {
       request,
--- a/packages/gateway/src/recentPlacements.ts
+++ b/packages/gateway/src/recentPlacements.ts
@@ -5,7 +5,7 @@
 import type { EndpointWork } from "./endpointWork.js";
 import type { PlacementEntry } from "./memberMessages.js";
 
-interface Numbered {
+interface NumberedPlacement {
   readonly number: number;
   readonly entry: PlacementEntry;
 }
@@ -14,8 +14,8 @@
 export class RecentPlacements {
   /** Life of the reader whose view is gone by; numbers of others mean nothing beside it. */
   private reader: string | undefined;
-  private viewedNumber = 0;
-  private placements: readonly Numbered[] = [];
+  private lastViewedNumber = 0;
+  private placements: readonly NumberedPlacement[] = [];
 
   private constructor() {}
 
@@ -28,14 +28,14 @@
     const isSame = reader === this.reader;
     this.placements = isSame ? this.placements.filter((placement) => placement.number > number) : [];
     this.reader = reader;
-    this.viewedNumber = number;
+    this.lastViewedNumber = number;
   }
 
   /** Takes what a reader hands on; returns whether anything is new beside the view. */
   takeRelayed(reader: string, first: number, entries: readonly PlacementEntry[]): boolean {
     if (reader !== this.reader) return false;
     const numbered = entries.map((entry, index) => ({ number: first + index, entry }));
-    const fresh = numbered.filter(({ number }) => number > this.viewedNumber);
+    const fresh = numbered.filter(({ number }) => number > this.lastViewedNumber);
     this.placements = [...this.placements, ...fresh];
     return fresh.length > 0;
   }
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -20,20 +20,20 @@
 export interface RequestServerOptions {
   readonly parts: GatewayParts;
   /** Milliseconds after it began to leave for which an instance serves. */
-  readonly servedMs: number;
+  readonly serveWhileLeavingMs: number;
   /** Monotonic time at which the instance began to leave; undefined while it does not. */
   readonly getLeavingSince: () => number | undefined;
 }
 
-const leavingRetryMs = 200;
-const startingCheckMs = 10;
+const leavingRetryAfterMs = 200;
+const startPollMs = 10;
 /** Requests that may last longer than this are refused once the instance leaves. */
-const shortRequestMs = 2_500;
+const shortRequestMaxMs = 2_500;
 
 /** Serves requests. */
 export class RequestServer {
-  private readonly exchangeParts: ActiveRequestParts;
-  private readonly exchanges = new Set<ActiveRequest>();
+  private readonly activeRequestParts: ActiveRequestParts;
+  private readonly activeRequests = new Set<ActiveRequest>();
   private openCount = 0;
   private isStopped = false;
   private readonly startedAt: number;
@@ -41,7 +41,7 @@
   private constructor(private readonly options: RequestServerOptions) {
     const { parts, getLeavingSince } = options;
     this.startedAt = parts.clock.getTime();
-    this.exchangeParts = { ...parts, isLeaving: () => getLeavingSince() !== undefined };
+    this.activeRequestParts = { ...parts, isLeaving: () => getLeavingSince() !== undefined };
   }
 
   static create(options: RequestServerOptions): RequestServer {
@@ -60,7 +60,7 @@
 
   /** Ends all requests that are under way now. */
   giveUpAll(): void {
-    for (const exchange of this.exchanges) exchange.giveUp();
+    for (const exchange of this.activeRequests) exchange.giveUp();
   }
 
   /** Serves one request to its final answer. */
@@ -85,17 +85,17 @@
     arrivedAt: number,
   ): Promise<Failure | undefined> {
     if (this.isStopped) return createLeavingRefusal();
-    if (this.isStarting) await this.awaitStart(message);
+    if (this.isStarting) await this.waitForStart(message);
     const admitted = this.options.parts.admission.admit(message.headers.host ?? "", message.url ?? "/", head);
     if (admitted.isErr()) return admitted.error;
     const { route, table } = admitted.value;
-    if (this.isTooLateFor(admitted.value)) return createLeavingRefusal();
+    if (this.mayOutlastLeaving(admitted.value)) return createLeavingRefusal();
     const body = await readRequestBody(message, table.configuration.limits.maxBodyBytes);
     if (body.isErr()) return body.error;
     // The body may have come late.
     if (this.isStopped) return createLeavingRefusal();
     const service = table.findService(pickWeightedTarget(route.targets, Math.random()));
-    if (!service) return Failure.create(FailureCode.NoEndpoint, { service: route.name }, leavingRetryMs);
+    if (!service) return Failure.create(FailureCode.NoEndpoint, { service: route.name }, leavingRetryAfterMs);
     const charge = await this.charge(admitted.value, head, response, arrivedAt);
     if (charge.isErr()) return charge.error;
     const request = {
@@ -108,12 +108,12 @@
       arrivedAt,
       charge: charge.value,
     };
-    const exchange = ActiveRequest.create(this.exchangeParts, request);
-    this.exchanges.add(exchange);
+    const exchange = ActiveRequest.create(this.activeRequestParts, request);
+    this.activeRequests.add(exchange);
     const end = await exchange.run();
-    this.exchanges.delete(exchange);
+    this.activeRequests.delete(exchange);
     if (charge.value) this.options.parts.charges.settle(charge.value, end.runs);
-    this.finish(admitted.value, head, service, end, arrivedAt);
+    this.recordOutcome(admitted.value, head, service, end, arrivedAt);
     return undefined;
   }
 
@@ -125,8 +125,8 @@
     return clock.getTime() - this.startedAt < settings.listen.start_hold;
   }
 
-  private async awaitStart(message: IncomingMessage): Promise<void> {
-    while (this.isStarting && !message.destroyed) await waitFor(this.options.parts.clock, startingCheckMs);
+  private async waitForStart(message: IncomingMessage): Promise<void> {
+    while (this.isStarting && !message.destroyed) await waitFor(this.options.parts.clock, startPollMs);
   }
 
   /** Charges a request; fails with `QuotaSpent`, or where it can't be served any more when the answer comes. */
@@ -147,7 +147,7 @@
     return Err(this.isStopped ? createLeavingRefusal() : Failure.create(FailureCode.CallerGone));
   }
 
-  private finish(
+  private recordOutcome(
     { workspace, route }: AdmittedRequest,
     head: CallerRequestHead,
     service: Service,
@@ -178,12 +178,12 @@
   }
 
   /** Whether a request could outlast the time that a leaving instance has. */
-  private isTooLateFor({ route }: AdmittedRequest): boolean {
-    const { parts, servedMs, getLeavingSince } = this.options;
+  private mayOutlastLeaving({ route }: AdmittedRequest): boolean {
+    const { parts, serveWhileLeavingMs: servedMs, getLeavingSince } = this.options;
     const leavingSince = getLeavingSince();
     if (leavingSince === undefined) return false;
     const elapsed = parts.clock.getTime() - leavingSince;
-    if (elapsed < shortRequestMs) return false;
+    if (elapsed < shortRequestMaxMs) return false;
     const left = servedMs - elapsed;
     return route.kind === RouteKind.Stream || route.timeoutMs > left;
   }
@@ -214,5 +214,5 @@
 }
 
 function createLeavingRefusal(): Failure {
-  return Failure.create(FailureCode.Leaving, {}, leavingRetryMs);
+  return Failure.create(FailureCode.Leaving, {}, leavingRetryAfterMs);
 }
--- a/packages/gateway/src/retryBudget.ts
+++ b/packages/gateway/src/retryBudget.ts
@@ -29,13 +29,13 @@
 }
 
 /** Share of the budget that is given out; of the rest, a part is taken untold, and a part covers a change of arbiter. */
-const usedShare = 0.7;
-const untoldShare = 0.15;
+const grantedShare = 0.7;
+const unreportedShare = 0.15;
 /** Share of the budget up to which repeats are taken while the arbiter does not answer. */
-const unansweredShare = 0.2;
+const fallbackShare = 0.2;
 /** Of the time that a request has left, an arbiter is waited for this share at most, and no longer than `longestWaitMs`. */
-const waitedShare = 0.1;
-const longestWaitMs = 100;
+const arbiterWaitShare = 0.1;
+const maxArbiterWaitMs = 100;
 
 /** Gives repeats out. */
 export class RetryBudget {
@@ -52,7 +52,7 @@
 
   /** Takes one repeat by what is known here; false where the budget is spent. */
   tryTake(service: string): boolean {
-    if (!this.hasRoom(service, 1)) return false;
+    if (!this.hasCapacity(service, 1)) return false;
     this.options.counters.add(CounterKind.Retries, service, 1);
     return true;
   }
@@ -64,19 +64,20 @@
   async take(service: string, leftMs: number): Promise<boolean> {
     const { arbiters, supportsRetryCalls: isAble, own, counters } = this.options;
     const arbiter = arbiters?.find(service, isAble);
-    const isUntold = counters.getUnreported(CounterKind.Retries, service) + 1 <= this.getUntoldPart(service);
-    if (!arbiters || arbiter === undefined || arbiter === own || isUntold) return this.tryTake(service);
-    if (!this.hasRoom(service, 1)) return false;
+    const fitsUnreported =
+      counters.getUnreported(CounterKind.Retries, service) + 1 <= this.getUnreportedAllowance(service);
+    if (!arbiters || arbiter === undefined || arbiter === own || fitsUnreported) return this.tryTake(service);
+    if (!this.hasCapacity(service, 1)) return false;
     counters.add(CounterKind.Retries, service, 1);
     const total = counters.getOwnTotal(CounterKind.Retries, service);
     const question = createRetryCall({ service, total, uptime: Math.round(counters.getUptime()) }, isAble);
-    const answer = await arbiters.call(question, Math.min(longestWaitMs, leftMs * waitedShare));
-    if (answer.isOk() && answer.value.word === GrantDecision.Granted) {
+    const reply = await arbiters.call(question, Math.min(maxArbiterWaitMs, leftMs * arbiterWaitShare));
+    if (reply.isOk() && reply.value.word === GrantDecision.Granted) {
       counters.confirm(CounterKind.Retries, service, total);
       return true;
     }
     // Without a clear answer others may have taken the rest: only while little of the budget is taken it is enough.
-    if (answer.isErr() && this.hasRoom(service, 0, unansweredShare)) return true;
+    if (reply.isErr() && this.hasCapacity(service, 0, fallbackShare)) return true;
     counters.add(CounterKind.Retries, service, -1);
     return false;
   }
@@ -86,22 +87,22 @@
     const early = { peer: peer.name, life: getIncarnationKey(peer), uptime, name: service, total };
     const { counters } = this.options;
     return {
-      word: counters.applyTotal(CounterKind.Retries, early, (amount) => this.hasRoom(service, amount)),
+      word: counters.applyTotal(CounterKind.Retries, early, (amount) => this.hasCapacity(service, amount)),
     };
   }
 
-  private hasRoom(service: string, amount: number, share = usedShare): boolean {
+  private hasCapacity(service: string, amount: number, share = grantedShare): boolean {
     const { counters, getKnownShare } = this.options;
-    const allowed = this.getBorne(service) * share * getKnownShare();
+    const allowed = this.getTolerated(service) * share * getKnownShare();
     return counters.getSum(CounterKind.Retries, service) + amount <= allowed;
   }
 
   /** Repeats that this instance may have taken without anybody having been told. */
-  private getUntoldPart(service: string): number {
-    return (this.getBorne(service) * untoldShare) / (this.options.getFleetSize?.() ?? 1);
+  private getUnreportedAllowance(service: string): number {
+    return (this.getTolerated(service) * unreportedShare) / (this.options.getFleetSize?.() ?? 1);
   }
 
-  private getBorne(service: string): number {
+  private getTolerated(service: string): number {
     const { counters, ratio, slack } = this.options;
     return ratio * counters.getSum(CounterKind.Requests, service) + slack;
   }
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -24,7 +24,7 @@
   readonly word: GrantDecision;
 }
 
-type AskMessage = PeerMessage & RetryCallArguments;
+type RetryCall = PeerMessage & RetryCallArguments;
 
 /** Answers questions about repeats. */
 export class RetryLinks {
@@ -32,7 +32,7 @@
     private readonly fleet: FleetTopology,
     private readonly decide: (peer: PeerIdentity, ask: RetryCallArguments) => RetryReply,
   ) {
-    fleet.links.setHandler(retryCallKind, (message, peer) => this.answer(message as AskMessage, peer));
+    fleet.links.setHandler(retryCallKind, (message, peer) => this.answer(message as RetryCall, peer));
   }
 
   static create(
@@ -43,7 +43,7 @@
   }
 
   /** One that does not hear the whole fleet knows too little to decide. */
-  private answer({ service, total, uptime }: AskMessage, peer: PeerIdentity): RetryReply {
+  private answer({ service, total, uptime }: RetryCall, peer: PeerIdentity): RetryReply {
     const isGood = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
     if (!this.fleet.isCollector || !isGood) return { word: GrantDecision.Unknown };
     return this.decide(peer, { service, total, uptime });
--- a/packages/gateway/src/usageCounts.ts
+++ b/packages/gateway/src/usageCounts.ts
@@ -47,10 +47,10 @@
   }
 
   /** Takes what one life of a peer tells of itself; counts only grow. */
-  mergePeerCounts(life: string, told: WindowCounts): void {
+  mergePeerCounts(life: string, reported: WindowCounts): void {
     const instance = this.peers.get(life) ?? new InstanceCounts();
     this.peers.set(life, instance);
-    for (const [window, counts] of Object.entries(told)) {
+    for (const [window, counts] of Object.entries(reported)) {
       const known = instance.windows.get(Number(window));
       instance.windows.set(Number(window), known ? mergeCounts(known, counts) : counts);
       forgetOld(instance, Number(window));
@@ -59,13 +59,13 @@
 
   /** Returns the counts of the latest windows by life, this instance's under the name it is given. */
   getIncarnations(ownLife: string, newest: number, count: number): Record<string, WindowCounts> {
-    const lives: Record<string, WindowCounts> = {};
+    const incarnations: Record<string, WindowCounts> = {};
     for (const [life, instance] of [[ownLife, this.own] as const, ...this.peers]) {
       const windows: WindowCounts = {};
       for (const [window, counts] of instance.windows) if (window > newest - count) windows[window] = counts;
-      if (Object.keys(windows).length > 0) lives[life] = windows;
+      if (Object.keys(windows).length > 0) incarnations[life] = windows;
     }
-    return lives;
+    return incarnations;
   }
 
   /** Returns a window's counts over all instances. */
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -13,7 +13,7 @@
 /** Runs by workspace. */
 const countsSchema = v.record(v.string(), v.number());
 /** Runs by life of an instance, window and workspace. */
-const draftSchema = v.record(v.string(), v.record(v.string(), countsSchema));
+const checkpointSchema = v.record(v.string(), v.record(v.string(), countsSchema));
 
 /** Options of the reporter. */
 export interface UsageReporterOptions {
@@ -41,26 +41,26 @@
 }
 
 /** Time after a window's end at which the last counts of other instances have come. */
-const settleMs = 1_200;
+const settleDelayMs = 1_200;
 /** Windows that are looked back to. */
-const keptWindows = 6;
-const draftIntervalMs = 600;
+const lookbackWindows = 6;
+const checkpointIntervalMs = 600;
 /** Windows that a draft holds: the open one and those that may not be fixed yet. */
-const draftWindows = 3;
+const checkpointWindows = 3;
 /** Windows after which a fixed one is removed from the store. */
-const removedAfter = 12;
+const retainedWindows = 12;
 
 /** Reports windows that have ended. */
 export class UsageReporter {
-  private readonly done = new Set<number>();
+  private readonly reportedWindows = new Set<number>();
   private firstWindow: number;
   /** Time of day at which this life began. */
-  private readonly bornAt: number;
-  private draftAt = -Infinity;
+  private readonly startedAt: number;
+  private checkpointAt = -Infinity;
 
   private constructor(private readonly options: UsageReporterOptions) {
-    this.bornAt = options.getTimeOfDay();
-    this.firstWindow = this.getWindow(this.bornAt);
+    this.startedAt = options.getTimeOfDay();
+    this.firstWindow = this.getWindow(this.startedAt);
   }
 
   static create(options: UsageReporterOptions): UsageReporter {
@@ -74,57 +74,58 @@
 
   /** Takes the draft of whoever held the duties before; called once by a new holder, before it reports. */
   async restoreCheckpoint(): Promise<void> {
-    const { store, checkpointKey: draftKey, usage, life: ownLife, logger } = this.options;
-    const draft = await store.read(draftKey);
-    const item = draft.isOk() ? draft.value.item : undefined;
+    const { store, checkpointKey, usage, life: ownLife, logger } = this.options;
+    const reading = await store.read(checkpointKey);
+    const item = reading.isOk() ? reading.value.item : undefined;
     if (!item) return;
-    const lives = decodeItem(draftSchema, item.value);
-    if (!lives) {
+    const incarnations = decodeItem(checkpointSchema, item.value);
+    if (!incarnations) {
       logger.warn("usage.draft-refused", { revision: item.revision });
       return;
     }
-    for (const [life, windows] of Object.entries(lives)) {
+    for (const [life, windows] of Object.entries(incarnations)) {
       if (life !== ownLife) usage.mergePeerCounts(life, windows);
       for (const window of Object.keys(windows)) {
         this.firstWindow = Math.min(this.firstWindow, Number(window));
       }
     }
-    logger.info("usage.draft-taken", { lives: Object.keys(lives).length, revision: item.revision });
+    logger.info("usage.draft-taken", { lives: Object.keys(incarnations).length, revision: item.revision });
   }
 
   /** Writes the draft from time to time. */
   async saveCheckpoint(): Promise<void> {
-    const { store, checkpointKey: draftKey, usage, life, clock, getTimeOfDay } = this.options;
-    if (clock.getTime() - this.draftAt < draftIntervalMs) return;
-    this.draftAt = clock.getTime();
-    const lives = usage.getIncarnations(life, this.getWindow(getTimeOfDay()), draftWindows);
-    const value = Buffer.from(JSON.stringify(lives));
-    await store.transact({ expected: [], put: [{ key: draftKey, value }], remove: [] });
+    const { store, checkpointKey, usage, life, clock, getTimeOfDay } = this.options;
+    if (clock.getTime() - this.checkpointAt < checkpointIntervalMs) return;
+    this.checkpointAt = clock.getTime();
+    const incarnations = usage.getIncarnations(life, this.getWindow(getTimeOfDay()), checkpointWindows);
+    const value = Buffer.from(JSON.stringify(incarnations));
+    await store.transact({ expected: [], put: [{ key: checkpointKey, value }], remove: [] });
   }
 
   /** Reports what is due; `getSender` is asked right before each call and ends the step where it has no right. */
   async step(getSender: () => OrderSender | undefined): Promise<void> {
-    const newest = this.getWindow(this.options.getTimeOfDay() - settleMs) - 1;
-    for (const window of this.done) if (window < newest - removedAfter) this.done.delete(window);
-    for (let window = newest - keptWindows; window <= newest; window++) {
-      if (this.done.has(window) || !this.isKnown(window)) continue;
+    const newest = this.getWindow(this.options.getTimeOfDay() - settleDelayMs) - 1;
+    for (const window of this.reportedWindows)
+      if (window < newest - retainedWindows) this.reportedWindows.delete(window);
+    for (let window = newest - lookbackWindows; window <= newest; window++) {
+      if (this.reportedWindows.has(window) || !this.isReportable(window)) continue;
       const isReported = await this.report(window, getSender);
       if (!isReported) return;
-      this.done.add(window);
+      this.reportedWindows.add(window);
     }
   }
 
   /** Windows from before this life are only repeated where they were fixed; their counts here may lack some. */
-  private isKnown(window: number): boolean {
-    const { getItem, committed: fixed } = this.options;
-    const isFixed = fixed.find(window) !== undefined || getItem(this.getKey(window)) !== undefined;
-    return isFixed || (window >= this.firstWindow - 1 && !this.mayBeLost(window));
+  private isReportable(window: number): boolean {
+    const { getItem, committed } = this.options;
+    const isCommitted = committed.find(window) !== undefined || getItem(this.getKey(window)) !== undefined;
+    return isCommitted || (window >= this.firstWindow - 1 && !this.mayBeLost(window));
   }
 
   /** Whether a window may have been fixed, reported and lost before this life could hear of it. */
   private mayBeLost(window: number): boolean {
     const endsAt = (window + 1) * this.options.windowMs;
-    return endsAt <= this.bornAt && endsAt <= this.options.getDurableSince();
+    return endsAt <= this.startedAt && endsAt <= this.options.getDurableSince();
   }
 
   private getKey(window: number): string {
@@ -132,7 +133,7 @@
   }
 
   private async report(window: number, getSender: () => OrderSender | undefined): Promise<boolean> {
-    const counts = await this.fix(window, getSender);
+    const counts = await this.commit(window, getSender);
     const sender = getSender();
     if (!counts || !sender) return false;
     const sent = await this.options.orders.reportUsage({ window, counts }, sender);
@@ -146,24 +147,24 @@
   }
 
   /** Returns the window's fixed counts, fixing them where nobody has. */
-  private async fix(
+  private async commit(
     window: number,
     getSender: () => OrderSender | undefined,
   ): Promise<WorkspaceCounts | undefined> {
-    const { store, getItem, usage, committed: fixed } = this.options;
+    const { store, getItem, usage, committed } = this.options;
     const key = this.getKey(window);
-    const remembered = fixed.find(window);
+    const remembered = committed.find(window);
     const known = getItem(key);
     // The store may have lost what was fixed first, and reported, and hold what was fixed after it.
     if (known) return remembered ?? decodeItem(countsSchema, known.value);
     if (!getSender()) return undefined;
     const counts = remembered ?? usage.getTotal(window);
     const put = [{ key, value: Buffer.from(JSON.stringify(counts)) }];
-    const outdated = this.getKey(window - removedAfter);
+    const outdated = this.getKey(window - retainedWindows);
     const remove = getItem(outdated) ? [outdated] : [];
     const written = await store.transact({ expected: [{ key, revision: 0 }], put, remove });
     if (written.isOk()) {
-      fixed.note(window, counts);
+      committed.note(window, counts);
       return counts;
     }
     // A lost answer is settled by reading; where the store does not answer, the next step tries again.
@@ -171,7 +172,7 @@
     const reading = await store.read(key);
     const item = reading.isOk() ? reading.value.item : undefined;
     const read = item && decodeItem(countsSchema, item.value);
-    if (read) fixed.note(window, read);
+    if (read) committed.note(window, read);
     return remembered ?? read;
   }
 }
