--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -122,18 +122,18 @@
     // Instances that may be serving unheard keep their parts, so that the parts of all add up to the limit.
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
-    const capacity = this.getCapacity(workspace, share, use);
-    const needed = this.getRequired(workspace, cost, capacity);
-    return this.takeIfAvailable({ workspace, cost, needed, level, capacity, share });
+    const bound = this.getCapacity(workspace, share, use);
+    const needed = this.getRequired(workspace, cost, bound);
+    return this.takeIfAvailable({ workspace, cost, needed, level, bound, share });
   }
 
   /** Takes units while the arbiter of the limit does not answer: only where little of the limit is taken. */
   takeWithoutArbiter(workspace: Workspace, cost: number): Result<void, Failure> {
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
-    const capacity = this.getCapacity(workspace, share, QuotaUse.First) * fallbackShare;
-    const needed = this.getRequired(workspace, cost, capacity);
-    return this.takeIfAvailable({ workspace, cost, needed, level, capacity, share });
+    const bound = this.getCapacity(workspace, share, QuotaUse.First) * fallbackShare;
+    const needed = this.getRequired(workspace, cost, bound);
+    return this.takeIfAvailable({ workspace, cost, needed, level, bound, share });
   }
 
   /** Returns the refusal of what the limit has no room for, as known here; undefined where there may be room. */
@@ -150,8 +150,8 @@
   private createCheck(workspace: Workspace, cost: number, use: QuotaUse): QuotaCheck {
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getKnownSum(CounterKind.Quota, workspace.name);
-    const capacity = this.getCapacity(workspace, share, use);
-    return { workspace, cost, needed: this.getRequired(workspace, cost, capacity), level, capacity, share };
+    const bound = this.getCapacity(workspace, share, use);
+    return { workspace, cost, needed: this.getRequired(workspace, cost, bound), level, bound, share };
   }
 
   /**
@@ -184,14 +184,12 @@
     const workspace = follower.getTable()?.findWorkspaceByName(name);
     if (!workspace) return { word: GrantDecision.Unknown, level: 0 };
     const share = this.prepareLimit(workspace);
-    const capacity = this.getCapacity(workspace, share, use) - this.getTakeoverMargin(workspace);
+    const bound = this.getCapacity(workspace, share, use) - this.getTakeoverMargin(workspace);
     const peerTotal = { peer: peer.name, life: getIncarnationKey(peer), uptime, name, total };
     const decision = counters.applyTotal(CounterKind.Quota, peerTotal, (cost) => {
       const level = counters.getSum(CounterKind.Quota, name);
-      const needed = this.getRequired(workspace, cost, capacity);
-      return (
-        workspace.ratePerSecond <= 0 || getExcess({ workspace, cost, needed, level, capacity, share }) <= 0
-      );
+      const needed = this.getRequired(workspace, cost, bound);
+      return workspace.ratePerSecond <= 0 || getExcess({ workspace, cost, needed, level, bound, share }) <= 0;
     });
     return { word: decision, level: Math.round(counters.getKnownSum(CounterKind.Quota, name)) };
   }
@@ -200,12 +198,12 @@
    * Room that must be left for a request: that of the workspace's largest one of late. By its own size alone, hardly any long
    * request would be let in beside short ones while the limit is spent.
    */
-  private getRequired({ name }: Workspace, cost: number, capacity: number): number {
+  private getRequired({ name }: Workspace, cost: number, bound: number): number {
     const time = this.options.clock.getTime();
     const known = this.largest.get(name);
     const isLargest = !known || cost >= known.units || time - known.at > largestRequestTtlMs;
     if (isLargest) this.largest.set(name, { units: cost, at: time });
-    return Math.max(cost, Math.min(isLargest ? cost : known.units, capacity * maxLargestShare));
+    return Math.max(cost, Math.min(isLargest ? cost : known.units, bound * maxLargestShare));
   }
 
   /**
@@ -229,7 +227,7 @@
   }
 
   private createQuotaFailure(taking: QuotaCheck): Failure {
-    const { workspace, level, capacity, share } = taking;
+    const { workspace, level, bound, share } = taking;
     const wait = this.options.counters.getTimeUntilFreed(
       CounterKind.Quota,
       workspace.name,
@@ -239,7 +237,7 @@
       workspace: workspace.name,
       limit: workspace.ratePerSecond,
       level: Math.round(level),
-      room: Math.round(capacity),
+      room: Math.round(bound),
       share: Math.round(share * percent),
     };
     // Others wait for the same room: coming back a little later spares being refused again.
@@ -328,7 +326,7 @@
   /** Room that must be left for it. */
   readonly needed: number;
   readonly level: number;
-  readonly capacity: number;
+  readonly bound: number;
   readonly share: number;
 }
 
@@ -336,7 +334,7 @@
  * Units by which a request exceeds the room. One larger than the room is let in when nothing else is, but not by instances
  * that are cut off: each of them knows only its own level.
  */
-function getExcess({ needed, level, capacity, share }: QuotaCheck): number {
+function getExcess({ needed, level, bound, share }: QuotaCheck): number {
   const isAlone = level === 0 && share >= minShareForOversized;
-  return isAlone ? 0 : level + needed - capacity;
+  return isAlone ? 0 : level + needed - bound;
 }
