--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -1,8 +1,9 @@
 /**
- * The life of one request from its admission to its final answer: placements, attempts, the answer's way back.
+ * Serves one admitted request until its final response: chooses endpoints, sends attempts, retries, and forwards the
+ * endpoint's response to the caller.
  *
- * The caller has a final answer the moment the request is given up, and at its route's time at the latest. Only what
- * certainly did not run is refused with a status that promises so.
+ * The caller gets a final response as soon as the request is given up, and no later than the route's timeout. A status
+ * that promises that the request did not run is only sent if it certainly did not run.
  * @module
  */
 import type { IncomingMessage } from "node:http";
@@ -30,7 +31,7 @@
   type Service,
 } from "./types.js";
 
-/** What a finished attempt means for the request. */
+/** What to do with the request after an attempt. */
 enum NextStep {
   Done = 1,
   Retry = 2,
@@ -38,34 +39,38 @@
 }
 
 const minServerErrorStatus = 500;
+/** An attempt is not started if less time than this is left. */
 const minAttemptMs = 5;
-/** Reading that would make another request late if it came behind unknown: a tenth of the shortest usual objective. */
+/**
+ * Prefill time from which a placement is announced to peers at once: a request that another instance unknowingly queues
+ * behind it would miss its latency objective. A tenth of the shortest usual objective.
+ */
 const minAnnouncedReadMs = 25;
 const retryAfterMs = 300;
-/** Endpoints ended 40 to 120 ms after they began to run the request under which they did. */
+/** A trial ends once the request has streamed for this long: observed crashes came 40 to 120 ms after the run's start. */
 const trialSurvivalMs = 200;
-/** Refused permits after which a request goes only where none is needed. */
+/** Refused permits after which a request is only sent to endpoints that need none. */
 const maxPermitRefusals = 3;
-/** Added to the rank of a repeat: permits go to first tries before. */
+/** Added to the rank of a retry, so that first attempts get permits before retries. */
 const retryRankOffset = 1_000;
 const maxUrgency = 9;
 const urgencyPerWorkspaceRank = 3;
 
-/** Serves one request. */
+/** A request that has been admitted and has no final response yet. */
 export class ActiveRequest implements InFlightRequest {
   private attempt: Attempt | undefined;
-  /** Whether the attempt has neither an answer's head nor failed. */
+  /** Whether the current attempt has neither received a response head nor failed. */
   private isAttemptPending = false;
   private relay: StreamRelay | undefined;
   private readonly excluded = new Set<string>();
   private readonly history = AttemptHistory.create();
   private placement: Placement | undefined;
-  /** Where it runs apart from others under which endpoints ended. */
+  /** Endpoint that is reserved for this request because it is suspected of crashing endpoints. */
   private trial: Trial | undefined;
   private cachedSubject: CrashSubject | undefined;
   private firstEventMs: number | undefined;
   private permitRefusals = 0;
-  /** Repeats that the budget has given. */
+  /** Retries that the retry budget has granted. */
   private grantedRetries = 0;
   private isUsageCounted = false;
   private isOver = false;
@@ -85,7 +90,7 @@
     return new ActiveRequest(parts, request);
   }
 
-  /** Runs to the final answer. Never rejects. */
+  /** Resolves with the outcome once the final response is sent or the caller is gone. Never rejects. */
   async run(): Promise<RequestOutcome> {
     const { response } = this.request;
     const handleClose = (): void => this.handleCallerGone();
@@ -117,7 +122,7 @@
     return kind === RouteKind.Safe || (kind === RouteKind.Stream && isResumable);
   }
 
-  /** Tells the same request again, whatever its id and instance. */
+  /** Identifies the same request again, whatever its id and the instance that serves it. */
   get subject(): CrashSubject {
     this.cachedSubject ??= this.createSubject();
     return this.cachedSubject;
@@ -164,7 +169,7 @@
     return NextStep.Fail;
   }
 
-  /** Chooses an endpoint; an isolated request has one apart from the others of its kind. */
+  /** Chooses an endpoint; a suspect request gets one where no other suspect runs. */
   private async choose(): Promise<Result<Placement, Failure>> {
     const { suspects, placer } = this.parts;
     const { service, head } = this.request;
@@ -190,14 +195,14 @@
     return placement ? Ok(placement) : Err(createRefusal(FailureCode.NoEndpoint, service));
   }
 
-  /** Sends it where no permit is needed or one is to be had; else it is placed anew. */
+  /** Sends the request if the endpoint needs no permit or grants one; otherwise the request is placed again. */
   private async sendWithPermit(placement: Placement): Promise<NextStep> {
     const { permits, clock } = this.parts;
     const { endpoint } = placement;
     if (permits.isUnlimited(endpoint)) return this.sendTo(placement);
     const wanted = { id: this.request.head.id, rank: this.permitRank, leftMs: this.getTimeLeft() };
     const isGranted = await permits.acquire(endpoint, wanted);
-    // The endpoint may have said something else while the permit was asked for.
+    // The endpoint's state may have changed while the permit was requested.
     if (isGranted && endpoint.acceptsPermitted(clock.getTime())) return this.sendTo(placement);
     this.permitRefusals += 1;
     const { limit } = endpoint.availability;
@@ -212,7 +217,7 @@
     return this.failUnplaced(createRefusal(FailureCode.CrashSuspect, this.request.service));
   }
 
-  /** Urgency of the request, 0 first; of a repeat behind all first tries. */
+  /** Urgency of the request, 0 being the most urgent; retries rank behind all first attempts. */
   private get permitRank(): number {
     return this.rank + (this.history.arrivals > 0 ? retryRankOffset : 0);
   }
@@ -246,25 +251,25 @@
     return next;
   }
 
-  /** Whether the next sending is a repeat that the budget has not been asked for. */
+  /** Whether the next attempt is a retry that the retry budget has not granted yet. */
   private get needsRetryGrant(): boolean {
     return this.history.arrivals > this.grantedRetries;
   }
 
-  /** Takes one repeat of the budget that all instances share; false where it is spent. */
+  /** Takes one retry from the budget that all instances share; returns false if the budget is exhausted. */
   private async acquireRetry(): Promise<boolean> {
     const isTaken = await this.parts.budget.take(this.request.service.name, this.getTimeLeft());
     if (isTaken) this.grantedRetries += 1;
     return isTaken;
   }
 
-  /** Whether all runs that were charged may have been. */
+  /** Whether as many runs may have happened as were charged, so that one more must be charged first. */
   private get needsCharge(): boolean {
     const { charge } = this.request;
     return charge !== undefined && this.history.runs >= charge.runs;
   }
 
-  /** Charges one more run; false where the limit is spent. */
+  /** Charges one more run; returns false if the workspace's limit is exhausted. */
   private async chargeRun(): Promise<boolean> {
     const { charge } = this.request;
     return !charge || (await this.parts.charges.takeRetry(charge, this.getTimeLeft())).isOk();
@@ -321,7 +326,7 @@
     return Attempt.create({ ...base, method, target, headers, body, onHead });
   }
 
-  /** Takes what an endpoint says of itself, whatever becomes of the request. */
+  /** Records what an endpoint reports about itself, whatever becomes of the request. */
   private handleResponseHead(
     endpoint: Endpoint,
     { executionStatus: word, load, notice, limit }: ResponseHead,
@@ -331,7 +336,7 @@
     if (load) endpoint.noteLoad(load, clock.getTime());
     if (word === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
     if (notice) directory.handleNotice(endpoint, notice, source);
-    // A refusal or a failure without the word says nothing of its end: the endpoint may be in need all the same.
+    // A refusal or failure without a limit does not mean that the limit has ended: the endpoint may still be overloaded.
     const isServed = word === ExecutionStatus.Ran && source.status < minServerErrorStatus;
     if (limit !== undefined || isServed) limits.handleAnswer(endpoint, limit, source);
   }
@@ -366,8 +371,9 @@
   }
 
   /**
-   * Goes on after a run whose connection was cut. Sent on before it is known that the endpoint has ended, what had run there
-   * would go on together at the next one, beside the request that ends both.
+   * Continues after a run whose connection was interrupted. A retry waits until it is known whether the endpoint has
+   * crashed; otherwise all requests that ran there would move to the next endpoint together, along with the request that
+   * crashes both.
    */
   private async handleInterruption(endpoint: Endpoint): Promise<NextStep> {
     this.history.noteRunFailed(Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.id }));
@@ -381,7 +387,7 @@
     return this.isRetryable && this.history.runs < this.request.admitted.route.attempts && !this.isOver;
   }
 
-  /** Reads a whole answer, then passes it on; a failure of the endpoint's own may be tried elsewhere first. */
+  /** Reads the complete response, then forwards it; after an endpoint's own failure the request may be retried first. */
   private async forwardResponse(
     endpoint: Endpoint,
     response: IncomingMessage,
@@ -449,19 +455,19 @@
     return this.handleInterruption(endpoint);
   }
 
-  /** An endpoint that has answered it whole was not ended by it. */
+  /** Clears the request of suspicion: an endpoint that completed its response was not crashed by it. */
   private clearSuspicion(): void {
     const { suspects } = this.parts;
     if (suspects.hasSuspects(this.workspace)) suspects.clear(this.subject);
   }
 
-  /** An isolated request that has given events for a while lets the next begin: it ends endpoints at once if at all. */
+  /** Ends the trial once events have been streaming for a while: a request that crashes endpoints does so at its start. */
   private scheduleTrialEnd(): void {
     const { trial } = this;
     if (trial) this.parts.clock.startTimer(trialSurvivalMs, () => trial.end());
   }
 
-  /** Only a prompt that is read from its beginning, with none before it, tells how fast an engine reads. */
+  /** Records the engine's prefill rate; only a prompt that is read from the start, with none queued before it, shows it. */
   private recordPrefillRate({ uncachedTokens, tokensAhead }: Placement, elapsedMs: number): void {
     const { service, head } = this.request;
     const isResumed = head.lastEventId !== undefined || this.history.runs > 1;
@@ -484,13 +490,13 @@
     return failure.withRetryAfter(Math.max(failure.retryAfterMs, openingMs));
   }
 
-  /** Sendings that may have run, by what came of them or is under way. */
+  /** Attempts that may have run, finished ones and the current one. */
   private get runs(): number {
     const isRunning = this.isAttemptPending && this.attempt?.mayHaveRun === true;
     return this.history.runs + (isRunning ? 1 : 0);
   }
 
-  /** Ends the request now: the route's time is over, or the instance's. */
+  /** Ends the request now, because the route's timeout has passed or the instance stops. */
   giveUp(): void {
     if (this.isOver) return;
     const { route } = this.request.admitted;
@@ -511,7 +517,7 @@
     this.end = this.createOutcome(0, Failure.create(FailureCode.CallerGone));
   }
 
-  /** Gives the final answer; an answer that has begun is cut, so that it does not look complete. */
+  /** Sends the final response; a response that has begun is aborted instead, so that it does not look complete. */
   private respondWithFailure(failure: Failure): void {
     const { response, head } = this.request;
     this.end = this.createOutcome(failure.status, failure);
@@ -539,7 +545,7 @@
   }
 }
 
-/** Milliseconds from a request's arrival to its final answer. */
+/** Returns the milliseconds after its arrival within which a request must have its final response. */
 export function getTimeLimit({ timeoutMs }: Route, { deadlineMs }: CallerRequestHead): number {
   return Math.min(timeoutMs, deadlineMs ?? timeoutMs);
 }
--- a/packages/gateway/src/activeRequestTypes.ts
+++ b/packages/gateway/src/activeRequestTypes.ts
@@ -1,5 +1,5 @@
 /**
- * Shapes of one request's life: what it works with, what it is, and what became of it.
+ * Types of an active request: the components it uses, its input, and its outcome.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -10,7 +10,7 @@
 import type { Placement } from "./placement.js";
 import type { CallerRequestHead, Service } from "./types.js";
 
-/** Parts of an instance that exchanges work with. */
+/** Names of the instance's components that an active request uses. */
 type UsedParts =
   | "platform"
   | "clock"
@@ -31,13 +31,13 @@
   | "announcePlacement"
   | "getTimeOfDay";
 
-/** What exchanges work with. */
+/** Components that an active request uses. */
 export interface ActiveRequestParts extends Pick<GatewayParts, UsedParts> {
-  /** Whether answers should close their connections. */
+  /** Whether the instance is leaving, so that responses should close their connections. */
   readonly isLeaving: () => boolean;
 }
 
-/** One request. */
+/** An admitted request with the streams to read it from and to respond to. */
 export interface ActiveRequestInput {
   readonly admitted: AdmittedRequest;
   readonly service: Service;
@@ -47,20 +47,20 @@
   readonly body: Buffer;
   /** Monotonic time at which the request arrived. */
   readonly arrivedAt: number;
-  /** What it was charged; undefined where it counts towards no limit. */
+  /** Units charged to the workspace's limit; undefined if the request counts towards no limit. */
   readonly charge: RequestCharge | undefined;
 }
 
-/** What became of a request, for logs and counts. */
+/** How a request ended, for logs and metrics. */
 export interface RequestOutcome {
   readonly status: number;
   readonly failure: Failure | undefined;
-  /** Where it was sent to last, and by what; undefined where it was sent nowhere. */
+  /** The last placement, with its reason; undefined if the request was sent nowhere. */
   readonly placement: Placement | undefined;
-  /** Sendings that reached an endpoint. */
+  /** Attempts that reached an endpoint. */
   readonly arrivals: number;
-  /** Sendings that may have run; 0: it certainly did not run. */
+  /** Attempts that may have run; 0 means that the request certainly did not run. */
   readonly runs: number;
-  /** Milliseconds from the request's arrival to its first event; undefined where none came. */
+  /** Milliseconds from the request's arrival to its first event; undefined if none was received. */
   readonly firstEventMs: number | undefined;
 }
--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -1,6 +1,9 @@
 /**
- * Whether a request is taken: a route, a workspace, a proof of the configuration that is young enough, and room in the
- * workspace's limit over the whole fleet.
+ * Decides whether a request is admitted. It needs a route, a workspace, a sufficiently recent proof that the configuration
+ * is current, and free capacity in the workspace's limit over the whole fleet.
+ *
+ * A limit is a leaky bucket. Its level rises with the units that requests take and falls at the limit's rate; its capacity
+ * is the level up to which units may be taken. For each limit one instance, its arbiter, decides for the whole fleet.
  * @module
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
@@ -13,22 +16,22 @@
 import { type CallerRequestHead, QuotaUnit, type Route, type Workspace } from "./types.js";
 import type { RouteTable } from "./routeTable.js";
 
-/** A request that was let in. */
+/** Route, routing table and workspace of an admitted request. */
 export interface AdmittedRequest {
   readonly route: Route;
   readonly table: RouteTable;
-  /** Undefined where the route is public and no key came. */
+  /** Undefined if the route is public and the request has no known key. */
   readonly workspace: Workspace | undefined;
 }
 
-/** What is known of one workspace's limit. */
+/** State of one workspace's limit, as far as this instance knows. */
 export interface QuotaState {
-  /** Units taken, with those that are foreseen. */
+  /** Units taken, with those that the fleet is expected to have taken since the last view. */
   readonly level: number;
-  /** Units taken, without what is foreseen. */
+  /** Units taken, without the expected ones. */
   readonly knownLevel: number;
   readonly capacity: number;
-  /** Share of the fleet whose counts are known. */
+  /** Share of the fleet whose counts are known, 0 to 1. */
   readonly share: number;
 }
 
@@ -37,50 +40,59 @@
   readonly clock: Clock;
   readonly follower: ConfigurationFollower;
   readonly counters: SharedCounters;
-  /** Window that limits are counted over. */
+  /** Length of the window that limits are counted over. */
   readonly quotaWindowMs: number;
-  /** Units beyond a limit that the fleet may have used, once. */
+  /** Units by which the fleet may exceed a limit once. */
   readonly quotaSlack: number;
-  /** Share of a limit that the fleet may have used beyond it; none where it is left out. */
+  /** Share of a limit by which the fleet may exceed it; 0 if omitted. */
   readonly quotaOvershoot?: number;
-  /** Returns the number of instances; one where it is left out. */
+  /** Returns the number of instances; 1 if omitted. */
   readonly getFleetSize?: () => number;
-  /** Whether this life is the system's first: there is no use before it that it could not know of. */
+  /** Whether the system starts for the first time, so that there is no earlier usage that this process can't know of. */
   readonly isFirstStart: boolean;
   /** Returns the share of the fleet whose counts are known. */
   readonly getKnownShare: () => number;
-  /** Returns a number from 0 to 1, to spread those who come back. */
+  /** Returns a number from 0 to 1, to spread the times at which refused callers retry. */
   readonly getRandom: () => number;
 }
 
 const notReadyRetryMs = 500;
-/** Most of the room that a life which does not know what was used before it counts as taken. */
+/** Largest share of the capacity that a new process counts as taken if it does not know the usage before its start. */
 const maxAssumedShare = 0.9;
-/** Of the room, as much is taken where the arbiter does not answer: a workspace in calm goes on, a surge does not. */
+/**
+ * Share of the capacity that may be taken while the arbiter does not reply: a workspace at its base load is served, a surge
+ * is not.
+ */
 const fallbackShare = 0.25;
-/** Time after which all instances have told what another arbiter granted them: one report of a large fleet, and its way. */
+/**
+ * Time after which all instances have reported what another arbiter granted them: one report interval of a large fleet and
+ * the report's transmission.
+ */
 const arbiterTakeoverMs = 300;
-/** An arbiter that was not asked for so long may have had another in its place. */
+/** After this long without a call, another instance may have acted as arbiter in the meantime. */
 const arbiterIdleMs = 1_000;
 const millisecondsPerSecond = 1_000;
-/** Share of the fleet that must be heard for a request larger than the room; two halves could each let one in. */
+/**
+ * Share of the fleet whose counts must be known to admit a request larger than the capacity; otherwise two halves of a
+ * partitioned fleet could each admit one.
+ */
 const minShareForOversized = 0.5;
-/** Share of the room up to which units are taken untold. */
+/** Share of the capacity up to which units are taken without calling the arbiter. */
 const localGrantShare = 0.5;
-/** A request counts as the largest of its workspace for as long. */
+/** Time for which a request counts as the largest of its workspace. */
 const largestRequestTtlMs = 10_000;
-/** Most of the room that is kept for the largest request. */
+/** Largest share of the capacity that is kept free for the largest request. */
 const maxLargestShare = 0.25;
 const minRetryAfterMs = 300;
 const percent = 100;
 
-/** Decides on requests. */
+/** Admits requests and keeps the levels of limits. */
 export class Admission {
-  /** Largest share of the fleet that a limit's level was seeded for, by workspace. */
+  /** Largest known share of the fleet for which prior usage of a limit was assumed, by workspace. */
   private readonly assumedShares = new Map<string, number>();
-  /** Largest request of late, by workspace. */
+  /** Largest recent request, by workspace. */
   private readonly largest = new Map<string, LargestRequest>();
-  /** Since when this instance has been asked about a limit, and when it was last, by workspace. */
+  /** Time in which this instance has been the arbiter of a limit without a pause, by workspace. */
   private readonly arbiterTerms = new Map<string, ArbiterTerm>();
 
   private constructor(private readonly options: AdmissionOptions) {}
@@ -89,7 +101,7 @@
     return new Admission(options);
   }
 
-  /** Finds route and workspace. Fails with `NotReady`, `UnknownRoute` or `Unauthorized`. */
+  /** Finds the route and the workspace. Fails with `NotReady`, `UnknownRoute` or `Unauthorized`. */
   admit(host: string, target: string, head: CallerRequestHead): Result<AdmittedRequest, Failure> {
     const { follower } = this.options;
     const table = follower.getTable();
@@ -97,7 +109,7 @@
     const notReady = Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryMs));
     if (!table) return notReady;
     const route = table.findRoute(host, target);
-    // Without a proof, a newer configuration may hold what this one does not.
+    // Without a recent proof, a newer configuration may hold a route that this one lacks.
     if (!route) return isProven ? Err(Failure.create(FailureCode.UnknownRoute)) : notReady;
     if (route.isPublic || !table.hasWorkspaces) {
       const workspace = head.key === undefined ? undefined : table.findWorkspaceByKey(head.key);
@@ -109,17 +121,17 @@
     return Ok({ route, table, workspace });
   }
 
-  /** Units that a request counts for. */
+  /** Returns the units that a request is charged. */
   getCost(workspace: Workspace, head: CallerRequestHead): number {
     if (workspace.unit === QuotaUnit.Requests) return 1;
     if (head.promptTokens === undefined) return workspace.defaultTokenCost;
     return head.promptTokens + (head.outputTokens ?? 0);
   }
 
-  /** Takes units of a workspace's limit by what is known here; fails with `QuotaSpent`. */
+  /** Takes units of a workspace's limit by the counts that this instance knows; fails with `QuotaSpent`. */
   takeQuota(workspace: Workspace, cost: number, use = QuotaUse.First): Result<void, Failure> {
     if (workspace.ratePerSecond <= 0) return Ok(undefined);
-    // Instances that may be serving unheard keep their parts, so that the parts of all add up to the limit.
+    // Instances whose counts are unknown may be serving, so their shares are left to them: all shares add up to the limit.
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
     const bound = this.getCapacity(workspace, share, use);
@@ -127,7 +139,7 @@
     return this.takeIfAvailable({ workspace, cost, needed, level, bound, share });
   }
 
-  /** Takes units while the arbiter of the limit does not answer: only where little of the limit is taken. */
+  /** Takes units while the limit's arbiter does not reply, which is only allowed while the level is low. */
   takeWithoutArbiter(workspace: Workspace, cost: number): Result<void, Failure> {
     const share = this.prepareLimit(workspace);
     const level = this.options.counters.getSum(CounterKind.Quota, workspace.name);
@@ -136,13 +148,13 @@
     return this.takeIfAvailable({ workspace, cost, needed, level, bound, share });
   }
 
-  /** Returns the refusal of what the limit has no room for, as known here; undefined where there may be room. */
+  /** Returns the refusal if the limit is exhausted as far as is known here; undefined if there may be free capacity. */
   findRefusal(workspace: Workspace, cost: number, use: QuotaUse): Failure | undefined {
     const taking = this.createCheck(workspace, cost, use);
     return getExcess(taking) > 0 ? this.createQuotaFailure(taking) : undefined;
   }
 
-  /** Returns the refusal of what the arbiter of the limit has no room for. */
+  /** Returns the refusal for units that the limit's arbiter did not grant. */
   createRefusal(workspace: Workspace, cost: number, use: QuotaUse): Failure {
     return this.createQuotaFailure(this.createCheck(workspace, cost, use));
   }
@@ -155,14 +167,14 @@
   }
 
   /**
-   * Takes units that nobody is told of before the next report; false where this instance's part of what may be untold is
-   * used. With no bound, all instances would take the same room at the onset of a surge.
+   * Takes units that no peer learns of before the next report; returns false if this instance's part of the allowance for
+   * unreported units is used up. Without that bound, all instances would take the same free capacity when a surge begins.
    */
   tryTakeUnreported(workspace: Workspace, cost: number): boolean {
     const { counters, getFleetSize } = this.options;
     const { unreported } = this.getAllowances(workspace);
     const { knownLevel, capacity } = this.getQuotaState(workspace);
-    // Only short requests fit into the part: beside a spent limit they would take what long ones wait for.
+    // Only short requests fit into the allowance: near an exhausted limit they would take the units that long ones wait for.
     if (knownLevel + cost > capacity * localGrantShare) return false;
     if (
       counters.getUnreported(CounterKind.Quota, workspace.name) + cost >
@@ -178,7 +190,7 @@
     this.options.counters.add(CounterKind.Quota, workspace.name, cost);
   }
 
-  /** Decides as the arbiter of a limit on what a peer has taken in all. */
+  /** Decides as the arbiter of a limit whether a peer may have taken a total of units. */
   decideForPeer(peer: PeerIdentity, { workspace: name, total, uptime, use }: QuotaCall): QuotaReply {
     const { counters, follower } = this.options;
     const workspace = follower.getTable()?.findWorkspaceByName(name);
@@ -195,8 +207,9 @@
   }
 
   /**
-   * Room that must be left for a request: that of the workspace's largest one of late. By its own size alone, hardly any long
-   * request would be let in beside short ones while the limit is spent.
+   * Returns the units that must be free to admit a request: as many as the workspace's largest recent request needs. If only
+   * the request's own units had to be free, hardly any long request would be admitted beside short ones while the limit is
+   * exhausted.
    */
   private getRequired({ name }: Workspace, cost: number, bound: number): number {
     const time = this.options.clock.getTime();
@@ -207,15 +220,15 @@
   }
 
   /**
-   * Units that an arbiter before this one may have granted and that no report has told yet. Without it, arbiters that
-   * end in a row would let more than what is allowed run.
+   * Returns the units that a previous arbiter may have granted and that are not reported yet. Without this margin, several
+   * arbiters that fail one after the other would grant more than the limit allows.
    */
   private getTakeoverMargin({ name, ratePerSecond }: Workspace): number {
     const time = this.options.clock.getTime();
     const term = this.arbiterTerms.get(name);
     const since = term && time - term.calledAt <= arbiterIdleMs ? term.since : time;
     this.arbiterTerms.set(name, { since, calledAt: time });
-    // What a life that knows nothing before it counts as taken holds this too.
+    // The usage that a new process assumes already includes this margin.
     if (!this.options.counters.knowsHistory) return 0;
     return time - since < arbiterTakeoverMs ? (ratePerSecond * arbiterTakeoverMs) / millisecondsPerSecond : 0;
   }
@@ -240,12 +253,12 @@
       room: Math.round(bound),
       share: Math.round(share * percent),
     };
-    // Others wait for the same room: coming back a little later spares being refused again.
+    // Other callers wait for the same units: a random delay makes it less likely that a retry is refused again.
     const retryAfter = minRetryAfterMs + wait * (1 + this.options.getRandom());
     return Failure.create(FailureCode.QuotaSpent, values, retryAfter);
   }
 
-  /** Returns what is known of a workspace's limit now. */
+  /** Returns the current state of a workspace's limit. */
   getQuotaState(workspace: Workspace): QuotaState {
     const { counters, getKnownShare } = this.options;
     const share = getKnownShare();
@@ -257,7 +270,7 @@
     };
   }
 
-  /** Lets the levels of all limits fall as they should, also of those that no request comes for here. */
+  /** Sets the rates at which all levels fall, including those of limits for which this instance gets no requests. */
   updateDrainRates(): void {
     for (const workspace of this.options.follower.getTable()?.configuration.workspaces ?? []) {
       if (workspace.ratePerSecond > 0) this.prepareLimit(workspace);
@@ -275,7 +288,7 @@
     return (workspace.burst + extraBurst + retryCapacity) * share;
   }
 
-  /** Sets how fast a limit's level falls; returns the share of the fleet whose counts are known. */
+  /** Sets the rate at which a limit's level falls; returns the share of the fleet whose counts are known. */
   private prepareLimit(workspace: Workspace): number {
     const share = this.options.getKnownShare();
     this.assumePriorUse(workspace, share);
@@ -283,15 +296,15 @@
     return share;
   }
 
-  /** Gives units back that were charged at a time, of a request that did not run. */
+  /** Refunds units that were charged at the given time for a request that did not run. */
   refundQuota(workspace: Workspace, cost: number, chargedAt: number): void {
     if (workspace.ratePerSecond > 0) this.options.counters.refund(workspace.name, cost, chargedAt);
   }
 
   /**
-   * A life that is not the first cannot know what was used just before it counts most of the room as taken. One that
-   * began with its own part of the room does so again for the whole, or new readers would let many times
-   * the rate run after a restart of the whole fleet.
+   * Counts most of the capacity as taken, because a process that does not belong to the system's first start can't know the
+   * usage just before it. A process that has done so for its own share does it again once it knows more of the fleet;
+   * otherwise new readers would let many times the rate run after a restart of the whole fleet.
    */
   private assumePriorUse(workspace: Workspace, share: number): void {
     const { name } = workspace;
@@ -307,32 +320,33 @@
   }
 }
 
-/** A request that no larger one has followed. */
+/** The largest recent request of a workspace. */
 interface LargestRequest {
   readonly units: number;
   readonly at: number;
 }
 
-/** One span of time in which an instance is the arbiter of a limit. */
+/** Time in which an instance is the arbiter of a limit, from its first to its last call. */
 interface ArbiterTerm {
   readonly since: number;
   readonly calledAt: number;
 }
 
-/** Units that are to be taken of a limit, and what is taken already. */
+/** Units that are to be taken from a limit, compared with its state. */
 interface QuotaCheck {
   readonly workspace: Workspace;
   readonly cost: number;
-  /** Room that must be left for it. */
+  /** Units that must be free. */
   readonly needed: number;
   readonly level: number;
+  /** Level up to which units may be taken. */
   readonly bound: number;
   readonly share: number;
 }
 
 /**
- * Units by which a request exceeds the room. One larger than the room is let in when nothing else is, but not by instances
- * that are cut off: each of them knows only its own level.
+ * Returns the units by which a request exceeds the bound; 0 or less if it fits. A request larger than the bound is admitted
+ * while the level is 0, but not by instances that are cut off from the fleet, because each of them knows only its own level.
  */
 function getExcess({ needed, level, bound, share }: QuotaCheck): number {
   const isAlone = level === 0 && share >= minShareForOversized;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,35 +1,35 @@
 /**
- * One sending of a request to one endpoint, up to the head of its answer.
+ * Sends a request to one endpoint once, up to the head of its response.
  *
- * What may have run is told apart by one fact: whether the connection was up. Before that no byte can have left.
+ * A request may have run if the connection was established. Before that, no byte can have been sent.
  * @module
  */
 import { type ClientRequest, type IncomingMessage, request } from "node:http";
 import type { EndpointPool } from "./endpointConnections.js";
 import { type ResponseHead, ExecutionStatus, type EndpointProtocol } from "./types.js";
 
-/** How a sending ended. */
+/** How an attempt ended. */
 export enum AttemptOutcome {
   /** No byte was sent. */
   NotSent = 1,
-  /** The endpoint says that it did not run the request. */
+  /** The endpoint states that it did not run the request. */
   NotRun = 2,
-  /** Another endpoint has the address; nothing ran. */
+  /** The address now belongs to another endpoint; nothing ran. */
   WrongEndpoint = 3,
-  /** It was sent and no usable answer came: it may have run. */
+  /** The request was sent and no usable response was received: it may have run. */
   Lost = 4,
-  /** An answer's head came. */
+  /** A response head was received. */
   Answered = 5,
 }
 
-/** What came of a sending; `response` is set where it was answered. */
+/** Result of an attempt; `response` is set if the outcome is `Answered`. */
 export interface AttemptResult {
   readonly end: AttemptOutcome;
   readonly detail: string;
   readonly response: IncomingMessage | undefined;
 }
 
-/** What is sent. */
+/** The request to send and where to send it. */
 export interface AttemptOptions {
   readonly pool: EndpointPool;
   readonly protocol: EndpointProtocol;
@@ -40,7 +40,7 @@
   readonly headers: readonly string[];
   readonly body: Buffer;
   readonly connectTimeoutMs: number;
-  /** Called with the head of the answer at once, also where nobody waits for the result any more. */
+  /** Called as soon as the response head is received, even if the attempt has been aborted. */
   readonly onHead: (head: ResponseHead, status: number) => void;
 }
 
@@ -51,9 +51,9 @@
   [ExecutionStatus.Mismatched]: AttemptOutcome.Lost,
 };
 
-/** A sending under way. */
+/** An attempt in progress. */
 export class Attempt {
-  /** Resolves with the answer's head, or when there will be none. Never rejects. */
+  /** Resolves once the response head is received or the attempt has failed. Never rejects. */
   readonly result: Promise<AttemptResult>;
   private readonly sent: ClientRequest;
   private isConnected = false;
@@ -68,12 +68,12 @@
     return new Attempt(options);
   }
 
-  /** Whether bytes may have left. */
+  /** Whether bytes may have been sent. */
   get mayHaveRun(): boolean {
     return this.isConnected;
   }
 
-  /** Gives up: closes the connection, so that the endpoint drops the request. */
+  /** Aborts the attempt by closing the connection, so that the endpoint drops the request. */
   abort(detail: string): void {
     this.sent.destroy(new Error(detail));
   }
@@ -118,13 +118,13 @@
     const head = protocol.readResponseHead(requestId, status, response.headers);
     const end = outcomesByStatus[head.executionStatus];
     onHead(head, status);
-    // Errors of the body are seen by whoever reads it; an event without a listener would end the process.
+    // The reader of the body handles its errors, but an `error` event without a listener would end the process.
     response.on("error", () => undefined);
     if (end === AttemptOutcome.Answered) {
       this.resolveResult({ end, detail: `status ${status}`, response });
       return;
     }
-    if (end === AttemptOutcome.Lost) this.abort("foreign answer");
+    if (end === AttemptOutcome.Lost) this.abort("mismatched response");
     else response.resume();
     this.resolveResult({ end, detail: `status ${status}`, response: undefined });
   }
--- a/packages/gateway/src/attemptHistory.ts
+++ b/packages/gateway/src/attemptHistory.ts
@@ -1,22 +1,22 @@
 /**
- * What the tries of one request came to: how many may have run, and which failure it ends with if none is left.
+ * Results of one request's attempts: how many may have run, and the failure to respond with if no attempt succeeds.
  * @module
  */
 import type { Failure } from "@gladewall/kernel";
 
-/** Tries that did not run, after which a request is refused. */
+/** Attempts that did not run after which a request is refused. */
 const maxNotRunAttempts = 4;
 
-/** Tries of one request. */
+/** Results of the attempts of one request. */
 export class AttemptHistory {
-  /** Sendings that may have run. */
+  /** Attempts that may have run. */
   runs = 0;
-  /** Sendings that reached an endpoint. */
+  /** Attempts that reached an endpoint. */
   arrivals = 0;
   private notRunAttempts = 0;
-  /** Why the last try did not run; undefined before the first that did not. */
+  /** Why the last attempt did not run; undefined if none was refused. */
   private refusal: Failure | undefined;
-  /** What became of the last try that may have run: from then on the request can't be said not to have run. */
+  /** Failure of the last attempt that may have run; once set, no response may claim that the request did not run. */
   private runFailure: Failure | undefined;
 
   private constructor() {}
@@ -25,7 +25,7 @@
     return new AttemptHistory();
   }
 
-  /** Whether no further try is made after those that did not run. */
+  /** Whether too many attempts did not run for another one to be made. */
   get isExhausted(): boolean {
     return this.notRunAttempts >= maxNotRunAttempts;
   }
@@ -42,18 +42,18 @@
     this.runFailure = failure;
   }
 
-  /** Takes note that an endpoint was reached or tried, and did not run the request. */
+  /** Records an attempt that did not run the request. */
   noteNotRun(failure: Failure): void {
     this.refusal = failure;
     this.notRunAttempts += 1;
   }
 
-  /** Takes note that there is no endpoint to try; why an earlier try did not run says more. */
+  /** Records that no endpoint is available; the reason why an earlier attempt did not run takes precedence. */
   noteNoEndpoint(failure: Failure): void {
     this.refusal ??= failure;
   }
 
-  /** The failure that a request ends with which no try has served; undefined where nothing was tried. */
+  /** Returns the failure of a request that no attempt has served; undefined if no attempt was made. */
   findFailure(): Failure | undefined {
     return this.runFailure ?? this.refusal;
   }
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses an endpoint: for model engines by the prompt tokens to be read before the first event, less what its memory
- * holds of the prompt; for others by the share of slots taken.
+ * Chooses an endpoint for a request. Model engines are compared by the prompt tokens to prefill before the first event, less
+ * the part of the prompt that the engine has cached; other endpoints by the share of their slots that is taken.
  * @module
  */
 import { type Clock, hashText, mixHashes } from "@gladewall/kernel";
@@ -9,28 +9,29 @@
 import type { PrefixIndex } from "./prefixIndex.js";
 import type { PromptPart, Service } from "./types.js";
 
-/** A request as placement sees it. */
+/** The properties of a request that placement uses. */
 export interface PlacementRequest {
   readonly service: Service;
   readonly promptTokens: number;
   readonly parts: readonly PromptPart[];
-  /** Lives of endpoints that it was sent to before. */
+  /** Incarnations of endpoints that the request was sent to before. */
   readonly excluded: ReadonlySet<string>;
-  /** Urgency, 0 first; the least where it is left out. */
+  /** Urgency, 0 being the most urgent; the least urgent if omitted. */
   readonly rank?: number;
-  /** Whether it goes only where no permit is needed. */
+  /** Whether only endpoints that need no permit are considered. */
   readonly avoidsLimited?: boolean;
 }
 
-/** A choice and its reason. */
+/** A chosen endpoint and the estimates that the choice is based on. */
 export interface Placement {
   readonly endpoint: Endpoint;
-  /** Prompt tokens that the endpoint is expected to read. */
+  /** Prompt tokens that the endpoint is expected to prefill, as they are not cached. */
   readonly uncachedTokens: number;
-  /** Expected milliseconds until the first event or the answer's start. */
+  /** Expected milliseconds until the first event or the response head. */
   readonly expectedMs: number;
-  /** Prompt tokens known to be waiting there before it. */
+  /** Prompt tokens known to be queued at the endpoint before this request. */
   readonly tokensAhead: number;
+  /** Number of endpoints that were compared. */
   readonly candidates: number;
 }
 
@@ -38,23 +39,23 @@
 export interface PlacementOptions {
   readonly clock: Clock;
   readonly memory: PrefixIndex;
-  /** Returns the prompt tokens that a service's engine reads in a millisecond. */
+  /** Returns the prompt tokens that a service's engine prefills in a millisecond. */
   readonly getReadingRate: (service: string) => number;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
   readonly getPeerWork: (endpoint: string) => PeerWork;
-  /** Returns a number from 0 to 1, to spread equal choices. */
+  /** Returns a number from 0 to 1, to break ties between endpoints. */
   readonly getRandom: () => number;
 }
 
-/** Milliseconds that a whole share of failures adds to the expected time. */
+/** Milliseconds added to the expected time of an endpoint that fails all requests; in proportion for fewer failures. */
 const failurePenaltyMs = 3_000;
-/** Milliseconds that a vanished record adds. */
+/** Milliseconds added for an endpoint whose record has vanished from the store. */
 const unlistedPenaltyMs = 200;
-/** Milliseconds that one more running request adds at an engine. */
+/** Milliseconds that each running request adds at an engine. */
 const runningCostMs = 1.5;
-/** Milliseconds by which choices that are as good as equal are spread. */
+/** Largest random addition in milliseconds; it spreads requests over endpoints that are nearly equal. */
 const tieBreakMs = 4;
-/** Milliseconds that work is taken to last where no answer has been seen. */
+/** Assumed latency in milliseconds of an endpoint that has not responded yet. */
 const unknownLatencyMs = 50;
 
 /** Chooses endpoints. */
@@ -69,7 +70,7 @@
     return new Placer(options);
   }
 
-  /** Chooses the endpoint with the least expected time; undefined where none takes work. */
+  /** Returns the endpoint with the lowest expected time; undefined if none accepts requests. */
   choose(request: PlacementRequest): Placement | undefined {
     const time = this.options.clock.getTime();
     const candidates = this.getCandidates(request, time);
@@ -89,7 +90,7 @@
     return best;
   }
 
-  /** Describes what a request meets at an endpoint that was chosen for it otherwise. */
+  /** Returns the estimates for an endpoint that was chosen by other means. */
   describe(request: PlacementRequest, endpoint: Endpoint): Placement {
     const peers = this.options.getPeerWork(endpoint.incarnation);
     const uncachedTokens = this.getUncachedTokens(request, endpoint, false);
@@ -153,7 +154,7 @@
   return endpoint.getFailureShare(time) * failurePenaltyMs + unlisted;
 }
 
-/** The endpoint that all instances choose alike for prompts with the same shared parts. */
+/** Returns the endpoint that all instances prefer for prompts with the same shared parts (rendezvous hashing). */
 function findAffinityEndpoint(
   parts: readonly PromptPart[],
   candidates: readonly Endpoint[],
--- a/packages/gateway/src/quotaCharges.ts
+++ b/packages/gateway/src/quotaCharges.ts
@@ -1,6 +1,6 @@
 /**
- * Charges of requests to the limits of their workspaces, and what became of them: counted by workspace, and logged where
- * little of a limit is left.
+ * Charges requests to the limits of their workspaces, either by this instance's own counts or through the limit's arbiter.
+ * Charges are counted by workspace, and logged if little of a limit is left.
  * @module
  */
 import type { Clock, Failure, Logger } from "@gladewall/kernel";
@@ -12,7 +12,7 @@
 import { CounterKind, type SharedCounters } from "./sharedCounters.js";
 import type { Workspace } from "./types.js";
 
-/** Options of the charges. */
+/** Options of quota charging. */
 export interface QuotaChargesOptions {
   readonly clock: Clock;
   readonly admission: Admission;
@@ -20,21 +20,21 @@
   readonly arbiters: Arbiters;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
-  /** Milliseconds since a reader told what the fleet has taken; undefined where none did. */
+  /** Milliseconds since a reader last sent the fleet's counts; undefined if none has. */
   readonly getViewAge: () => number | undefined;
 }
 
-/** A request that is to be charged. */
+/** A request to charge. */
 export interface ChargeRequest {
   readonly request: string;
   readonly workspace: Workspace;
   /** Units of one run. */
   readonly units: number;
-  /** Time until the request must have its final answer. */
+  /** Milliseconds until the request must have its final response. */
   readonly leftMs: number;
 }
 
-/** What a request was charged: its units once for each of its runs. */
+/** Units charged to a request, once for each of its runs. */
 export interface RequestCharge {
   readonly request: string;
   readonly workspace: Workspace;
@@ -46,14 +46,14 @@
   chargedAt: number;
 }
 
-/** Of the time that a request has left, an arbiter is waited for this share at most: the rest is for its run. */
+/** Largest share of a request's remaining time to wait for an arbiter; the rest is left for its run. */
 const arbiterWaitShare = 0.5;
-/** Share of the room from which on charges are logged: below it, no error of the count can matter. */
+/** Share of the capacity from which charges are logged; below it, no counting error can matter. */
 const minLoggedShare = 0.5;
 
-/** Charges requests. */
+/** Charges requests and settles the charges once the requests have ended. */
 export class QuotaCharges {
-  /** Limited workspaces that were charged, as the configuration last had them. */
+  /** Workspaces with a limit that have gauges, as last configured. */
   private readonly monitored = new Map<string, Workspace>();
 
   private constructor(private readonly options: QuotaChargesOptions) {}
@@ -62,7 +62,7 @@
     return new QuotaCharges(options);
   }
 
-  /** Charges a request for its first run; fails with `QuotaSpent`. */
+  /** Charges a request for its first run. Fails with `QuotaSpent`. */
   async take({ request, workspace, units, leftMs }: ChargeRequest): Promise<Result<RequestCharge, Failure>> {
     this.registerGauges(workspace);
     const charge: RequestCharge = { request, workspace, units, runs: 0, chargedAt: 0 };
@@ -70,14 +70,14 @@
   }
 
   /**
-   * Charges a request for one more run; fails with `QuotaSpent`. Uncharged, runs whose answers are lost would go beyond the
-   * limit.
+   * Charges a request for one more run. Fails with `QuotaSpent`. Otherwise retries of runs whose responses were lost would
+   * exceed the limit.
    */
   takeRetry(charge: RequestCharge, leftMs: number): Promise<Result<void, Failure>> {
     return this.charge(charge, QuotaUse.Retry, leftMs);
   }
 
-  /** Ends a charge: what ran stays taken, what was charged and did not run is given back. */
+  /** Settles a charge: units of runs stay taken, units that were charged without a run are refunded. */
   settle({ workspace, units, runs: charged, chargedAt }: RequestCharge, runs: number): void {
     const { admission, metrics } = this.options;
     if (runs > 0) metrics.countQuota(workspace.name, QuotaEvent.Run, units * runs);
@@ -99,7 +99,7 @@
     return taken;
   }
 
-  /** Decides here where that is right or enough, else asks the arbiter of the limit. */
+  /** Decides locally if this instance is the arbiter or its own counts suffice; otherwise calls the limit's arbiter. */
   private async decide(charge: RequestCharge, use: QuotaUse, leftMs: number): Promise<Result<void, Failure>> {
     const { admission, arbiters } = this.options;
     const { workspace, units } = charge;
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Asks the arbiter. The units are counted before the question leaves, so that no report tells less than was granted; an
-   * answer that is lost leaves the arbiter with too much until the next report.
+   * Calls the arbiter. The units are counted before the call, so that no report contains less than was granted; if the reply
+   * is lost, the arbiter counts too much until the next report.
    */
   private async callArbiter(
     charge: RequestCharge,
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -1,19 +1,19 @@
 /**
- * Reads the time after which an endpoint wants to be asked again: seconds or an HTTP date (RFC 9110, 10.2.3). Fractions of
- * seconds are taken as well.
+ * Parses the `Retry-After` header of an endpoint: seconds or an HTTP date (RFC 9110, 10.2.3). Fractions of seconds are
+ * accepted as well.
  * @module
  */
 
 const millisecondsPerSecond = 1_000;
-/** Longest time that is taken: a longer one is a mistake more often than meant, and would cost the endpoint's life. */
+/** Longest accepted time: a longer one is more likely a mistake, and would keep the endpoint out of service. */
 export const longestRetryAfterMs = 600_000;
 const secondsPattern = /^\d+(\.\d+)?$/;
-/** RFC 9110 dates begin with the name of a day; anything else that `Date.parse` takes is not one. */
+/** RFC 9110 dates begin with the name of a day; `Date.parse` also accepts texts that are no such dates. */
 const datePattern = /^(Mon|Tues?|Wed(nes)?|Thu(rs)?|Fri|Sat(ur)?|Sun)(day)?,? /;
 
 /**
- * Returns the milliseconds that a `Retry-After` names, at most `longestRetryAfterMs`; undefined where it can't be read. A
- * date counts from the answer's own `Date`, or from `wallTime` (Unix milliseconds) where it has none.
+ * Returns the milliseconds that a `Retry-After` header specifies, at most `longestRetryAfterMs`; undefined if it can't be
+ * parsed. A date is relative to the response's own `Date`, or to `wallTime` (Unix milliseconds) if it has none.
  */
 export function parseRetryAfter(
   text: string,
--- a/packages/gateway/src/retryBudget.ts
+++ b/packages/gateway/src/retryBudget.ts
@@ -1,6 +1,6 @@
 /**
- * The budget of arrivals past the first of each request, shared by all instances: a few are taken untold, the others are
- * decided by one arbiter for each service.
+ * Budget of retries, which all instances share. A retry is every arrival of a request at an endpoint after the first. A
+ * small part of the budget is taken without a call; one arbiter for each service grants the rest.
  * @module
  */
 import { getIncarnationKey, type PeerIdentity } from "@gladewall/coordination";
@@ -12,32 +12,33 @@
 /** Options of the budget. */
 export interface RetryBudgetOptions {
   readonly counters: SharedCounters;
-  /** Repeats allowed for each request of a window. */
+  /** Retries allowed for each request of a window. */
   readonly ratio: number;
-  /** Repeats of a window allowed beside these. */
+  /** Retries of a window allowed in addition. */
   readonly slack: number;
   /** Returns the share of the fleet whose counts are known. */
   readonly getKnownShare: () => number;
-  /** Who decides for the fleet; left out where there is one instance only. */
+  /** Selects the arbiters; omitted if there is only one instance. */
   readonly arbiters?: Pick<Arbiters, "find" | "call">;
-  /** Whether an instance decides on repeats. */
+  /** Whether an instance's build can decide on retries. */
   readonly supportsRetryCalls?: (name: string) => boolean;
   /** Name of this instance. */
   readonly own?: string;
-  /** Returns the number of instances; one where it is left out. */
+  /** Returns the number of instances; 1 if omitted. */
   readonly getFleetSize?: () => number;
 }
 
-/** Share of the budget that is given out; of the rest, a part is taken untold, and a part covers a change of arbiter. */
+/** Share of the budget that is granted; the rest covers unreported retries and a change of arbiter. */
 const grantedShare = 0.7;
+/** Share of the budget that may be taken without having been reported, over the whole fleet. */
 const unreportedShare = 0.15;
-/** Share of the budget up to which repeats are taken while the arbiter does not answer. */
+/** Share of the budget up to which retries are allowed while the arbiter does not reply. */
 const fallbackShare = 0.2;
-/** Of the time that a request has left, an arbiter is waited for this share at most, and no longer than `longestWaitMs`. */
+/** Largest share of a request's remaining time to wait for an arbiter; `maxArbiterWaitMs` bounds it as well. */
 const arbiterWaitShare = 0.1;
 const maxArbiterWaitMs = 100;
 
-/** Gives repeats out. */
+/** Grants retries. */
 export class RetryBudget {
   private constructor(private readonly options: RetryBudgetOptions) {}
 
@@ -50,7 +51,7 @@
     this.options.counters.add(CounterKind.Requests, service, 1);
   }
 
-  /** Takes one repeat by what is known here; false where the budget is spent. */
+  /** Takes one retry by the counts that this instance knows; returns false if the budget is exhausted. */
   tryTake(service: string): boolean {
     if (!this.hasCapacity(service, 1)) return false;
     this.options.counters.add(CounterKind.Retries, service, 1);
@@ -58,8 +59,8 @@
   }
 
   /**
-   * Takes one repeat of a request that has so much time left; false where the budget is spent. By what each knows alone, all
-   * would take the same room when endpoints end under many requests at once.
+   * Takes one retry for a request with the given remaining time; returns false if the budget is exhausted. Without an
+   * arbiter, all instances would take the same remainder when endpoints fail under many requests at once.
    */
   async take(service: string, leftMs: number): Promise<boolean> {
     const { arbiters, supportsRetryCalls: isAble, own, counters } = this.options;
@@ -76,13 +77,13 @@
       counters.confirm(CounterKind.Retries, service, total);
       return true;
     }
-    // Without a clear answer others may have taken the rest: only while little of the budget is taken it is enough.
+    // Without a decision, other instances may have taken the rest: the retry is only allowed while little is taken.
     if (reply.isErr() && this.hasCapacity(service, 0, fallbackShare)) return true;
     counters.add(CounterKind.Retries, service, -1);
     return false;
   }
 
-  /** Decides as the arbiter of a service on what a peer has taken in all. */
+  /** Decides as the arbiter of a service whether a peer may have taken a total of retries. */
   decideForPeer(peer: PeerIdentity, { service, total, uptime }: RetryCallArguments): RetryReply {
     const early = { peer: peer.name, life: getIncarnationKey(peer), uptime, name: service, total };
     const { counters } = this.options;
@@ -97,11 +98,12 @@
     return counters.getSum(CounterKind.Retries, service) + amount <= allowed;
   }
 
-  /** Repeats that this instance may have taken without anybody having been told. */
+  /** Returns the retries that this instance may have taken without having reported them. */
   private getUnreportedAllowance(service: string): number {
     return (this.getTolerated(service) * unreportedShare) / (this.options.getFleetSize?.() ?? 1);
   }
 
+  /** Returns the retries that the whole fleet may make in the present window. */
   private getTolerated(service: string): number {
     const { counters, ratio, slack } = this.options;
     return ratio * counters.getSum(CounterKind.Requests, service) + slack;
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -1,5 +1,6 @@
 /**
- * How one instance asks another whether a request may be repeated. Builds that do not know the message are not asked.
+ * The call by which an instance requests a retry from the service's arbiter. Builds that do not know the message are not
+ * called.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
@@ -7,26 +8,26 @@
 import type { FleetTopology } from "./fleetBroadcast.js";
 import { GrantDecision } from "./memberMessages.js";
 
-/** Number of the message; after those of limits that endpoints name. */
+/** Number of the message; follows those of advertised limits. */
 export const retryCallKind = 47;
 
-/** What an instance has taken of a service's repeats. */
+/** Fields of the call: the retries of a service that an instance has taken. */
 export interface RetryCallArguments {
   readonly service: string;
-  /** Repeats that this life of the sender has taken, with the one it asks for. */
+  /** Retries that the sender has taken since its start, including the requested one. */
   readonly total: number;
-  /** Milliseconds that this life has lasted. */
+  /** Milliseconds since the sender's start. */
   readonly uptime: number;
 }
 
-/** Answer to a question. */
+/** Reply to the call. */
 export interface RetryReply {
   readonly word: GrantDecision;
 }
 
 type RetryCall = PeerMessage & RetryCallArguments;
 
-/** Answers questions about repeats. */
+/** Replies to calls that request retries. */
 export class RetryLinks {
   private constructor(
     private readonly fleet: FleetTopology,
@@ -42,7 +43,7 @@
     return new RetryLinks(fleet, decide);
   }
 
-  /** One that does not hear the whole fleet knows too little to decide. */
+  /** Replies `Unknown` if this instance does not receive the whole fleet's reports: it knows too little to decide. */
   private answer({ service, total, uptime }: RetryCall, peer: PeerIdentity): RetryReply {
     const isGood = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
     if (!this.fleet.isCollector || !isGood) return { word: GrantDecision.Unknown };
@@ -50,7 +51,7 @@
   }
 }
 
-/** Puts a question so that the arbiter of the service's repeats can be asked. */
+/** Creates the call to the arbiter of a service's retries. */
 export function createRetryCall(
   ask: RetryCallArguments,
   isAble: ((name: string) => boolean) | undefined,
