--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -1,5 +1,6 @@
 /**
- * Gives the orders of the capacity plan: only what differs from the last order, backing off where a data hall has none.
+ * Sends the orders of the capacity plan. An order is only sent if it differs from the last one or was not fulfilled; data
+ * halls that have no endpoints available are left alone for a while (backoff).
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -14,15 +15,15 @@
   type Service,
 } from "./types.js";
 
-/** Options of the orders. */
+/** Options of capacity orders. */
 export interface CapacityOrdersOptions {
   readonly orders: OrderService;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
-  /** Endpoints that the load ahead of a service needs. */
+  /** Returns the endpoints that the expected load of a service needs. */
   readonly getNeeded: (service: Service, halls: number, present: number) => number;
-  /** Whether the system starts for the first time and nothing was asked of a service yet. */
+  /** Whether the system starts for the first time and a service has had no load yet. */
   readonly isLoadAwaited: (service: string) => boolean;
 }
 
@@ -31,32 +32,34 @@
   readonly at: number;
 }
 
+/** Time for which no reclaimable endpoints are ordered in a data hall after a refusal. */
 const refusalCooldownMs = 2_000;
+/** Time for which nothing is ordered after a failed call. */
 const failureCooldownMs = 800;
-/** A wanted number that is not there yet is ordered again after this long. */
+/** Time after which an order that is not fulfilled yet is sent again. */
 const resendIntervalMs = 6_000;
-/** How long reclaimable endpoints count as scarce after a refusal. */
+/** Time for which reclaimable endpoints count as scarce after a refusal. */
 const scarcityMs = 4_000;
-/** Share of a data hall's reclaimable endpoints that leave together only where the data hall is reclaimed. */
+/** If this share of a data hall's reclaimable endpoints leaves at once, the platform is reclaiming the data hall. */
 const reclaimDetectionShare = 0.5;
-/** Reclaims come in waves: so long after one, the next data hall is provided for. */
+/** Reclaims come in waves: for this long after one, replacements are ordered for the next data hall in advance. */
 const reclaimWaveMs = 8_000;
-/** Share of that data hall that is provided for: on-demand endpoints are dear, and not every wave goes on. */
+/** Share of that data hall to replace in advance: on-demand endpoints are expensive, and not every wave continues. */
 const provisionShare = 0.5;
-/** Endpoints record themselves over some time; once none has been found for so long, all are known. */
+/** Endpoints register over some time; all are known once no further one has been found for this long. */
 const discoveryMs = 1_600;
 
-/** Keeps the numbers of endpoints as planned. */
+/** Orders endpoints until their numbers match the plan. */
 export class CapacityOrders {
   private readonly lastOrders = new Map<string, LastOrder>();
-  /** When each data hall last refused reclaimable endpoints; forgotten once it gives some. */
+  /** Monotonic time at which each data hall last refused reclaimable endpoints; deleted once an order is accepted. */
   private readonly refusedAt = new Map<string, number>();
   private scarceUntil = -Infinity;
-  /** When a data hall's reclaimable endpoints were last taken away together. */
+  /** Monotonic time at which a data hall was last reclaimed. */
   private reclaimedAt = -Infinity;
-  /** Most endpoints of each service that were ever found, and when the last of them was. */
+  /** Highest number of endpoints found so far of each service, and when it was reached. */
   private readonly found = new Map<string, { readonly count: number; readonly at: number }>();
-  /** Time of the last order that had no answer. */
+  /** Monotonic time of the last call that failed. */
   private failedAt = -Infinity;
 
   private constructor(private readonly options: CapacityOrdersOptions) {}
@@ -65,20 +68,20 @@
     return new CapacityOrders(options);
   }
 
-  /** Forgets what was ordered; for a new holder, who cannot know what others ordered meanwhile. */
+  /** Forgets the orders; called by a new leader, which can't know what others ordered in the meantime. */
   reset(): void {
     this.lastOrders.clear();
     this.refusedAt.clear();
   }
 
-  /** Gives the orders of one service that are due. */
+  /** Sends the orders of one service that are due. */
   async step(service: Service, getSender: () => OrderSender | undefined): Promise<void> {
     const { scaling } = service;
     if (!scaling || this.options.clock.getTime() - this.failedAt < failureCooldownMs) return;
     const halls = this.countHalls(service.name, scaling);
     const onDemand = halls.reduce((sum, hall) => sum + hall.onDemand, 0);
     const reclaimable = halls.reduce((sum, hall) => sum + hall.reclaimable, 0);
-    // While one class takes the place of the other both are there for a time; they are not needed twice.
+    // While one price class replaces the other, both are present for a time; they must not be counted twice.
     const present = Math.max(onDemand, reclaimable);
     const isSettled = this.recordDiscovered(service.name, onDemand);
     const plan = planCapacity({
@@ -99,7 +102,7 @@
     }
   }
 
-  /** Takes note of how many endpoints were found; returns whether no more are to be expected. */
+  /** Records the number of endpoints found; returns whether no more are expected. */
   private recordDiscovered(service: string, count: number): boolean {
     const time = this.options.clock.getTime();
     const found = this.found.get(service);
@@ -108,13 +111,13 @@
     return false;
   }
 
-  /** Reclaimable endpoints that the next reclaim of a wave would take. */
+  /** Returns the reclaimable endpoints to replace in advance, because the next reclaim of a wave may take them. */
   private countAtRisk(halls: readonly HallCount[]): number {
     if (this.options.clock.getTime() - this.reclaimedAt > reclaimWaveMs) return 0;
     return Math.floor(Math.max(...halls.map(({ reclaimable }) => reclaimable)) * provisionShare);
   }
 
-  /** Takes note of a data hall whose reclaimable endpoints leave together. */
+  /** Records the time if the data hall's reclaimable endpoints leave together. */
   private detectReclaim(hall: string, endpoints: readonly Endpoint[]): void {
     const here = endpoints.filter(({ record }) => record.hall === hall && record.isReclaimable);
     const leaving = here.filter((endpoint) => !endpoint.isUsable()).length;
--- a/packages/gateway/src/capacityPlan.ts
+++ b/packages/gateway/src/capacityPlan.ts
@@ -1,49 +1,50 @@
 /**
- * How many endpoints of which price class each data hall should have: reclaimable ones spread over the data halls for
- * the load ahead, on-demand ones only for what is missing.
+ * Plans how many endpoints of which price class each data hall should have. Reclaimable endpoints, which the platform may
+ * take away, are spread over the data halls for the expected load; on-demand endpoints only fill what is missing.
  * @module
  */
 import type { CapacityOrder, ScalingLimits } from "./types.js";
 
-/** Endpoints of one data hall. */
+/** Endpoints of one service in one data hall. */
 export interface HallCount {
   readonly hall: string;
-  /** Endpoints that take work. */
+  /** Reclaimable endpoints that accept requests. */
   readonly reclaimable: number;
+  /** On-demand endpoints that accept requests. */
   readonly onDemand: number;
-  /** Reclaimable ones whose order was taken. */
+  /** Reclaimable endpoints in the last accepted order. */
   readonly reclaimableOrdered?: number;
-  /** On-demand ones that were ordered last; those present where nothing was ordered. */
+  /** On-demand endpoints in the last order; those present if nothing was ordered. */
   readonly onDemandOrdered: number;
-  /** Whether reclaimable ones were refused there a moment ago: they are not asked for now. */
+  /** Whether an order for reclaimable endpoints was refused so recently that none is sent now. */
   readonly isReclaimableRefused: boolean;
-  /** Whether the last order for reclaimable ones was refused there, however long ago. */
+  /** Whether the last order for reclaimable endpoints was refused, however long ago. */
   readonly isReclaimableDry: boolean;
 }
 
-/** What a plan is made from. */
+/** Input of a plan. */
 export interface CapacityInput {
   readonly service: string;
   readonly limits: ScalingLimits;
   readonly halls: readonly HallCount[];
-  /** Endpoints that the load ahead needs, all data halls together. */
+  /** Endpoints that the expected load needs, all data halls together. */
   readonly needed: number;
-  /** Whether reclaimable endpoints could not be had lately, or were taken away. */
+  /** Whether reclaimable endpoints were recently unavailable or taken away. */
   readonly isReclaimableScarce: boolean;
-  /** Whether the system starts for the first time and nothing was asked of the service yet. */
+  /** Whether the system starts for the first time and the service has had no load yet. */
   readonly isLoadAwaited?: boolean;
-  /** Reclaimable endpoints that may be taken away before others could start. */
+  /** Reclaimable endpoints that may be taken away before replacements could start. */
   readonly atRisk?: number;
 }
 
-/** Share of the needed endpoints that must serve before on-demand ones are given up. */
+/** Share of the needed endpoints that must serve before on-demand ones are released. */
 const releaseShare = 0.85;
-/** Share of the needed endpoints that is made up with on-demand ones: at their price, less headroom is worth it. */
+/** Share of the needed endpoints up to which on-demand ones fill in: at their price, less headroom is worthwhile. */
 const onDemandShare = 0.7;
-/** On-demand endpoints that are kept, as a share of those that are missing. */
+/** Most on-demand endpoints to keep, as a share of those that are missing. */
 const maxSurplusShare = 1.2;
 
-/** Returns the wanted numbers of every data hall and class. */
+/** Returns the desired number of endpoints for every data hall and price class. */
 export function planCapacity(input: CapacityInput): readonly CapacityOrder[] {
   const reclaimable = planReclaimable(input);
   const onDemand = planOnDemand(input, reclaimable);
@@ -54,7 +55,7 @@
   ]);
 }
 
-/** Spreads the needed number evenly; what a data hall cannot give, the others take. */
+/** Spreads the needed number evenly; the other data halls make up for those that refuse orders. */
 function planReclaimable({ halls, needed, limits }: CapacityInput): Map<string, number> {
   const wanted = new Map<string, number>();
   const open = halls.filter((hall) => !hall.isReclaimableRefused);
@@ -73,13 +74,13 @@
 }
 
 /**
- * Fills what is missing with on-demand endpoints, the cheapest data halls first. Those ordered before are kept as long
- * as they are needed: given up while reclaimable ones start, they would be missed at once.
+ * Fills what is missing with on-demand endpoints, the cheapest data halls first. Those ordered before are kept as long as
+ * they are needed; if they were released while reclaimable ones still start, endpoints would be missing at once.
  */
 function planOnDemand(input: CapacityInput, reclaimable: ReadonlyMap<string, number>): Map<string, number> {
   const { halls, needed, limits, isReclaimableScarce } = input;
   const serving = halls.reduce(sumReclaimable, 0);
-  // Before the first load nobody misses the dear ones while the others boot.
+  // Before the first load, no request needs the expensive on-demand endpoints while the ordered ones start.
   const counted = input.isLoadAwaited ? Math.max(serving, halls.reduce(sumOrdered, 0)) : serving;
   const { atRisk = 0 } = input;
   const isEnough = counted - atRisk >= needed * releaseShare;
@@ -109,15 +110,15 @@
   return wanted;
 }
 
-/** On-demand endpoints that a data hall has room for: the limit counts both classes together. */
+/** Returns how many on-demand endpoints a data hall can hold; the maximum counts both price classes together. */
 function getFreePlaces(hall: HallCount, limits: ScalingLimits, reclaimableWanted: number): number {
-  // Where reclaimable ones can be had, on-demand ones must not keep their places; but only an order that was taken
-  // shows that they can, or on-demand ones would be given up before each order that is refused.
+  // On-demand endpoints must not occupy places of reclaimable ones that are available. Only an accepted order shows that
+  // they are; otherwise on-demand endpoints would be released before each order that is refused.
   const taken = hall.isReclaimableDry ? hall.reclaimable : Math.max(hall.reclaimable, reclaimableWanted);
   return Math.max(0, limits.max - taken);
 }
 
-/** Gives up what is clearly more than needed, the dearest data halls first. */
+/** Releases on-demand endpoints that clearly exceed the need, the most expensive data halls first. */
 function releaseSurplus(
   wanted: Map<string, number>,
   cheapestFirst: readonly HallCount[],
--- a/packages/gateway/src/committedWindows.ts
+++ b/packages/gateway/src/committedWindows.ts
@@ -1,6 +1,6 @@
 /**
- * Usage windows whose counts are fixed in the store, remembered beyond the store: one that comes back from a copy may lack a
- * window that was reported already, and other figures must not follow.
+ * Remembers the usage windows whose counts are committed to the store. A store that is restored from a snapshot may lack a
+ * window that was already reported, and it must not be reported again with other counts.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -10,28 +10,28 @@
 import type { MetadataStore, StoreItem } from "./types.js";
 import type { WorkspaceCounts } from "./usageCounts.js";
 
-/** Options of the windows. */
+/** Options of committed windows. */
 export interface CommittedWindowsOptions {
   readonly store: Pick<MetadataStore, "transact">;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Prefix of the keys that hold fixed windows. */
+  /** Prefix of the store keys of committed windows. */
   readonly prefix: string;
-  /** Whether this instance writes lost windows again for all. */
+  /** Whether this instance restores lost windows on behalf of the fleet. */
   readonly isWriter: () => boolean;
 }
 
-/** Runs by workspace. */
+/** Number of runs by workspace. */
 const countsSchema = v.record(v.string(), v.number());
-/** Windows that are remembered: more than a new holder of the duties looks back to. */
+/** Number of windows that are remembered: more than a new leader considers for reporting. */
 const keptWindows = 12;
-/** Time between two attempts to write windows again. */
+/** Time between two attempts to restore windows. */
 const retryMs = 1_000;
 
-/** Remembers fixed windows. */
+/** Remembers committed windows and restores those that the store has lost. */
 export class CommittedWindows {
   private readonly counts = new Map<number, WorkspaceCounts>();
-  /** Windows that the store had and lost. */
+  /** Windows that the store held and has lost. */
   private readonly lost = new Set<number>();
   private triedAt = -Infinity;
 
@@ -41,12 +41,12 @@
     return new CommittedWindows(options);
   }
 
-  /** Returns the counts that a window was first fixed with; undefined where none are known. */
+  /** Returns the counts with which a window was first committed; undefined if none are known. */
   find(window: number): WorkspaceCounts | undefined {
     return this.counts.get(window);
   }
 
-  /** Takes note of the counts that a window is fixed with in the store. */
+  /** Records the counts with which a window is committed in the store. */
   note(window: number, counts: WorkspaceCounts): void {
     this.lost.delete(window);
     if (this.counts.has(window)) return;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Takes an item of the store, or that it is gone and how; passes over those of others. */
+  /** Applies an item of the store, or its removal with the cause; ignores other keys. */
   takeItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     const { prefix } = this.options;
     if (!key.startsWith(prefix)) return;
@@ -68,7 +68,7 @@
     else if (removal?.cause === RemovalCause.Lost && this.counts.has(window)) this.lost.add(window);
   }
 
-  /** Writes lost windows again; called several times a second. */
+  /** Writes lost windows to the store again; called several times a second. */
   restoreLost(): void {
     const { clock, isWriter } = this.options;
     if (this.lost.size === 0 || !isWriter() || clock.getTime() - this.triedAt < retryMs) return;
--- a/packages/gateway/src/demandEstimator.ts
+++ b/packages/gateway/src/demandEstimator.ts
@@ -1,6 +1,7 @@
 /**
- * How many endpoints the load of a service needs: prompt tokens that came over the last seconds, against what one
- * endpoint reads at the utilization that still leaves first events in time; and requests under way, against its slots.
+ * Estimates how many endpoints the load of a service needs. Two figures are compared: the prompt tokens of the last seconds,
+ * divided by what one endpoint prefills at the utilization that still keeps first events on time; and the requests in
+ * progress, divided by the planned share of an endpoint's slots.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
@@ -11,26 +12,26 @@
 export interface DemandEstimatorOptions {
   readonly clock: Clock;
   readonly counters: SharedCounters;
-  /** Returns the prompt tokens that a service's engine reads in a millisecond. */
+  /** Returns the prompt tokens that a service's engine prefills in a millisecond. */
   readonly getReadingRate: (service: string) => number;
-  /** Whether that rate has been seen, and is not the one that is assumed at the start. */
+  /** Whether that rate has been measured, and is not the one assumed at the start. */
   readonly isRateLearned: (service: string) => boolean;
-  /** Share of that rate at which an engine still answers in time. */
+  /** Share of that rate at which an engine still responds on time. */
   readonly utilization: number;
-  /** Endpoints of a data hall that are kept without load. */
+  /** Endpoints of a data hall that are kept even without load. */
   readonly minEndpointsPerHall: number;
   /** Length of the window that load is counted over. */
   readonly windowMs: number;
-  /** Returns the requests of a service that all instances have at its endpoints. */
+  /** Returns the requests of a service that all instances have in flight. */
   readonly getActive: (service: string) => number;
 }
 
-/** Share of an engine's slots that is planned with: requests come in clumps, and none should wait for a slot. */
+/** Share of an engine's slots to plan with: requests arrive in bursts, and none should wait for a slot. */
 const maxSlotShare = 0.4;
 
-/** Time for which a need that has passed is still provided for. */
+/** Time for which the peak of the need is held after it has passed. */
 const peakHoldMs = 15_000;
-/** Time after which the load seen says more than the number of endpoints that was found. */
+/** Time after which the observed load is a better estimate than the number of endpoints present. */
 const warmupMs = 8_000;
 
 interface Peak {
@@ -38,7 +39,7 @@
   at: number;
 }
 
-/** Estimates the need of every service. */
+/** Estimates the endpoints that every service needs. */
 export class DemandEstimator {
   private readonly peaks = new Map<string, Peak>();
   private readonly loadSince = new Map<string, number>();
@@ -54,12 +55,12 @@
     this.options.counters.add(CounterKind.PromptTokens, service, tokens);
   }
 
-  /** Whether any load of a service has been seen. */
+  /** Whether a service has had any load. */
   hasSeenLoad(service: string): boolean {
     return this.loadSince.has(service);
   }
 
-  /** Returns the endpoints that a service needs, `present` of which are there over so many data halls. */
+  /** Returns the endpoints that a service needs. `present` is the number that it has in `halls` data halls. */
   getNeededEndpoints(service: Service, halls: number, present: number): number {
     const { clock, counters, getReadingRate, isRateLearned, utilization, minEndpointsPerHall, windowMs } =
       this.options;
@@ -67,12 +68,12 @@
     const tokensPerMs = counters.getSum(CounterKind.PromptTokens, service.name) / windowMs;
     if (tokensPerMs > 0 && !this.loadSince.has(service.name)) this.loadSince.set(service.name, time);
     const isWarmedUp = time - (this.loadSince.get(service.name) ?? time) > warmupMs;
-    // An assumed rate may be far off: until engines have shown theirs, it is no reason to order any.
+    // An assumed rate may be far off, so it is no reason to order endpoints until a rate has been measured.
     const isRateKnown = isWarmedUp || isRateLearned(service.name);
     const tokensPerEndpoint = getReadingRate(service.name) * utilization;
     const forTokens = isRateKnown ? Math.ceil(tokensPerMs / tokensPerEndpoint) : 0;
     const forLoad = Math.max(forTokens, this.getNeededForSlots(service));
-    // Until the load is known, the number that was found is the operators' own estimate of it.
+    // Until the load is known, the number of endpoints present is the operators' own estimate of it.
     const minimum = isWarmedUp
       ? Math.ceil(halls * minEndpointsPerHall)
       : Math.max(present, Math.ceil(halls * minEndpointsPerHall));
--- a/packages/gateway/src/fencedLeases.ts
+++ b/packages/gateway/src/fencedLeases.ts
@@ -1,10 +1,10 @@
 /**
- * Leases on names with a fence that grows over the store's eras, too.
+ * Leases on names whose fencing tokens increase even when the store is restored from a snapshot.
  *
- * The fence is the revision of the taking, as earlier builds have it, and an offset. A store that comes back from a copy gives
- * revisions out again, so the offset grows with each return by more than could have been lost. It is kept in the store,
- * together with the era that it holds from; whoever takes a lease in a later era reckons on from there, so that a record
- * which was lost itself leads to the same offset.
+ * The token is the revision at which the lease was acquired, as in earlier builds, plus an offset. A restored store assigns
+ * revisions again, so the offset grows with each era by more revisions than can be lost. The offset is stored together with
+ * the era from which it applies. An instance that acquires a lease in a later era continues from the stored one, so that the
+ * loss of a stored offset leads to the same value.
  * @module
  */
 import type { GrantedLease, LeaseService } from "@gladewall/coordination";
@@ -19,24 +19,24 @@
 export interface FencedLeasesOptions {
   readonly store: MetadataStore;
   readonly logger: Logger;
-  /** Key of the offset. */
+  /** Store key of the offset. */
   readonly offsetKey: string;
 }
 
-/** Offset of fences from an era on. */
+/** Offset of fencing tokens from an era on. */
 interface FenceOffset {
   readonly era: number;
   readonly offset: number;
 }
 
-/** Added to fences with each era: more revisions than a copy can lack, and a whole number for untold eras as well. */
+/** Added to tokens with each era: more revisions than a snapshot can lack, and integral for unreported eras too. */
 const offsetPerEra = 2 ** 24;
 
 const offsetSchema = v.object({ era: v.number(), offset: v.number() });
 
-/** Takes, renews and gives back leases. */
+/** Acquires, renews and releases leases. */
 export class FencedLeases implements LeaseService {
-  /** The latest that was heard of, also where the store has lost it. */
+  /** The latest known offset, even if the store has lost it. */
   private latest: FenceOffset | undefined;
 
   private constructor(private readonly options: FencedLeasesOptions) {}
@@ -45,7 +45,7 @@
     return new FencedLeases(options);
   }
 
-  /** Takes an item of the store; passes over those of others. */
+  /** Applies an item of the store if it is the offset; ignores other items. */
   takeItem(key: string, item: StoreItem | undefined): void {
     if (key === this.options.offsetKey && item) this.keepLatest(decodeItem(offsetSchema, item.value));
   }
@@ -94,10 +94,10 @@
   }
 }
 
-/** Returns the offset of an era, reckoned from that of an earlier one. */
+/** Returns the offset of an era, computed from that of an earlier era. */
 function createOffset(earlier: FenceOffset | undefined, era: number): FenceOffset {
   const { era: earlierEra, offset } = earlier ?? { era: initialEra, offset: 0 };
-  // A store that begins to tell its era has not come back by that.
+  // The first era that a store reports does not mean that the store was restored.
   const isFirstReported = earlierEra === initialEra && isReportedEra(era);
   const grownBy = isFirstReported ? 0 : Math.max(0, era - earlierEra);
   return { era, offset: offset + grownBy * offsetPerEra };
--- a/packages/gateway/src/fencedOrders.ts
+++ b/packages/gateway/src/fencedOrders.ts
@@ -1,13 +1,13 @@
 /**
- * Orders whose fence the platform may refuse: a higher one has been used, so this instance is not the holder any more,
- * whatever it believes. From then on nothing is sent with that fence.
+ * Sends orders until the platform refuses their fencing token. A refusal means that a higher token has been used, so this
+ * instance is no longer the leader even if it believes so. From then on nothing is sent with that token.
  * @module
  */
 import { Failure, FailureCode, type Logger } from "@gladewall/kernel";
 import { Err, type Result } from "ts-results-es";
 import type { CapacityOrder, OrderSender, OrderService, OrderOutcome, UsageReport } from "./types.js";
 
-/** An order service that remembers the highest fence that was refused. */
+/** An order service that remembers the highest refused fencing token. */
 export class FencedOrders implements OrderService {
   private refusedFence = -Infinity;
 
@@ -20,7 +20,7 @@
     return new FencedOrders(orders, logger);
   }
 
-  /** Whether a fence, or a higher one of this instance's, was refused. */
+  /** Whether this fencing token, or a higher one of this instance, was refused. */
   isRefused(fence: number): boolean {
     return fence <= this.refusedFence;
   }
--- a/packages/gateway/src/leaderTasks.ts
+++ b/packages/gateway/src/leaderTasks.ts
@@ -1,9 +1,9 @@
 /**
- * What one instance at a time does for all: reports usage and orders endpoints.
+ * Runs the tasks that one elected instance, the leader, does for the whole fleet: reporting usage and ordering endpoints.
  *
- * The holder acts only while its lease, counted from the send of the renewal, has a margin left. A new holder waits
- * until whatever its predecessor could still have believed has run out, even where the store let the lease lapse
- * early; so two holders never act by turns within the time of one lease.
+ * The leader only acts while its lease, counted from when the renewal was sent, has a safety margin left. A new leader waits
+ * until its predecessor can no longer believe that it holds the lease, even if the store let the lease expire early.
+ * Leadership therefore can't pass from one instance to another and back within the alternation window.
  * @module
  */
 import { LeaseHolder, type LeaseService } from "@gladewall/coordination";
@@ -13,49 +13,50 @@
 import type { MetadataStore, OrderSender, Service } from "./types.js";
 import type { UsageReporter } from "./usageReporter.js";
 
-/** Options of the duties. */
+/** Options of the leader tasks. */
 export interface LeaderTasksOptions {
   readonly store: MetadataStore;
   readonly leases: LeaseService;
-  /** Whether the system starts for the first time; in a later life there may have been a holder, mark or no mark. */
+  /** Whether the system starts for the first time; otherwise there may have been a leader even if the marker is missing. */
   readonly isFirstStart: boolean;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly name: string;
-  /** Key of the lease. */
+  /** Store key of the lease. */
   readonly leaseKey: string;
-  /** Key of the mark that duties have begun. */
+  /** Store key of the marker that some leader has acted before. */
   readonly markerKey: string;
-  /** Time in which no two instances may act by turns. */
+  /** Alternation window: time in which leadership must not pass from one instance to another and back. */
   readonly alternationWindowMs: number;
   readonly usage: UsageReporter;
   readonly capacity: CapacityOrders;
-  /** Whether the lease is free, as far as is known. */
+  /** Whether the lease is free, as far as this instance knows. */
   readonly isLeaseFree: () => boolean;
-  /** Whether the platform has refused a fence, as a higher one has been used. */
+  /** Whether the platform has refused a fencing token because a higher one has been used. */
   readonly isFenceRefused: (fence: number) => boolean;
-  /** Whether this instance hears the whole fleet: nobody else knows its usage and its load. */
+  /** Whether this instance receives the reports of the whole fleet; no other instance knows its usage and load. */
   readonly isEligible: () => boolean;
   readonly getServices: () => Iterable<Service>;
 }
 
+/** Interval of the tasks. */
 const stepMs = 250;
-/** Length of the lease, as a share of the time in which no two instances may act by turns. */
+/** Duration of the lease, as a share of the alternation window. */
 const leaseShare = 0.5;
-/** Time that a new holder waits, as a share of it: twice this wait is longer than that time. */
+/** Time that a new leader waits, as a share of the alternation window; two such waits are longer than the window. */
 const takeoverDelayShare = 0.57;
-/** Part of the lease that is not acted in: covers clocks and the way of a call. */
+/** Share of the lease in which the leader no longer acts; covers clock drift and the transmission time of a call. */
 const safetyMarginShare = 0.25;
 
-/** Holds the lease and acts on it. */
+/** Competes for the lease and runs the tasks while holding it. */
 export class LeaderTasks implements Closeable {
   private readonly holder: LeaseHolder;
   private readonly stop = new AbortController();
   private task: Promise<void> = Promise.resolve();
   private actingFence = 0;
-  /** Whether nobody ever acted before: then there is nobody to wait for. */
+  /** Whether no leader has acted before, so that there is no predecessor to wait for. */
   private isFirstLeaderEver = false;
-  /** Whether nobody can have acted unless the mark says so: a store that came back from a copy may have lost it. */
+  /** Whether a missing marker proves that no leader has acted; a restored store may have lost the marker. */
   private isMarkerReliable: boolean;
   private checkedFence = 0;
 
@@ -91,14 +92,14 @@
     this.task = this.run();
   }
 
-  /** Stops acting. The lease runs out by itself: given back early, it could come round to this instance too soon. */
+  /** Stops the tasks. The lease expires by itself; if released early, it could return to this instance too soon. */
   async close(): Promise<void> {
     this.stop.abort();
     await this.task;
     this.holder.stopWithoutRelease();
   }
 
-  /** Whether this instance may act now. */
+  /** Whether this instance is the leader and may act now. */
   isActing(): boolean {
     return this.getSender() !== undefined;
   }
@@ -113,13 +114,13 @@
     return { holder: name, fence: fence.value };
   }
 
-  /** A lease whose fence was refused is left: the next one comes with a higher fence. */
+  /** Whether the platform refused the token of the lease; such a lease is given up, as the next one has a higher token. */
   private isFenceRefused(): boolean {
     const fence = this.holder.getFencingToken();
     return fence.isOk() && this.options.isFenceRefused(fence.value);
   }
 
-  /** Leaves a mark in the store that duties have begun; whoever makes it is the first. */
+  /** Writes the marker to the store that a leader acts; the instance that creates it is the first leader ever. */
   private async writeMarker(): Promise<void> {
     const { store, markerKey } = this.options;
     const fence = this.holder.getFencingToken();
--- a/packages/gateway/src/leaseHandle.ts
+++ b/packages/gateway/src/leaseHandle.ts
@@ -1,13 +1,13 @@
 /**
- * Handles of the store's leases: a lease's number together with the era in which it holds, as a store that comes back from a
- * copy grants its numbers again, to others.
+ * Handles of the store's leases. A handle is a lease's id together with the era in which the lease is valid, because a store
+ * that is restored from a snapshot grants the same ids again, to other instances.
  * @module
  */
 
 /** A lease of the store. */
 export interface StoreLease {
   readonly era: number;
-  /** The store's own name of the lease. */
+  /** Id of the lease in the store. */
   readonly id: string;
 }
 
@@ -18,7 +18,7 @@
   return `${era}${separator}${id}`;
 }
 
-/** Reads a handle. */
+/** Parses a handle. */
 export function parseLeaseHandle(handle: string): StoreLease {
   const end = handle.indexOf(separator);
   return { era: Number(handle.slice(0, end)), id: handle.slice(end + separator.length) };
--- a/packages/gateway/src/placementRelay.ts
+++ b/packages/gateway/src/placementRelay.ts
@@ -1,10 +1,10 @@
 /**
- * Long prompts on their way through a reader: in a large fleet, instances tell the readers at once what they sent
- * where, and each reader hands it on, some times a second, to the instances that ask it. What an instance knows of
- * others' work is then some 20 ms old in place of a report and a view, some 400 ms.
+ * Relays placements of long prompts in a large fleet. Instances announce them to the readers as soon as they are sent, and
+ * each reader forwards them in batches, up to once in `batchMs`, to the instances that subscribe to it. An instance then
+ * knows the work of others after some 20 ms instead of the 400 ms of a report and a view.
  *
- * Placements are numbered, and a view says up to which number it includes them, so none is counted twice. Parts of
- * prompts that endpoints have read go along with them.
+ * Placements are numbered, and a view states the number up to which it includes them, so that none is counted twice. Prompt
+ * parts that endpoints have read are sent along with them.
  * @module
  */
 import { type Clock, type Timer } from "@gladewall/kernel";
@@ -23,30 +23,30 @@
 }
 
 /**
- * Time that placements wait to be handed on together. In a model of 69 engines and 195 instances at half load, knowing
- * others' prompts 25 ms late costs a mean wait of 11 ms, 10 ms late 6 ms, a view's 375 ms 42 ms.
+ * Time for which placements are collected into one message. In a model of 69 engines and 195 instances at half load, a
+ * delay of 25 ms in knowing others' prompts costs a mean wait of 11 ms, 10 ms costs 6 ms, and a view's 375 ms costs 42 ms.
  */
 const batchMs = 20;
 /**
- * Placements handed on at once, of some 20 bytes each: an instance hears 16 KB/s of them at most, whatever the load.
+ * Most placements in one message, of some 20 bytes each: an instance receives at most 16 KB/s of them, whatever the load.
  */
 const maxEntries = 16;
-/** Parts that go along at once, as many as one instance tells with a report; what is beyond it is only not known. */
+/** Most prompt parts in one message, as many as in one instance's report; further ones are only unknown to the receivers. */
 const maxParts = 64;
-/** An instance that has not asked for this long is told nothing more: it asks another reader. */
+/** A subscription ends if the instance has not called this reader for this long, because it then uses another reader. */
 const subscriptionTtlMs = 1_500;
-/** What stands in place of an instance's own placements, so that all instances are told the same numbers. */
+/** Replaces an instance's own placements in its message, so that all instances receive the same numbers. */
 const ownPlacement: PlacementEntry = ["", 0];
 
-/** A reader's part. */
+/** Collects and forwards placements; used by a reader. */
 export class PlacementRelay {
   private queue: QueuedPlacement[] = [];
   /** Number of the first placement in the queue. */
   private first = 1;
-  /** Parts that endpoints have read, to go along with the next placements. */
+  /** Prompt parts that endpoints have read, to be sent with the next placements. */
   private read: Record<string, string[]> = {};
   private partCount = 0;
-  /** When each instance last asked. */
+  /** Monotonic time at which each instance last called this reader. */
   private readonly subscribers = new Map<string, number>();
   private timer: Timer | undefined;
 
@@ -56,17 +56,17 @@
     return new PlacementRelay(options);
   }
 
-  /** Number up to which placements are known here: those that a view includes. */
+  /** Number of the last placement that this reader knows, and that its next view includes. */
   get lastNumber(): number {
     return this.first + this.queue.length - 1;
   }
 
-  /** Takes note that an instance asks this one. */
+  /** Starts or extends the subscription of an instance. */
   noteSubscriber(name: string): void {
     this.subscribers.set(name, this.options.clock.getTime());
   }
 
-  /** Takes a placement of this or another instance. */
+  /** Adds a placement of this or another instance. */
   add(sender: string, entry: PlacementEntry): void {
     if (this.subscribers.size === 0) {
       this.first += 1;
@@ -76,7 +76,7 @@
     this.timer ??= this.options.clock.startTimer(batchMs, () => this.flush());
   }
 
-  /** Takes what an instance tells of parts that endpoints have read. */
+  /** Adds prompt parts that endpoints have read, as an instance reports them. */
   addReadParts(report: PrefixReport): void {
     if (this.subscribers.size === 0) return;
     for (const [endpoint, parts] of Object.entries(report)) {
@@ -113,7 +113,7 @@
   queue: readonly QueuedPlacement[],
   read: PrefixReport,
 ): PlacementRelayMessage {
-  // The latest are told: an older one is nearer to the next view.
+  // Only the latest are sent, because the next view includes older ones sooner.
   const latest = queue.slice(-maxEntries);
   const entries = latest.map(({ sender, entry }) => (sender === receiver ? ownPlacement : entry));
   return {
--- a/packages/gateway/src/recentPlacements.ts
+++ b/packages/gateway/src/recentPlacements.ts
@@ -1,5 +1,5 @@
 /**
- * Long prompts that others have sent to endpoints since the last view, as a reader hands them on.
+ * Placements of long prompts by other instances since the last view, as a reader relays them.
  * @module
  */
 import type { EndpointWork } from "./endpointWork.js";
@@ -10,9 +10,9 @@
   readonly entry: PlacementEntry;
 }
 
-/** An instance's part: what came after the view that it goes by. */
+/** Placements that are newer than the view that this instance uses. */
 export class RecentPlacements {
-  /** Life of the reader whose view is gone by; numbers of others mean nothing beside it. */
+  /** Incarnation of the reader whose view is used; other readers number placements differently. */
   private reader: string | undefined;
   private lastViewedNumber = 0;
   private placements: readonly NumberedPlacement[] = [];
@@ -23,7 +23,7 @@
     return new RecentPlacements();
   }
 
-  /** Takes note of a view by a reader that includes all placements up to a number. */
+  /** Records a reader's view that includes all placements up to a number. */
   noteView(reader: string, number: number): void {
     const isSame = reader === this.reader;
     this.placements = isSame ? this.placements.filter((placement) => placement.number > number) : [];
@@ -31,7 +31,7 @@
     this.lastViewedNumber = number;
   }
 
-  /** Takes what a reader hands on; returns whether anything is new beside the view. */
+  /** Applies relayed placements, numbered from `first` on; returns whether any is newer than the view. */
   takeRelayed(reader: string, first: number, entries: readonly PlacementEntry[]): boolean {
     if (reader !== this.reader) return false;
     const numbered = entries.map((entry, index) => ({ number: first + index, entry }));
@@ -40,7 +40,7 @@
     return fresh.length > 0;
   }
 
-  /** Returns them as work at endpoints. */
+  /** Returns the placements as work by endpoint. */
   getWork(): EndpointWork {
     const work: Record<string, [number, number]> = {};
     for (const { entry } of this.placements) {
--- a/packages/gateway/src/usageCounts.ts
+++ b/packages/gateway/src/usageCounts.ts
@@ -1,19 +1,19 @@
 /**
- * Runs that began, by window and workspace: this instance's own and what each peer last told. Every instance keeps all
- * of them, so that any instance can report after another was killed.
+ * Counts of runs that began, by window and workspace: this instance's own and those that each peer last reported. Every
+ * instance keeps all of them, so that any instance can report them after another one was killed.
  * @module
  */
 
-/** Counts by workspace. */
+/** Number of runs by workspace. */
 export type WorkspaceCounts = Record<string, number>;
 
-/** Counts by window, as they are passed between instances. */
+/** Number of runs by window and workspace, as instances send them to each other. */
 export type WindowCounts = Record<number, WorkspaceCounts>;
 
-/** Windows that are kept. */
+/** Number of windows that are kept. */
 const keptWindows = 8;
 
-/** Counts of one instance's one life. */
+/** Counts of one incarnation of an instance. */
 class InstanceCounts {
   readonly windows = new Map<number, WorkspaceCounts>();
 }
@@ -29,7 +29,7 @@
     return new UsageCounts();
   }
 
-  /** Counts one run of a workspace that began in a window here. */
+  /** Counts one run of a workspace that began at this instance. */
   add(window: number, workspace: string): void {
     const counts = this.own.windows.get(window) ?? {};
     counts[workspace] = (counts[workspace] ?? 0) + 1;
@@ -37,7 +37,7 @@
     forgetOld(this.own, window);
   }
 
-  /** Returns this instance's counts of the latest windows. */
+  /** Returns this instance's counts of the `count` latest windows. */
   getOwnCounts(newest: number, count: number): WindowCounts {
     const result: WindowCounts = {};
     for (const [window, counts] of this.own.windows) {
@@ -46,7 +46,7 @@
     return result;
   }
 
-  /** Takes what one life of a peer tells of itself; counts only grow. */
+  /** Merges the counts that one incarnation of a peer reports; counts only grow. */
   mergePeerCounts(life: string, reported: WindowCounts): void {
     const instance = this.peers.get(life) ?? new InstanceCounts();
     this.peers.set(life, instance);
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Returns the counts of the latest windows by life, this instance's under the name it is given. */
+  /** Returns the counts of the `count` latest windows by incarnation, this instance's own under the given key. */
   getIncarnations(ownLife: string, newest: number, count: number): Record<string, WindowCounts> {
     const incarnations: Record<string, WindowCounts> = {};
     for (const [life, instance] of [[ownLife, this.own] as const, ...this.peers]) {
@@ -79,7 +79,7 @@
     return total;
   }
 
-  /** Forgets lives of peers that told nothing of late windows. */
+  /** Removes incarnations of peers that reported nothing for the kept windows. */
   removeStalePeers(newest: number): void {
     for (const [life, instance] of this.peers) {
       const latest = Math.max(...instance.windows.keys());
@@ -88,7 +88,7 @@
   }
 }
 
-/** Counts of one life only grow: of two tellings, the higher figure of each workspace is the later one. */
+/** Merges two reports of one incarnation. Counts only grow, so that the higher count of each workspace is the later one. */
 function mergeCounts(one: WorkspaceCounts, other: WorkspaceCounts): WorkspaceCounts {
   const merged = { ...one };
   for (const [workspace, count] of Object.entries(other))
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -1,6 +1,6 @@
 /**
- * Reports usage, window by window. A window's counts are fixed in the store by a conditional write before they are
- * reported, so whoever reports it later repeats the same figures.
+ * Reports usage to the platform, window by window. A window's counts are committed to the store by a conditional write
+ * before they are reported, so that any instance that reports the window later sends the same counts.
  * @module
  */
 import { type Clock, FailureCode, type Logger } from "@gladewall/kernel";
@@ -10,51 +10,51 @@
 import type { MetadataStore, OrderSender, OrderService, StoreItem } from "./types.js";
 import type { WorkspaceCounts, UsageCounts } from "./usageCounts.js";
 
-/** Runs by workspace. */
+/** Number of runs by workspace. */
 const countsSchema = v.record(v.string(), v.number());
-/** Runs by life of an instance, window and workspace. */
+/** Number of runs by incarnation of an instance, window and workspace. */
 const checkpointSchema = v.record(v.string(), v.record(v.string(), countsSchema));
 
-/** Options of the reporter. */
+/** Options of usage reporting. */
 export interface UsageReporterOptions {
   readonly store: MetadataStore;
   readonly orders: OrderService;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Prefix of the keys that hold fixed windows. */
+  /** Prefix of the store keys of committed windows. */
   readonly prefix: string;
-  /** Key of the draft: what is counted but not fixed, for when all instances are killed. */
+  /** Store key of the checkpoint: counts that are not committed yet, saved in case all instances are killed. */
   readonly checkpointKey: string;
-  /** Counts of all lives; a draft is written from them and taken into them. */
+  /** Counts of all incarnations; checkpoints are written from them and restored into them. */
   readonly usage: UsageCounts;
-  /** Names this life of this instance. */
+  /** Key of this incarnation of the instance. */
   readonly life: string;
   readonly windowMs: number;
   /** Returns the time of day. */
   readonly getTimeOfDay: () => number;
-  /** Returns what the store holds of a key, as last heard. */
+  /** Returns the last known item of a store key. */
   readonly getItem: (key: string) => StoreItem | undefined;
-  /** Windows that were fixed, also those that the store has lost. */
+  /** Committed windows, including those that the store has lost. */
   readonly committed: CommittedWindows;
-  /** Returns the time of day after which nothing that the store held can have been lost. */
+  /** Returns the time of day since which the store can't have lost anything. */
   readonly getDurableSince: () => number;
 }
 
-/** Time after a window's end at which the last counts of other instances have come. */
+/** Time after a window's end by which the last counts of other instances have been received. */
 const settleDelayMs = 1_200;
-/** Windows that are looked back to. */
+/** Number of past windows that are considered for reporting. */
 const lookbackWindows = 6;
 const checkpointIntervalMs = 600;
-/** Windows that a draft holds: the open one and those that may not be fixed yet. */
+/** Number of windows in a checkpoint: the open one and those that may not be committed yet. */
 const checkpointWindows = 3;
-/** Windows after which a fixed one is removed from the store. */
+/** Number of windows after which a committed one is removed from the store. */
 const retainedWindows = 12;
 
-/** Reports windows that have ended. */
+/** Reports windows that have ended; used by the leader. */
 export class UsageReporter {
   private readonly reportedWindows = new Set<number>();
   private firstWindow: number;
-  /** Time of day at which this life began. */
+  /** Time of day at which this process started. */
   private readonly startedAt: number;
   private checkpointAt = -Infinity;
 
@@ -67,12 +67,12 @@
     return new UsageReporter(options);
   }
 
-  /** Returns the number of the window that a time of day lies in. */
+  /** Returns the number of the window that contains a time of day. */
   getWindow(timeOfDay: number): number {
     return Math.floor(timeOfDay / this.options.windowMs);
   }
 
-  /** Takes the draft of whoever held the duties before; called once by a new holder, before it reports. */
+  /** Restores the checkpoint of the previous leader; called once by a new leader, before it reports. */
   async restoreCheckpoint(): Promise<void> {
     const { store, checkpointKey, usage, life: ownLife, logger } = this.options;
     const reading = await store.read(checkpointKey);
@@ -92,7 +92,7 @@
     logger.info("usage.draft-taken", { lives: Object.keys(incarnations).length, revision: item.revision });
   }
 
-  /** Writes the draft from time to time. */
+  /** Saves a checkpoint if the interval has passed. */
   async saveCheckpoint(): Promise<void> {
     const { store, checkpointKey, usage, life, clock, getTimeOfDay } = this.options;
     if (clock.getTime() - this.checkpointAt < checkpointIntervalMs) return;
@@ -102,7 +102,7 @@
     await store.transact({ expected: [], put: [{ key: checkpointKey, value }], remove: [] });
   }
 
-  /** Reports what is due; `getSender` is asked right before each call and ends the step where it has no right. */
+  /** Reports the windows that are due. `getSender` is called right before each call; the step ends if it returns nothing. */
   async step(getSender: () => OrderSender | undefined): Promise<void> {
     const newest = this.getWindow(this.options.getTimeOfDay() - settleDelayMs) - 1;
     for (const window of this.reportedWindows)
@@ -115,14 +115,14 @@
     }
   }
 
-  /** Windows from before this life are only repeated where they were fixed; their counts here may lack some. */
+  /** Whether a window may be reported; one from before this process only if committed, as the counts may be incomplete. */
   private isReportable(window: number): boolean {
     const { getItem, committed } = this.options;
     const isCommitted = committed.find(window) !== undefined || getItem(this.getKey(window)) !== undefined;
     return isCommitted || (window >= this.firstWindow - 1 && !this.mayBeLost(window));
   }
 
-  /** Whether a window may have been fixed, reported and lost before this life could hear of it. */
+  /** Whether a window may have been committed, reported and lost before this process could learn of it. */
   private mayBeLost(window: number): boolean {
     const endsAt = (window + 1) * this.options.windowMs;
     return endsAt <= this.startedAt && endsAt <= this.options.getDurableSince();
@@ -146,7 +146,7 @@
     return sent.isOk();
   }
 
-  /** Returns the window's fixed counts, fixing them where nobody has. */
+  /** Returns the window's committed counts; commits them first if no instance has. */
   private async commit(
     window: number,
     getSender: () => OrderSender | undefined,
@@ -155,7 +155,7 @@
     const key = this.getKey(window);
     const remembered = committed.find(window);
     const known = getItem(key);
-    // The store may have lost what was fixed first, and reported, and hold what was fixed after it.
+    // The store may have lost the counts that were committed and reported first, and hold later ones.
     if (known) return remembered ?? decodeItem(countsSchema, known.value);
     if (!getSender()) return undefined;
     const counts = remembered ?? usage.getTotal(window);
@@ -167,7 +167,7 @@
       committed.note(window, counts);
       return counts;
     }
-    // A lost answer is settled by reading; where the store does not answer, the next step tries again.
+    // After a lost response, a read shows what was written; if the store is unavailable, the next step retries.
     if (written.error.code === FailureCode.ServiceUnavailable) return undefined;
     const reading = await store.read(key);
     const item = reading.isOk() ? reading.value.item : undefined;
