--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -135,8 +135,8 @@
       const here = endpoints.filter((endpoint) => endpoint.record.hall === hall);
       const reclaimable = here.filter((endpoint) => endpoint.record.isReclaimable).length;
       const refusedAt = this.refusedAt.get(hall);
-      const isReclaimableDry = refusedAt !== undefined;
-      const isReclaimableRefused = isReclaimableDry && time - refusedAt < refusalCooldownMs;
+      const isReclaimableExhausted = refusedAt !== undefined;
+      const isReclaimableRefused = isReclaimableExhausted && time - refusedAt < refusalCooldownMs;
       const onDemand = here.length - reclaimable;
       const ordered = this.lastOrders.get(getKey({ service, hall, isReclaimable: false }))?.desired;
       return {
@@ -146,7 +146,7 @@
         reclaimableOrdered: this.lastOrders.get(getKey({ service, hall, isReclaimable: true }))?.desired ?? 0,
         onDemandOrdered: ordered ?? onDemand,
         isReclaimableRefused,
-        isReclaimableDry,
+        isReclaimableExhausted,
       };
     });
   }
--- a/packages/gateway/src/capacityPlan.ts
+++ b/packages/gateway/src/capacityPlan.ts
@@ -19,7 +19,7 @@
   /** Whether an order for reclaimable endpoints was refused so recently that none is sent now. */
   readonly isReclaimableRefused: boolean;
   /** Whether the last order for reclaimable endpoints was refused, however long ago. */
-  readonly isReclaimableDry: boolean;
+  readonly isReclaimableExhausted: boolean;
 }
 
 /** Input of a plan. */
@@ -114,7 +114,9 @@
 function getFreePlaces(hall: HallCount, limits: ScalingLimits, reclaimableWanted: number): number {
   // On-demand endpoints must not occupy places of reclaimable ones that are available. Only an accepted order shows that
   // they are; otherwise on-demand endpoints would be released before each order that is refused.
-  const taken = hall.isReclaimableDry ? hall.reclaimable : Math.max(hall.reclaimable, reclaimableWanted);
+  const taken = hall.isReclaimableExhausted
+    ? hall.reclaimable
+    : Math.max(hall.reclaimable, reclaimableWanted);
   return Math.max(0, limits.max - taken);
 }
 
--- a/packages/gateway/test/capacityPlan.test.ts
+++ b/packages/gateway/test/capacityPlan.test.ts
@@ -15,7 +15,7 @@
     onDemand: 0,
     onDemandOrdered: 0,
     isReclaimableRefused: false,
-    isReclaimableDry: false,
+    isReclaimableExhausted: false,
   };
 }
 
--- a/packages/gateway/test/decisions.test.ts
+++ b/packages/gateway/test/decisions.test.ts
@@ -168,7 +168,7 @@
       onDemand: 0,
       onDemandOrdered: change.onDemand ?? 0,
       isReclaimableRefused: false,
-      isReclaimableDry: change.isReclaimableRefused ?? false,
+      isReclaimableExhausted: change.isReclaimableRefused ?? false,
       ...change,
     });
     const plan = (halls: readonly HallCount[], needed: number, isReclaimableScarce = false) =>
@@ -211,7 +211,7 @@
           onDemand: 0,
           onDemandOrdered: 3,
           isReclaimableRefused: false,
-          isReclaimableDry: false,
+          isReclaimableExhausted: false,
         },
       ],
       needed: 4,
@@ -228,7 +228,7 @@
     onDemand: 0,
     onDemandOrdered: 0,
     isReclaimableRefused: true,
-    isReclaimableDry: true,
+    isReclaimableExhausted: true,
   });
   const plan = (atRisk: number) =>
     planCapacity({
@@ -259,7 +259,7 @@
           onDemand: 4,
           onDemandOrdered: 4,
           isReclaimableRefused: false,
-          isReclaimableDry: false,
+          isReclaimableExhausted: false,
         },
       ],
       needed: 4,
@@ -273,7 +273,11 @@
   "a data hall full of on-demand endpoints makes room for reclaimable ones that can be had, and surplus is given up",
   async (t) => {
     const scaling = { min: 0, max: 7, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices: new Map([["a", 1]]) };
-    const plan = (needed: number, isReclaimableRefused: boolean, isReclaimableDry = isReclaimableRefused) =>
+    const plan = (
+      needed: number,
+      isReclaimableRefused: boolean,
+      isReclaimableExhausted = isReclaimableRefused,
+    ) =>
       planCapacity({
         service: "s",
         limits: scaling,
@@ -284,7 +288,7 @@
             onDemand: 7,
             onDemandOrdered: 7,
             isReclaimableRefused,
-            isReclaimableDry,
+            isReclaimableExhausted,
           },
         ],
         needed,
