--- a/packages/gateway/src/callerServer.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -1,12 +1,12 @@
 /**
- * The callers' port and the readiness port.
+ * HTTP servers of an instance: one for callers and one for the platform's readiness probe.
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { type Closeable, listen } from "@gladewall/kernel";
 import type { ClientLimits } from "./types.js";
 
-/** Options of the front. */
+/** Options of the servers. */
 export interface CallerServerOptions {
   readonly listen: string;
   readonly readinessListen: string;
@@ -21,7 +21,7 @@
 const statusNotFound = 404;
 const statusUnavailable = 503;
 
-/** Listens for callers and for the platform's question whether the instance is ready. */
+/** Accepts callers' requests and replies to readiness probes. */
 export class CallerServer implements Closeable {
   private readonly callers: Server;
   private readonly readiness: Server;
@@ -40,19 +40,20 @@
     return new CallerServer(options);
   }
 
+  /** Starts listening on both ports. */
   async open(): Promise<void> {
     await listen(this.readiness, this.options.readinessListen);
     await listen(this.callers, this.options.listen);
   }
 
-  /** Puts the configuration's bounds in force for connections from now on. */
+  /** Applies the configured timeouts to connections from now on. */
   setLimits({ headerTimeoutMs, idleTimeoutMs }: ClientLimits): void {
     this.callers.headersTimeout = headerTimeoutMs;
     this.callers.requestTimeout = Math.max(headerTimeoutMs, idleTimeoutMs);
     this.callers.keepAliveTimeout = idleTimeoutMs;
   }
 
-  /** Takes no new connections and closes those on which nothing is under way. */
+  /** Stops accepting connections and closes idle ones. */
   stopAccepting(): void {
     this.callers.close();
     this.callers.closeIdleConnections();
--- a/packages/gateway/src/connectionEnds.ts
+++ b/packages/gateway/src/connectionEnds.ts
@@ -1,23 +1,23 @@
 /**
- * Tells an orderly end of a connection from a reset.
+ * Distinguishes an orderly close of a connection from a reset.
  *
- * Where data and a reset arrive together, the event loop library reports an end of stream, not an error. But a reset
- * connection has no peer any more, while one that was ended in order still has: the peer's address tells them apart.
+ * If data and a reset arrive together, libuv reports an end of stream instead of an error. A reset connection no longer has
+ * a peer, however, while one that was closed in order still has, so the peer's address distinguishes them.
  * @module
  */
 import type { Socket } from "node:net";
 
 const resetSockets = new WeakSet<Socket>();
 
-/** Watches a connection; to be called before anything else listens to it. */
+/** Starts tracking a connection; must be called before any other listener is added. */
 export function trackConnectionEnd(socket: Socket): void {
   socket.on("end", () => {
-    // Node.js remembers the address from the first time it is asked for; nobody asks before.
+    // Node.js caches the address when it is first read, so nothing may read it before this point.
     if (socket.remoteAddress === undefined) resetSockets.add(socket);
   });
 }
 
-/** Whether a connection that was watched has ended in order. */
+/** Whether a tracked connection was closed in order. */
 export function hasEndedInOrder(socket: Socket): boolean {
   return socket.readableEnded && !socket.errored && !resetSockets.has(socket);
 }
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon of a gateway instance. SIGTERM and SIGINT are a planned stop, SIGHUP re-reads the settings; the file is
- * also looked at from time to time, as it may change without a signal.
+ * The daemon of a gateway instance. SIGTERM and SIGINT shut it down gracefully, SIGHUP reloads the settings. The file is
+ * also polled, because it may change without a signal.
  * @module
  */
 import { statSync } from "node:fs";
@@ -25,7 +25,7 @@
 const invalidSettingsExitCode = 2;
 const filePollMs = 2_000;
 
-/** Runs one instance until it is told to stop. */
+/** Runs one instance until a signal stops it; `words` are the command-line arguments. */
 export async function runGatewayDaemon(words: readonly string[]): Promise<void> {
   const options = await readArguments(words);
   if (options.reference) {
--- a/packages/gateway/src/eventSplitter.ts
+++ b/packages/gateway/src/eventSplitter.ts
@@ -1,5 +1,5 @@
 /**
- * Cuts a stream of events into whole events, byte for byte, and finds the id of the last one.
+ * Splits a stream of server-sent events into complete events without changing a byte, and finds the id of the last one.
  * @module
  */
 
@@ -7,20 +7,20 @@
 const carriageReturn = 0x0d;
 const idPattern = /(?:^|\n)id:[ ]?([^\r\n]*)/g;
 
-/** Holds back the part of an event that has not all come. */
+/** Buffers the bytes of an event until it is complete. */
 export class EventSplitter {
-  /** Id of the last whole event; undefined before the first that has one. */
+  /** Id of the last complete event; undefined before the first event with an id. */
   lastEventId: string | undefined;
   private rest: Buffer = Buffer.alloc(0);
 
   private constructor(private readonly readsIds: boolean) {}
 
-  /** Creates a splitter; ids are only looked for where they are needed. */
+  /** Creates a splitter; `readsIds` states whether ids are needed, otherwise they are not parsed. */
   static create(readsIds: boolean): EventSplitter {
     return new EventSplitter(readsIds);
   }
 
-  /** Takes bytes; returns the whole events they complete. */
+  /** Adds bytes; returns the complete events, which may be empty. */
   add(bytes: Buffer): Buffer {
     const all = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
     const end = findLastEventEnd(all);
@@ -30,7 +30,7 @@
     return whole;
   }
 
-  /** Returns what is left after the stream's end; it holds no whole event. */
+  /** Returns the buffered rest after the stream's end; it contains no complete event. */
   takeRest(): Buffer {
     const { rest } = this;
     this.rest = Buffer.alloc(0);
@@ -42,7 +42,7 @@
   }
 }
 
-/** Returns the index behind the last blank line. */
+/** Returns the index after the last blank line, which ends an event; 0 if there is none. */
 function findLastEventEnd(bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index--) {
     if (bytes[index] !== lineFeed) continue;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * One instance of the gateway: puts the parts together, starts them, serves, and leaves in order.
+ * One instance of the gateway: connects its components, starts them, serves requests, and shuts down gracefully.
  * @module
  */
 import {
@@ -21,12 +21,12 @@
 import { isRestore } from "./storeEras.js";
 import type { PlatformAdapter, PlatformOptions } from "./types.js";
 
-/** Part of the grace that is kept for the end of the process. */
+/** Part of the grace period that is reserved for the end of the process. */
 const exitMarginMs = 800;
-/** Time for the last answers to leave. */
+/** Time for the last responses to be sent. */
 const responseFlushMs = 100;
 const idleCheckMs = 50;
-/** Age told of a view where there is none. */
+/** Value of the view age metric if there is no view. */
 const noViewAge = -1;
 
 /** A running instance. */
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Creates an instance; fails where the settings name an unknown plug-in. Nothing is opened yet. */
+  /** Creates an instance without opening anything. Fails if the settings name an unknown plug-in. */
   static create(
     settings: GatewaySettings,
     logger: Logger,
@@ -115,7 +115,7 @@
     );
   }
 
-  /** Opens the ports and starts to follow; the instance is ready as soon as it knows enough. */
+  /** Opens the ports and starts following the store; the instance becomes ready as soon as it knows enough. */
   async start(): Promise<void> {
     const { instance, listen } = this.settings;
     this.parts.follower.start();
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Whether the instance takes requests: it knows a configuration, its proof, and the endpoints. */
+  /** Whether the instance accepts requests: it has a configuration, a recent proof of it, and the endpoints. */
   isReady(): boolean {
     const isReady = this.leavingSince === undefined && canServe(this.parts);
     if (isReady !== this.wasReady) {
@@ -144,17 +144,17 @@
     return isReady;
   }
 
-  /** Version of the configuration in force; 0 before the first. */
+  /** Version of the active configuration; 0 before the first. */
   get version(): number {
     return this.parts.follower.getTable()?.version ?? 0;
   }
 
-  /** Instances that this one is linked with. */
+  /** Number of instances that this one is linked with. */
   get linkedPeers(): number {
     return this.parts.members.links.getLinked().length;
   }
 
-  /** Instances that have reported their counts to this one. */
+  /** Number of instances that have reported their counts to this one. */
   get reportingPeers(): number {
     return this.parts.counters.reportingPeers;
   }
@@ -164,52 +164,52 @@
     return this.parts.members.getKnownShare();
   }
 
-  /** Instances that are listed, this one included. */
+  /** Number of listed instances, including this one. */
   get fleetSize(): number {
     return this.parts.members.getFleetSize();
   }
 
-  /** Bytes and messages that went over links to other instances. */
+  /** Bytes and messages sent and received over links to other instances. */
   get peerTraffic(): Readonly<ConnectionTraffic> {
     return this.parts.members.links.traffic;
   }
 
-  /** Whether this instance hears the whole fleet. */
+  /** Whether this instance receives the reports of the whole fleet. */
   get isCollector(): boolean {
     return this.parts.members.isCollector;
   }
 
-  /** Whether this instance asks the store for others. */
+  /** Whether this instance reads the store on behalf of others. */
   get isReader(): boolean {
     return this.parts.members.isReader;
   }
 
-  /** Boot time before which no newer configuration than this instance's was acknowledged. */
+  /** Time since boot before which no configuration newer than this instance's was acknowledged. */
   get proofSentAt(): number {
     return this.parts.clock.getBootTime() - this.parts.follower.getProofAge();
   }
 
-  /** Whether others tell this instance what the store holds. */
+  /** Whether this instance receives the store's contents from other instances. */
   get isFeedActive(): boolean {
     return this.parts.members.isFeedActive;
   }
 
-  /** How much of a workspace's limit the fleet has taken, as far as this instance knows. */
+  /** Returns the units of a workspace's limit that the fleet has taken, as far as this instance knows. */
   getQuotaLevel(workspace: string): number {
     return this.parts.counters.getKnownSum(CounterKind.Quota, workspace);
   }
 
-  /** Prompt tokens that other instances have waiting at an endpoint, as they told. */
+  /** Returns the prompt tokens that other instances have queued at an endpoint, as they reported. */
   getPeerTokens(endpoint: string): number {
     return this.parts.members.getPeerWork(endpoint).pendingTokens;
   }
 
-  /** Endpoints of a service that take work. */
+  /** Returns the number of a service's endpoints that accept requests. */
   countEndpoints(service: string): number {
     return this.parts.directory.getOfService(service).filter((endpoint) => endpoint.isUsable()).length;
   }
 
-  /** Leaves as planned: unready at once, every request finished within the grace. */
+  /** Shuts down gracefully: becomes unready at once and finishes every request within the grace period. */
   async leave(): Promise<void> {
     if (this.leavingSince !== undefined) return;
     const { clock, logger } = this.parts;
@@ -221,7 +221,7 @@
     await waitFor(clock, this.settings.leaving.unnoticed);
     this.front.stopAccepting();
     await this.finishRequests(endsAt);
-    // What comes from now on would be cut by the end of the process.
+    // Requests that arrive from now on would be interrupted by the end of the process.
     requests.stop();
     logger.info("instance.stopping", { open: requests.open });
     requests.giveUpAll();
@@ -230,7 +230,7 @@
     logger.info("instance.stopped", { open: requests.open });
   }
 
-  /** Resolves when nothing has been under way for a moment: a request may come while the last answers leave. */
+  /** Resolves once no request has been open for a moment, as one may arrive while the last responses are sent. */
   private async finishRequests(endsAt: number): Promise<void> {
     const { clock } = this.parts;
     const isBusy = (): boolean => this.requests.open > 0 && clock.getTime() < endsAt;
--- a/packages/gateway/src/requestBody.ts
+++ b/packages/gateway/src/requestBody.ts
@@ -1,12 +1,12 @@
 /**
- * Reads a caller's body as a whole, within the configuration's bound.
+ * Reads the complete body of a caller's request, up to the configured size.
  * @module
  */
 import type { IncomingMessage } from "node:http";
 import { Failure, FailureCode } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** Fails with `BodyTooLarge`, or with `CallerGone` where the caller broke off. */
+/** Resolves with the body. Fails with `BodyTooLarge`, or with `CallerGone` if the caller aborted. */
 export function readRequestBody(message: IncomingMessage, limit: number): Promise<Result<Buffer, Failure>> {
   const announced = Number(message.headers["content-length"] ?? 0);
   const tooLarge = Err(Failure.create(FailureCode.BodyTooLarge, { limit }));
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -1,6 +1,6 @@
 /**
- * Requests of one instance, from their arrival to their final answer: admission, body, charge, exchange, and the log
- * line that says what became of each.
+ * Serves all requests of one instance from their arrival to their final response: admission, body, quota charge, and the
+ * active request; then logs and counts the outcome.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -16,21 +16,22 @@
 import { pickWeightedTarget } from "./routeTable.js";
 import { type CallerRequestHead, RouteKind, type Service } from "./types.js";
 
-/** Options of a server. */
+/** Options of the request server. */
 export interface RequestServerOptions {
   readonly parts: GatewayParts;
-  /** Milliseconds after it began to leave for which an instance serves. */
+  /** Milliseconds for which the instance serves requests after it has begun to leave. */
   readonly serveWhileLeavingMs: number;
-  /** Monotonic time at which the instance began to leave; undefined while it does not. */
+  /** Returns the monotonic time at which the instance began to leave; undefined before. */
   readonly getLeavingSince: () => number | undefined;
 }
 
 const leavingRetryAfterMs = 200;
+/** Interval at which a starting instance checks whether it can serve held requests. */
 const startPollMs = 10;
-/** Requests that may last longer than this are refused once the instance leaves. */
+/** After this long of leaving, requests that may outlast the instance are refused. */
 const shortRequestMaxMs = 2_500;
 
-/** Serves requests. */
+/** Serves requests and tracks those in progress. */
 export class RequestServer {
   private readonly activeRequestParts: ActiveRequestParts;
   private readonly activeRequests = new Set<ActiveRequest>();
@@ -48,26 +49,26 @@
     return new RequestServer(options);
   }
 
-  /** Requests that have no final answer. */
+  /** Number of requests without a final response. */
   get open(): number {
     return this.openCount;
   }
 
-  /** Refuses every request that comes from now on. */
+  /** Refuses every request that arrives from now on. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Ends all requests that are under way now. */
+  /** Ends all requests in progress now. */
   giveUpAll(): void {
     for (const exchange of this.activeRequests) exchange.giveUp();
   }
 
-  /** Serves one request to its final answer. */
+  /** Serves one request until its final response. */
   async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
     const arrivedAt = this.options.parts.clock.getTime();
     this.openCount += 1;
-    // A broken connection is seen where answers are written; the event needs a listener all the same.
+    // Broken connections are handled where responses are written, but an `error` event without a listener would throw.
     message.on("error", () => undefined);
     response.on("error", () => undefined);
     const head = this.options.parts.platform.callers.readHead(message.headers);
@@ -77,7 +78,7 @@
     this.refuse(message, response, head.isOk() ? head.value.id : undefined, failure);
   }
 
-  /** Serves a request; returns why it was refused where nothing was done with it. */
+  /** Serves a request; returns the failure if it was refused before it became active. */
   private async serve(
     message: IncomingMessage,
     response: ServerResponse,
@@ -92,7 +93,7 @@
     if (this.mayOutlastLeaving(admitted.value)) return createLeavingRefusal();
     const body = await readRequestBody(message, table.configuration.limits.maxBodyBytes);
     if (body.isErr()) return body.error;
-    // The body may have come late.
+    // The instance may have stopped while the body was received.
     if (this.isStopped) return createLeavingRefusal();
     const service = table.findService(pickWeightedTarget(route.targets, Math.random()));
     if (!service) return Failure.create(FailureCode.NoEndpoint, { service: route.name }, leavingRetryAfterMs);
@@ -117,7 +118,7 @@
     return undefined;
   }
 
-  /** Whether the instance has just begun and does not know enough yet. */
+  /** Whether the instance has just started and does not know enough to serve yet; requests are held meanwhile. */
   private get isStarting(): boolean {
     const { parts } = this.options;
     if (canServe(parts)) return false;
@@ -129,7 +130,7 @@
     while (this.isStarting && !message.destroyed) await waitFor(this.options.parts.clock, startPollMs);
   }
 
-  /** Charges a request; fails with `QuotaSpent`, or where it can't be served any more when the answer comes. */
+  /** Charges a request. Fails with `QuotaSpent`, `Leaving`, or `CallerGone`; the latter two refund the charge. */
   private async charge(
     { workspace, route }: AdmittedRequest,
     head: CallerRequestHead,
@@ -177,7 +178,7 @@
     else this.options.parts.logger.info("request.served", fields);
   }
 
-  /** Whether a request could outlast the time that a leaving instance has. */
+  /** Whether a request could outlast the remaining time of a leaving instance. */
   private mayOutlastLeaving({ route }: AdmittedRequest): boolean {
     const { parts, serveWhileLeavingMs: servedMs, getLeavingSince } = this.options;
     const leavingSince = getLeavingSince();
@@ -206,7 +207,7 @@
     this.options.parts.metrics.countRefusal(failure.name, failure.status);
     if (failure.code === FailureCode.CallerGone || response.headersSent) return;
     const own = this.options.parts.platform.callers.createGatewayHeaders(request);
-    // What is left of a body that was not read would be taken for the next request.
+    // The connection is closed because the unread rest of the body would be parsed as the next request.
     const closes = this.options.getLeavingSince() !== undefined || failure.code === FailureCode.BodyTooLarge;
     writeProblemResponse(response, failure, own, closes);
     message.resume();
--- a/packages/gateway/src/responseBody.ts
+++ b/packages/gateway/src/responseBody.ts
@@ -1,26 +1,26 @@
 /**
- * Reads the body of an endpoint's answer as a whole.
+ * Reads the complete body of an endpoint's response.
  * @module
  */
 import type { IncomingMessage } from "node:http";
 import { hasEndedInOrder } from "./connectionEnds.js";
 
-/** A body and whether all of it came. */
+/** A received body and whether it is complete. */
 export interface ReceivedBody {
   readonly bytes: Buffer;
   readonly isComplete: boolean;
 }
 
 /**
- * Whether an answer that has ended is all of it. One without length ends with its connection, and Node.js takes a reset
- * for such an end as well; only an orderly end of the other side counts.
+ * Whether a response that has ended is complete. A response without length ends with its connection, and Node.js reports a
+ * reset as such an end too; only an orderly close by the other side counts.
  */
 export function isCompleteResponse({ complete, headers, socket }: IncomingMessage): boolean {
   const isFramed = headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
   return complete && (isFramed || hasEndedInOrder(socket));
 }
 
-/** Resolves when the body has ended, whole or cut. */
+/** Resolves when the body has ended, complete or not. Never rejects. */
 export function readResponseBody(message: IncomingMessage): Promise<ReceivedBody> {
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
@@ -28,7 +28,7 @@
     message.on("end", () =>
       resolve({ bytes: Buffer.concat(parts), isComplete: isCompleteResponse(message) }),
     );
-    // After "end" this changes nothing; a promise settles once.
+    // After "end" this has no effect, because a promise settles only once.
     message.on("close", () => resolve({ bytes: Buffer.concat(parts), isComplete: false }));
   });
 }
--- a/packages/gateway/src/responseHeaders.ts
+++ b/packages/gateway/src/responseHeaders.ts
@@ -1,13 +1,13 @@
 /**
- * Headers of answers on their way back to callers.
+ * Selects the headers of endpoints' responses that are forwarded to callers.
  * @module
  */
 import { hopByHopHeaders } from "@gladewall/kernel";
 
-/** Set anew with the body's length. */
+/** Not copied, because it is set from the length of the forwarded body. */
 const lengthHeader = "content-length";
 
-/** Copies an endpoint's headers, without those of its connection. Both are name, value, name, value, … */
+/** Copies an endpoint's response headers except for hop-by-hop ones. Both lists are name, value, name, value, … */
 export function copyResponseHeaders(rawHeaders: readonly string[]): string[] {
   const headers: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
--- a/packages/gateway/src/responseWriter.ts
+++ b/packages/gateway/src/responseWriter.ts
@@ -1,12 +1,12 @@
 /**
- * Writes final answers to callers: an endpoint's whole answer, or one of our own.
+ * Writes final responses to callers: an endpoint's complete response, or a problem document of the gateway.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Failure } from "@gladewall/kernel";
 import { copyResponseHeaders } from "./responseHeaders.js";
 
-/** Writes an endpoint's answer whose body has been read as a whole. */
+/** Writes an endpoint's response whose body has been read completely. `closes` asks the caller to close the connection. */
 export function writeEndpointResponse(
   response: ServerResponse,
   method: string | undefined,
@@ -15,7 +15,7 @@
   closes: boolean,
 ): void {
   if (response.headersSent) {
-    // The stream that began can't be ended by an answer of another kind.
+    // A stream has already begun and can't be completed by another response.
     response.destroy();
     return;
   }
@@ -33,7 +33,7 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Writes an answer of our own: status, when to come back, and the failure as a problem document. */
+/** Writes a failure as a problem document with its status and `Retry-After`. */
 export function writeProblemResponse(
   response: ServerResponse,
   failure: Failure,
--- a/packages/gateway/src/routeTable.ts
+++ b/packages/gateway/src/routeTable.ts
@@ -1,10 +1,10 @@
 /**
- * The configuration in the form requests are looked up in: routes by host and longest prefix, workspaces by key.
+ * Looks up the parts of the configuration that a request needs: routes by host and longest prefix, workspaces by key.
  * @module
  */
 import type { Route, RouteTarget, Service, ServingConfiguration, Workspace } from "./types.js";
 
-/** Looks routes and workspaces up in one version of the configuration. */
+/** Index of the routes, workspaces and services of one version of the configuration. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, Map<string, Route>>();
   private readonly workspacesByKey = new Map<string, Workspace>();
@@ -26,12 +26,12 @@
     return this.configuration.version;
   }
 
-  /** Whether requests carry keys at all. */
+  /** Whether requests carry keys. */
   get hasWorkspaces(): boolean {
     return this.configuration.workspaces.length > 0;
   }
 
-  /** Finds the route of a host (its port is ignored) and a path with query; undefined where there is none. */
+  /** Finds the route of a host, whose port is ignored, and a path with query; undefined if there is none. */
   findRoute(host: string, target: string): Route | undefined {
     const routes = this.routesByHost.get(removePort(host).toLowerCase());
     if (!routes) return undefined;
@@ -63,7 +63,7 @@
   }
 }
 
-/** Draws a target by weight; `random` lies from 0 to 1. */
+/** Picks a target's service by weight; `random` is a number from 0 to 1. */
 export function pickWeightedTarget(targets: readonly RouteTarget[], random: number): string {
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
   let left = random * total;
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -1,6 +1,6 @@
 /**
- * Passes a stream of events on to the caller as they arrive, whole events only, and goes on with a second endpoint's
- * stream inside the same answer where the first was cut.
+ * Forwards a stream of events to the caller as they arrive, complete events only. If an endpoint's stream is interrupted,
+ * the stream of another endpoint continues in the same response.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -14,7 +14,7 @@
   Interrupted = 2,
 }
 
-/** The answer of one request. */
+/** The streamed response of one request, over all attempts. */
 export class StreamRelay {
   private splitter: EventSplitter;
   private lastId: string | undefined;
@@ -31,12 +31,12 @@
     return new StreamRelay(response, isResumable, isLeaving);
   }
 
-  /** Id of the last event that was passed on; undefined before the first. */
+  /** Id of the last event that was forwarded; undefined before the first. */
   get lastEventId(): string | undefined {
     return this.splitter.lastEventId ?? this.lastId;
   }
 
-  /** Passes one endpoint's stream on to its end. `onFirst` is called with the first event. */
+  /** Forwards one endpoint's stream until it ends. Calls `onFirst` before the first event is forwarded. Never rejects. */
   relay(answer: IncomingMessage, onFirst: () => void): Promise<RelayOutcome> {
     this.lastId = this.lastEventId;
     this.splitter = EventSplitter.create(this.isResumable);
@@ -54,7 +54,7 @@
         this.finish(answer);
         resolve(RelayOutcome.Complete);
       });
-      // After "end" this changes nothing; a promise settles once.
+      // After "end" this has no effect, because a promise settles only once.
       answer.on("close", () => resolve(RelayOutcome.Interrupted));
     });
   }
@@ -71,7 +71,7 @@
     this.response.end(this.splitter.takeRest());
   }
 
-  /** The head goes with the first event, so that a stream cut before it can still be answered otherwise. */
+  /** Writes the head with the first event, so that a stream interrupted before it can still get another response. */
   private writeHead(answer: IncomingMessage): void {
     if (this.response.headersSent) return;
     const headers = copyResponseHeaders(answer.rawHeaders);
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * Data shapes of the gateway, and the interfaces of the platform it runs on. All durations are milliseconds.
+ * Data types of the gateway, and the interfaces of the platform that it runs on. All durations are in milliseconds.
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
@@ -7,13 +7,13 @@
 import type { Result } from "ts-results-es";
 import type { StoreEras, StorePosition } from "./storeEras.js";
 
-/** What may be done again with a request of a route. */
+/** Whether a request of a route may be run again. */
 export enum RouteKind {
   /** May run more than once. */
   Safe = 1,
   /** Runs at most once. */
   Unsafe = 2,
-  /** Answers with events; repeated only where the route says that it can be resumed. */
+  /** Responds with a stream of events; run again only if the route is resumable. */
   Stream = 3,
 }
 
@@ -27,39 +27,39 @@
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Path prefix; begins and ends with a slash. */
   readonly prefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Longest time a request may be held. */
+  /** Longest time from a request's arrival to its final response. */
   readonly timeoutMs: number;
-  /** Time within which an answer has its full worth. */
+  /** Latency objective: time within which the response should be received. */
   readonly latencyObjectiveMs: number;
-  /** Longest pause between events at which a stream has its full worth; undefined where nothing is said. */
+  /** Objective for the longest pause between the events of a stream; undefined if none is configured. */
   readonly eventGapObjectiveMs: number | undefined;
-  /** Endpoints that one request may run on. */
+  /** Largest number of endpoints that one request may run on. */
   readonly attempts: number;
-  /** Rank; 0 is the highest. */
+  /** Rank; 0 is the most urgent. */
   readonly priority: number;
   /** Whether requests need no key. */
   readonly isPublic: boolean;
   readonly isResumable: boolean;
 }
 
-/** Model engine behind a service. */
+/** Limits of the model engine behind a service. */
 export interface EngineLimits {
-  /** Requests that run at once. */
+  /** Number of requests that run concurrently. */
   readonly slots: number;
-  /** Tokens that its memory holds. */
+  /** Number of tokens that its cache holds. */
   readonly tokenCapacity: number;
 }
 
 /** How many endpoints of a service may be ordered. */
 export interface ScalingLimits {
-  /** Fewest and most endpoints of one data hall, both price classes together. */
+  /** Minimum and maximum number of endpoints in one data hall, both price classes together. */
   readonly min: number;
   readonly max: number;
-  /** Time from an order until an endpoint serves. */
+  /** Time from an order until the endpoint serves requests. */
   readonly bootMs: number;
   /** Price of a reclaimable endpoint, as a share of an on-demand one. */
   readonly reclaimablePrice: number;
@@ -85,17 +85,18 @@
 export interface Workspace {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Rank before that of the route; 0 is the highest. */
+  /** Rank, which takes precedence over that of the route; 0 is the most urgent. */
   readonly priority: number;
   readonly unit: QuotaUnit;
-  /** Tokens that a request counts for that names none. */
+  /** Tokens charged for a request that does not state its number of tokens. */
   readonly defaultTokenCost: number;
-  /** 0: no limit. */
+  /** Units per second; 0 means that there is no limit. */
   readonly ratePerSecond: number;
+  /** Units that may be taken at once. */
   readonly burst: number;
 }
 
-/** Bounds on what a client may send. */
+/** Limits on what callers may send. */
 export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -108,16 +109,16 @@
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, Service>;
-  /** Empty where requests carry no keys. */
+  /** Empty if requests carry no keys. */
   readonly workspaces: readonly Workspace[];
   readonly limits: ClientLimits;
 }
 
-/** An endpoint as it records itself. */
+/** An endpoint's own record in the store. */
 export interface EndpointRecord {
-  /** Name of the endpoint; a later life may have it again. */
+  /** Name of the endpoint; a later incarnation may reuse it. */
   readonly id: string;
-  /** Unix milliseconds of the start of this life; undefined where the record does not say. */
+  /** Unix milliseconds at which this incarnation started; undefined if the record does not state it. */
   readonly born?: number | undefined;
   readonly service: string;
   /** `host:port`. */
@@ -132,20 +133,20 @@
 export interface StoreItem {
   readonly key: string;
   readonly value: Uint8Array;
-  /** Counts within the era in which the item was read. */
+  /** Revision of the last write, comparable only within the era in which the item was read. */
   readonly revision: number;
-  /** Handle of the lease that it goes with; undefined where it has none. */
+  /** Handle of the lease with which the item expires; undefined if it has none. */
   readonly lease?: string | undefined;
 }
 
-/** What a read showed. */
+/** Result of a read. */
 export interface StoreReading {
-  /** Undefined where the key is absent. */
+  /** Undefined if the key is absent. */
   readonly item: StoreItem | undefined;
   readonly era: number;
 }
 
-/** A change of the store; `value` is undefined where the item is gone. */
+/** A change of the store; `value` is undefined if the item was removed. */
 export interface StoreEvent {
   readonly key: string;
   readonly revision: number;
@@ -158,15 +159,15 @@
   readonly position: StorePosition;
 }
 
-/** What a watch brought. The next one continues from `position`. */
+/** Result of a watch. The next watch continues from `position`. */
 export interface StoreChanges {
   readonly events: readonly StoreEvent[];
   readonly position: StorePosition;
 }
 
-/** A write under conditions: all of it is done or nothing. */
+/** A conditional write, which is applied atomically. */
 export interface StoreTransaction {
-  /** Revisions that must hold; 0: the key is absent. */
+  /** Revisions that the keys must have; 0 means that the key is absent. */
   readonly expected: readonly { readonly key: string; readonly revision: number }[];
   readonly put: readonly {
     readonly key: string;
@@ -177,13 +178,13 @@
 }
 
 /**
- * The platform's store. Failures: `ServiceUnavailable` where a call cannot have taken effect, `ServiceAnswerLost`
- * where it may have, `ServiceConflict` where a condition did not hold, `HistoryLost` where a watch must start over,
- * `LeaseLost` where a lease is over. An answer of an era that is over counts as lost, and so does that of a transaction
- * which was sent in one era and done in another; a lease of an earlier era is over, whoever has its number now.
+ * The platform's store. Failures: `ServiceUnavailable` if a call can't have taken effect, `ServiceAnswerLost` if it may
+ * have, `ServiceConflict` if a condition was not met, `HistoryLost` if a watch must start over, `LeaseLost` if a lease has
+ * ended. A response of a past era counts as lost, and so does that of a transaction that was sent in one era and applied in
+ * another. A lease of a past era has ended, even if its number has been granted again.
  */
 export interface MetadataStore {
-  /** Eras, as the answers tell them. */
+  /** Eras of the store, as its responses report them. */
   readonly eras: StoreEras;
   read(key: string): Promise<Result<StoreReading, Failure>>;
   list(prefix: string): Promise<Result<StoreListing, Failure>>;
@@ -207,107 +208,107 @@
   readonly tokens: number;
 }
 
-/** What a caller says in its headers. */
+/** Request head of a caller, parsed. */
 export interface CallerRequestHead {
   readonly id: string;
-  /** Time that the caller will wait; undefined where it does not say. */
+  /** Time for which the caller will wait; undefined if it is not stated. */
   readonly deadlineMs: number | undefined;
   readonly key: string | undefined;
-  /** Tokens of the prompt and most tokens out; undefined where it does not say. */
+  /** Number of prompt tokens and largest number of output tokens; undefined if they are not stated. */
   readonly promptTokens: number | undefined;
   readonly outputTokens: number | undefined;
   readonly parts: readonly PromptPart[];
-  /** Last event that the caller has; undefined where it starts from the beginning. */
+  /** Id of the last event that the caller has received; undefined if the stream starts from the beginning. */
   readonly lastEventId: string | undefined;
 }
 
-/** What the gateway says to an endpoint beside the caller's own headers. */
+/** Values that the gateway sends to an endpoint in addition to the caller's headers. */
 export interface DispatchHead {
   readonly endpointId: string;
   readonly workspace: string | undefined;
   readonly deadlineMs: number;
-  /** 0 to 9, 0 first; undefined where the service has no order of its own. */
+  /** 0 to 9, 0 being the most urgent; undefined if the service does not order requests itself. */
   readonly urgency: number | undefined;
-  /** Event after which the run goes on. */
+  /** Id of the event after which the stream continues. */
   readonly lastEventId: string | undefined;
 }
 
-/** What an answer's head says. */
+/** Whether an endpoint ran a request, as stated by its response head. */
 export enum ExecutionStatus {
   /** The endpoint ran the request. */
   Ran = 1,
   /** The endpoint did not run it and never will. */
   NotRun = 2,
-  /** Another endpoint has the address now. Nothing ran. */
+  /** The address now belongs to another endpoint. Nothing ran. */
   WrongEndpoint = 3,
-  /** It belongs to another request, or to nobody. */
+  /** The response belongs to another request or to none. */
   Mismatched = 4,
 }
 
-/** Load that an endpoint tells with an answer. */
+/** Load that an endpoint reports with a response. */
 export interface EndpointLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** What an endpoint says of itself with an answer, whatever it answers to the request. */
+/** What an endpoint reports about its availability with a response, independent of the request's result. */
 export interface EndpointNotice {
-  /** Whether it leaves. */
+  /** Whether the endpoint is leaving. */
   readonly isLeaving: boolean;
-  /** Milliseconds for which it wants no request from this instance; undefined where it names no time. */
+  /** Milliseconds for which the endpoint wants no requests from this instance; undefined if it states no time. */
   readonly holdOffMs: number | undefined;
-  /** Text of a time that could not be read. */
+  /** Text of a time that could not be parsed. */
   readonly unreadableTime?: string | undefined;
 }
 
-/** How many requests a second an endpoint in need takes of all instances together. */
+/** Limit that an overloaded endpoint advertises: requests per second that it accepts from all instances together. */
 export interface AdvertisedLimit {
-  /** Undefined where the word can't be read. */
+  /** Undefined if the advertised value can't be parsed. */
   readonly perSecond: number | undefined;
-  /** Text of a word that could not be read. */
+  /** Text of a value that could not be parsed. */
   readonly unreadable?: string | undefined;
 }
 
-/** An answer's head, read. */
+/** Head of an endpoint's response, parsed. */
 export interface ResponseHead {
   readonly executionStatus: ExecutionStatus;
   readonly load: EndpointLoad | undefined;
-  /** Undefined where the endpoint says nothing of itself, or where the answer is not this endpoint's. */
+  /** Undefined if the endpoint reports nothing about itself, or if the response is not this endpoint's. */
   readonly notice: EndpointNotice | undefined;
-  /** Undefined where the endpoint names no limit, or where the answer is not this endpoint's. */
+  /** Undefined if the endpoint advertises no limit, or if the response is not this endpoint's. */
   readonly limit?: AdvertisedLimit | undefined;
 }
 
-/** How callers speak. */
+/** Protocol between callers and the gateway. */
 export interface CallerProtocol {
   readonly readinessPath: string;
   /** Fails with `BadRequest`. */
   readHead(headers: IncomingHttpHeaders): Result<CallerRequestHead, Failure>;
-  /** Headers of an answer of our own: name, value, name, value, … */
+  /** Returns the headers of the gateway's own responses: name, value, name, value, … */
   createGatewayHeaders(requestId: string | undefined): string[];
 }
 
-/** How endpoints are spoken to. */
+/** Protocol between the gateway and endpoints. */
 export interface EndpointProtocol {
-  /** Headers of a request from those of the caller; both are name, value, name, value, … */
+  /** Returns the headers of a request to an endpoint, made from the caller's; both are name, value, name, value, … */
   createHeaders(callerHeaders: readonly string[], dispatch: DispatchHead): string[];
   readResponseHead(requestId: string, status: number, headers: IncomingHttpHeaders): ResponseHead;
 }
 
-/** Who gives an order. */
+/** Sender of an order: the leader's name and its fencing token. */
 export interface OrderSender {
   readonly holder: string;
   readonly fence: number;
 }
 
-/** Runs that began in one window, by workspace. */
+/** Number of runs that began in one window, by workspace. */
 export interface UsageReport {
   readonly window: number;
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** How many endpoints of one price class a data hall should have. */
+/** Desired number of endpoints of one price class in a data hall. */
 export interface CapacityOrder {
   readonly service: string;
   readonly hall: string;
@@ -315,16 +316,16 @@
   readonly isReclaimable: boolean;
 }
 
-/** What became of an order. */
+/** Result of an order. */
 export enum OrderOutcome {
   Taken = 1,
-  /** None of that class is to be had there at present. */
+  /** No endpoint of that price class is available in the data hall at present. */
   NoneAvailable = 2,
 }
 
 /**
- * The platform's interface for orders. Failures: `ServiceUnavailable`, `ServiceAnswerLost`, and `FenceOutdated` where a
- * higher fence has been used for the same matter.
+ * The platform's interface for orders. Failures: `ServiceUnavailable`, `ServiceAnswerLost`, and `FenceOutdated` if a higher
+ * fencing token has been used for the same matter.
  */
 export interface OrderService {
   reportUsage(report: UsageReport, sender: OrderSender): Promise<Result<OrderOutcome, Failure>>;
@@ -332,7 +333,7 @@
   close(): Promise<void>;
 }
 
-/** Everything the gateway needs of a platform; plug-ins of kind `Platform` create one. */
+/** Everything that the gateway needs from a platform; created by plug-ins of kind `Platform`. */
 export interface PlatformAdapter {
   readonly store: MetadataStore;
   readonly orders: OrderService;
@@ -344,10 +345,10 @@
   decodeEndpoint(key: string, value: Uint8Array): Result<EndpointRecord, Failure>;
 }
 
-/** Options that platform plug-ins are created with. */
+/** Options of platform plug-ins. */
 export interface PlatformOptions {
   readonly storeAddress: string;
   readonly ordersAddress: string;
-  /** Longest time of a call. */
+  /** Timeout of a call. */
   readonly timeoutMs: number;
 }
