--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -176,7 +176,7 @@
     const { excluded } = this;
     const { promptTokens = 0, parts } = head;
     const avoidsLimited = this.permitRefusals >= maxPermitRefusals;
-    const wanted = { service, promptTokens, parts, excluded, rank: this.permitRank, avoidsLimited };
+    const placementRequest = { service, promptTokens, parts, excluded, rank: this.permitRank, avoidsLimited };
     if (suspects.hasSuspects(this.workspace)) {
       const { subject } = this;
       const leftMs = this.getTimeLeft();
@@ -190,8 +190,8 @@
       if (trial.isErr()) return trial;
       this.trial = trial.value;
     }
-    if (this.trial) return Ok(placer.describe(wanted, this.trial.endpoint));
-    const placement = placer.choose(wanted);
+    if (this.trial) return Ok(placer.describe(placementRequest, this.trial.endpoint));
+    const placement = placer.choose(placementRequest);
     return placement ? Ok(placement) : Err(createRefusal(FailureCode.NoEndpoint, service));
   }
 
@@ -200,8 +200,8 @@
     const { permits, clock } = this.parts;
     const { endpoint } = placement;
     if (permits.isUnlimited(endpoint)) return this.sendTo(placement);
-    const wanted = { id: this.request.head.id, rank: this.permitRank, leftMs: this.getTimeLeft() };
-    const isGranted = await permits.acquire(endpoint, wanted);
+    const permitRequest = { id: this.request.head.id, rank: this.permitRank, leftMs: this.getTimeLeft() };
+    const isGranted = await permits.acquire(endpoint, permitRequest);
     // The endpoint's state may have changed while the permit was requested.
     if (isGranted && endpoint.acceptsPermitted(clock.getTime())) return this.sendTo(placement);
     this.permitRefusals += 1;
@@ -210,7 +210,7 @@
       endpoint: endpoint.id,
       perSecond: limit.perSecond,
       limitAgeMs: Math.round(limit.getAge(clock.getTime())),
-      rank: wanted.rank,
+      rank: permitRequest.rank,
       waitMs: Math.round(limit.getWaitMs(clock.getTime())),
     });
     if (!this.trial) return NextStep.Retry;
@@ -321,23 +321,23 @@
     const target = message.url ?? "/";
     const base = { pool, protocol: platform.endpoints, requestId: head.id, connectTimeoutMs };
     const sentAt = this.parts.clock.getTime();
-    const onHead = (answer: ResponseHead, status: number): void =>
-      this.handleResponseHead(endpoint, answer, { requestId: head.id, status, sentAt });
+    const onHead = (responseHead: ResponseHead, status: number): void =>
+      this.handleResponseHead(endpoint, responseHead, { requestId: head.id, status, sentAt });
     return Attempt.create({ ...base, method, target, headers, body, onHead });
   }
 
   /** Records what an endpoint reports about itself, whatever becomes of the request. */
   private handleResponseHead(
     endpoint: Endpoint,
-    { executionStatus: word, load, notice, limit }: ResponseHead,
+    { executionStatus, load, notice, limit }: ResponseHead,
     source: LimitSource,
   ): void {
     const { clock, directory, limits } = this.parts;
     if (load) endpoint.noteLoad(load, clock.getTime());
-    if (word === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
+    if (executionStatus === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
     if (notice) directory.handleNotice(endpoint, notice, source);
     // A refusal or failure without a limit does not mean that the limit has ended: the endpoint may still be overloaded.
-    const isServed = word === ExecutionStatus.Ran && source.status < minServerErrorStatus;
+    const isServed = executionStatus === ExecutionStatus.Ran && source.status < minServerErrorStatus;
     if (limit !== undefined || isServed) limits.handleAnswer(endpoint, limit, source);
   }
 
@@ -426,7 +426,7 @@
 
   private async relayStream(
     placement: Placement,
-    answer: IncomingMessage,
+    endpointResponse: IncomingMessage,
     startedAt: number,
     clearPending: () => void,
   ): Promise<NextStep> {
@@ -442,7 +442,7 @@
       this.countUsageOnce(this.parts.getTimeOfDay());
       this.parts.placer.memory.noteSent(head.parts, endpoint.incarnation);
     };
-    const relayOutcome = await this.relay.relay(answer, onFirst);
+    const relayOutcome = await this.relay.relay(endpointResponse, onFirst);
     if (this.isOver) return NextStep.Done;
     endpoint.noteOutcome(relayOutcome === RelayOutcome.Complete, this.parts.clock.getTime());
     if (relayOutcome === RelayOutcome.Complete) {
--- a/packages/gateway/src/capacityPlan.ts
+++ b/packages/gateway/src/capacityPlan.ts
@@ -57,20 +57,20 @@
 
 /** Spreads the needed number evenly; the other data halls make up for those that refuse orders. */
 function planReclaimable({ halls, needed, limits }: CapacityInput): Map<string, number> {
-  const wanted = new Map<string, number>();
+  const desired = new Map<string, number>();
   const open = halls.filter((hall) => !hall.isReclaimableRefused);
   for (const { hall, reclaimable, isReclaimableRefused } of halls) {
-    wanted.set(hall, isReclaimableRefused ? reclaimable : 0);
+    desired.set(hall, isReclaimableRefused ? reclaimable : 0);
   }
   let left = needed - halls.filter((hall) => hall.isReclaimableRefused).reduce(sumReclaimable, 0);
   const sorted = [...open].sort((one, other) => getPrice(limits, one.hall) - getPrice(limits, other.hall));
   while (left > 0) {
-    const next = findSmallestHall(sorted, wanted, limits.max);
-    if (next === undefined) return wanted;
-    wanted.set(next, (wanted.get(next) ?? 0) + 1);
+    const next = findSmallestHall(sorted, desired, limits.max);
+    if (next === undefined) return desired;
+    desired.set(next, (desired.get(next) ?? 0) + 1);
     left -= 1;
   }
-  return wanted;
+  return desired;
 }
 
 /**
@@ -84,30 +84,30 @@
   const counted = input.isLoadAwaited ? Math.max(serving, halls.reduce(sumOrdered, 0)) : serving;
   const { atRisk = 0 } = input;
   const isEnough = counted - atRisk >= needed * releaseShare;
-  const kept = serving - atRisk;
+  const remaining = serving - atRisk;
   const missing = isEnough
     ? 0
-    : Math.max(0, Math.ceil(needed * (isReclaimableScarce ? onDemandShare : 1)) - kept);
+    : Math.max(0, Math.ceil(needed * (isReclaimableScarce ? onDemandShare : 1)) - remaining);
   const sorted = [...halls].sort((one, other) => getPrice(limits, one.hall) - getPrice(limits, other.hall));
-  const wanted = new Map<string, number>();
+  const desired = new Map<string, number>();
   for (const hall of sorted) {
-    const room = getFreePlaces(hall, limits, reclaimable.get(hall.hall) ?? 0);
-    const least = Math.max(0, limits.min - (reclaimable.get(hall.hall) ?? 0));
-    wanted.set(hall.hall, Math.max(least, Math.min(room, isEnough ? 0 : hall.onDemandOrdered)));
+    const freePlaces = getFreePlaces(hall, limits, reclaimable.get(hall.hall) ?? 0);
+    const minimum = Math.max(0, limits.min - (reclaimable.get(hall.hall) ?? 0));
+    desired.set(hall.hall, Math.max(minimum, Math.min(freePlaces, isEnough ? 0 : hall.onDemandOrdered)));
   }
-  releaseSurplus(wanted, sorted, missing);
-  if (!isReclaimableScarce) return wanted;
-  let left = missing - sumValues(wanted);
+  releaseSurplus(desired, sorted, missing);
+  if (!isReclaimableScarce) return desired;
+  let left = missing - sumValues(desired);
   while (left > 0) {
     const open = sorted.filter(
-      (hall) => (wanted.get(hall.hall) ?? 0) < getFreePlaces(hall, limits, reclaimable.get(hall.hall) ?? 0),
+      (hall) => (desired.get(hall.hall) ?? 0) < getFreePlaces(hall, limits, reclaimable.get(hall.hall) ?? 0),
     );
-    const next = findSmallestHall(open, wanted, limits.max);
-    if (next === undefined) return wanted;
-    wanted.set(next, (wanted.get(next) ?? 0) + 1);
+    const next = findSmallestHall(open, desired, limits.max);
+    if (next === undefined) return desired;
+    desired.set(next, (desired.get(next) ?? 0) + 1);
     left -= 1;
   }
-  return wanted;
+  return desired;
 }
 
 /** Returns how many on-demand endpoints a data hall can hold; the maximum counts both price classes together. */
@@ -122,15 +122,15 @@
 
 /** Releases on-demand endpoints that clearly exceed the need, the most expensive data halls first. */
 function releaseSurplus(
-  wanted: Map<string, number>,
+  desired: Map<string, number>,
   cheapestFirst: readonly HallCount[],
   missing: number,
 ): void {
-  let surplus = sumValues(wanted) - Math.ceil(missing * maxSurplusShare);
+  let surplus = sumValues(desired) - Math.ceil(missing * maxSurplusShare);
   for (const { hall } of [...cheapestFirst].reverse()) {
-    const given = Math.min(Math.max(0, surplus), wanted.get(hall) ?? 0);
-    wanted.set(hall, (wanted.get(hall) ?? 0) - given);
-    surplus -= given;
+    const released = Math.min(Math.max(0, surplus), desired.get(hall) ?? 0);
+    desired.set(hall, (desired.get(hall) ?? 0) - released);
+    surplus -= released;
   }
 }
 
@@ -140,18 +140,18 @@
 
 function findSmallestHall(
   halls: readonly HallCount[],
-  wanted: ReadonlyMap<string, number>,
-  most: number,
+  desired: ReadonlyMap<string, number>,
+  max: number,
 ): string | undefined {
-  let least: string | undefined;
-  let leastCount = most;
+  let smallest: string | undefined;
+  let smallestCount = max;
   for (const { hall } of halls) {
-    const count = wanted.get(hall) ?? 0;
-    if (count >= leastCount) continue;
-    least = hall;
-    leastCount = count;
+    const count = desired.get(hall) ?? 0;
+    if (count >= smallestCount) continue;
+    smallest = hall;
+    smallestCount = count;
   }
-  return least;
+  return smallest;
 }
 
 function sumReclaimable(sum: number, hall: HallCount): number {
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -26,8 +26,8 @@
 const filePollMs = 2_000;
 
 /** Runs one instance until a signal stops it; `words` are the command-line arguments. */
-export async function runGatewayDaemon(words: readonly string[]): Promise<void> {
-  const options = await readArguments(words);
+export async function runGatewayDaemon(argv: readonly string[]): Promise<void> {
+  const options = await readArguments(argv);
   if (options.reference) {
     process.stdout.write(formatSettingsReference(gatewaySchema));
     return;
@@ -49,13 +49,13 @@
   await gateway.value.start();
 }
 
-async function readArguments(words: readonly string[]): Promise<DaemonArguments> {
-  const named = process.env[fileVariable];
-  if (words.length === 0 && named !== undefined) {
-    return { settings: named, check: false, print: false, reference: false, set: [] };
+async function readArguments(argv: readonly string[]): Promise<DaemonArguments> {
+  const defaultFile = process.env[fileVariable];
+  if (argv.length === 0 && defaultFile !== undefined) {
+    return { settings: defaultFile, check: false, print: false, reference: false, set: [] };
   }
   const { parseArguments } = await import("@gladewall/kernel/commandLine");
-  return parseArguments(words, named);
+  return parseArguments(argv, defaultFile);
 }
 
 function readDaemonSettings(options: DaemonArguments): Result<GatewaySettings, Failure[]> {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -70,17 +70,17 @@
       getViewAge: () => parts.members.viewAge ?? noViewAge,
       getUsableEndpoints: () => [...directory.getAll()].filter((endpoint) => endpoint.isUsable()).length,
       countLeaving: (source) =>
-        [...directory.getAll()].filter(({ availability: words }) => words.leavingSource === source).length,
+        [...directory.getAll()].filter(({ availability }) => availability.leavingSource === source).length,
       countHeldOff: () => {
         const time = parts.clock.getTime();
-        return [...directory.getAll()].filter(({ availability: words }) => words.getHoldOffMs(time) > 0)
+        return [...directory.getAll()].filter(({ availability }) => availability.getHoldOffMs(time) > 0)
           .length;
       },
       countLimited: () => {
-        const named = [...directory.getAll()].flatMap(
-          ({ availability: words }) => words.limit.perSecond ?? [],
+        const advertised = [...directory.getAll()].flatMap(
+          ({ availability }) => availability.limit.perSecond ?? [],
         );
-        return { endpoints: named.length, perSecond: named.reduce((sum, one) => sum + one, 0) };
+        return { endpoints: advertised.length, perSecond: advertised.reduce((sum, one) => sum + one, 0) };
       },
       isLeader: () => parts.leaderTasks.isActing(),
       getEra: () => platform.store.eras.current,
@@ -88,13 +88,13 @@
       countSuspects: () => parts.crashProtection.records.count(),
     });
     follower.onChange((table) => this.front.setLimits(table.configuration.limits));
-    const listAnew = (): void => {
+    const relist = (): void => {
       directory.restart();
       members.restart();
     };
-    follower.onRegained(listAnew);
-    platform.store.eras.onEraChange((rise) => {
-      if (isRestore(rise)) listAnew();
+    follower.onRegained(relist);
+    platform.store.eras.onEraChange((change) => {
+      if (isRestore(change)) relist();
     });
   }
 
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -103,15 +103,15 @@
     { service, excluded, rank, avoidsLimited = false }: PlacementRequest,
     time: number,
   ): readonly Endpoint[] {
-    const fresh: Endpoint[] = [];
-    const sound: Endpoint[] = [];
+    const eligible: Endpoint[] = [];
+    const reachable: Endpoint[] = [];
     for (const endpoint of this.options.getEndpoints(service.name)) {
       if (!endpoint.acceptsRequest(time, rank) || excluded.has(endpoint.incarnation)) continue;
       if (avoidsLimited && endpoint.availability.limit.perSecond !== undefined) continue;
-      fresh.push(endpoint);
-      if (!endpoint.isUnreachable(time)) sound.push(endpoint);
+      eligible.push(endpoint);
+      if (!endpoint.isUnreachable(time)) reachable.push(endpoint);
     }
-    return sound.length > 0 ? sound : fresh;
+    return reachable.length > 0 ? reachable : eligible;
   }
 
   private getUncachedTokens(
--- a/packages/gateway/src/quotaCharges.ts
+++ b/packages/gateway/src/quotaCharges.ts
@@ -126,30 +126,30 @@
     admission.addQuota(workspace, units);
     const total = counters.getOwnTotal(CounterKind.Quota, name);
     const uptime = Math.round(counters.getUptime());
-    const answer = await arbiters.call(createQuotaCall({ workspace: name, total, uptime, use }), waitMs);
-    const word = answer.isOk() ? answer.value.word : GrantDecision.Unknown;
-    metrics.countQuotaCall(GrantDecision[word]);
+    const reply = await arbiters.call(createQuotaCall({ workspace: name, total, uptime, use }), waitMs);
+    const decision = reply.isOk() ? reply.value.word : GrantDecision.Unknown;
+    metrics.countQuotaCall(GrantDecision[decision]);
     this.options.logger.debug("quota.asked", {
       request,
       workspace: name,
       units,
       total,
-      word: GrantDecision[word],
-      level: answer.isOk() ? answer.value.level : undefined,
+      word: GrantDecision[decision],
+      level: reply.isOk() ? reply.value.level : undefined,
     });
-    const isGranted = word === GrantDecision.Granted;
+    const isGranted = decision === GrantDecision.Granted;
     if (!isGranted) admission.addQuota(workspace, -units);
-    if (answer.isErr()) return admission.takeWithoutArbiter(workspace, units);
-    counters.applyLevel(name, answer.value.level, total, isGranted);
+    if (reply.isErr()) return admission.takeWithoutArbiter(workspace, units);
+    counters.applyLevel(name, reply.value.level, total, isGranted);
     return isGranted ? Ok(undefined) : Err(admission.createRefusal(workspace, units, use));
   }
 
   private registerGauges(workspace: Workspace): void {
     const { name, ratePerSecond } = workspace;
     if (ratePerSecond <= 0) return;
-    const isShown = this.monitored.has(name);
+    const isRegistered = this.monitored.has(name);
     this.monitored.set(name, workspace);
-    if (isShown) return;
+    if (isRegistered) return;
     const { admission, metrics } = this.options;
     const getState = (): QuotaState => admission.getQuotaState(this.monitored.get(name) ?? workspace);
     metrics.registerQuotaGauges(name, {
@@ -160,21 +160,16 @@
 
   private logTaken({ request, workspace, units }: RequestCharge): void {
     if (workspace.ratePerSecond <= 0) return;
-    const {
-      level,
-      knownLevel: known,
-      capacity: room,
-      share,
-    } = this.options.admission.getQuotaState(workspace);
-    if (level < room * minLoggedShare) return;
+    const { level, knownLevel, capacity, share } = this.options.admission.getQuotaState(workspace);
+    if (level < capacity * minLoggedShare) return;
     const viewAge = this.options.getViewAge();
     this.options.logger.debug("quota.taken", {
       request,
       workspace: workspace.name,
       units,
       level: Math.round(level),
-      known: Math.round(known),
-      room: Math.round(room),
+      known: Math.round(knownLevel),
+      room: Math.round(capacity),
       share,
       viewAgeMs: viewAge && Math.round(viewAge),
     });
--- a/packages/gateway/src/responseWriter.ts
+++ b/packages/gateway/src/responseWriter.ts
@@ -10,7 +10,7 @@
 export function writeEndpointResponse(
   response: ServerResponse,
   method: string | undefined,
-  answer: IncomingMessage,
+  endpointResponse: IncomingMessage,
   bytes: Buffer,
   closes: boolean,
 ): void {
@@ -19,15 +19,15 @@
     response.destroy();
     return;
   }
-  const headers = copyResponseHeaders(answer.rawHeaders);
+  const headers = copyResponseHeaders(endpointResponse.rawHeaders);
   if (method === "HEAD") {
-    const length = answer.headers["content-length"];
+    const length = endpointResponse.headers["content-length"];
     if (length !== undefined) headers.push("Content-Length", length);
   } else {
     headers.push("Content-Length", String(bytes.length));
   }
   if (closes) headers.push("Connection", "close");
-  response.writeHead(answer.statusCode ?? 0, answer.statusMessage, headers);
+  response.writeHead(endpointResponse.statusCode ?? 0, endpointResponse.statusMessage, headers);
   response.end(bytes);
 }
 
--- a/packages/gateway/src/retryBudget.ts
+++ b/packages/gateway/src/retryBudget.ts
@@ -71,8 +71,8 @@
     if (!this.hasCapacity(service, 1)) return false;
     counters.add(CounterKind.Retries, service, 1);
     const total = counters.getOwnTotal(CounterKind.Retries, service);
-    const question = createRetryCall({ service, total, uptime: Math.round(counters.getUptime()) }, isAble);
-    const reply = await arbiters.call(question, Math.min(maxArbiterWaitMs, leftMs * arbiterWaitShare));
+    const retryCall = createRetryCall({ service, total, uptime: Math.round(counters.getUptime()) }, isAble);
+    const reply = await arbiters.call(retryCall, Math.min(maxArbiterWaitMs, leftMs * arbiterWaitShare));
     if (reply.isOk() && reply.value.word === GrantDecision.Granted) {
       counters.confirm(CounterKind.Retries, service, total);
       return true;
@@ -85,10 +85,12 @@
 
   /** Decides as the arbiter of a service whether a peer may have taken a total of retries. */
   decideForPeer(peer: PeerIdentity, { service, total, uptime }: RetryCallArguments): RetryReply {
-    const early = { peer: peer.name, life: getIncarnationKey(peer), uptime, name: service, total };
+    const peerTotal = { peer: peer.name, life: getIncarnationKey(peer), uptime, name: service, total };
     const { counters } = this.options;
     return {
-      word: counters.applyTotal(CounterKind.Retries, early, (amount) => this.hasCapacity(service, amount)),
+      word: counters.applyTotal(CounterKind.Retries, peerTotal, (amount) =>
+        this.hasCapacity(service, amount),
+      ),
     };
   }
 
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -33,7 +33,7 @@
     private readonly fleet: FleetTopology,
     private readonly decide: (peer: PeerIdentity, ask: RetryCallArguments) => RetryReply,
   ) {
-    fleet.links.setHandler(retryCallKind, (message, peer) => this.answer(message as RetryCall, peer));
+    fleet.links.setHandler(retryCallKind, (message, peer) => this.handleCall(message as RetryCall, peer));
   }
 
   static create(
@@ -44,9 +44,9 @@
   }
 
   /** Replies `Unknown` if this instance does not receive the whole fleet's reports: it knows too little to decide. */
-  private answer({ service, total, uptime }: RetryCall, peer: PeerIdentity): RetryReply {
-    const isGood = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
-    if (!this.fleet.isCollector || !isGood) return { word: GrantDecision.Unknown };
+  private handleCall({ service, total, uptime }: RetryCall, peer: PeerIdentity): RetryReply {
+    const isValid = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
+    if (!this.fleet.isCollector || !isValid) return { word: GrantDecision.Unknown };
     return this.decide(peer, { service, total, uptime });
   }
 }
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -37,45 +37,45 @@
   }
 
   /** Forwards one endpoint's stream until it ends. Calls `onFirst` before the first event is forwarded. Never rejects. */
-  relay(answer: IncomingMessage, onFirst: () => void): Promise<RelayOutcome> {
+  relay(endpointResponse: IncomingMessage, onFirst: () => void): Promise<RelayOutcome> {
     this.lastId = this.lastEventId;
     this.splitter = EventSplitter.create(this.isResumable);
     let isFirst = true;
     return new Promise((resolve) => {
-      answer.on("data", (bytes: Buffer) => {
+      endpointResponse.on("data", (bytes: Buffer) => {
         const whole = this.splitter.add(bytes);
         if (whole.length === 0) return;
         if (isFirst) onFirst();
         isFirst = false;
-        this.write(answer, whole);
+        this.write(endpointResponse, whole);
       });
-      answer.on("end", () => {
-        if (!isCompleteResponse(answer)) return resolve(RelayOutcome.Interrupted);
-        this.finish(answer);
+      endpointResponse.on("end", () => {
+        if (!isCompleteResponse(endpointResponse)) return resolve(RelayOutcome.Interrupted);
+        this.finish(endpointResponse);
         resolve(RelayOutcome.Complete);
       });
       // After "end" this has no effect, because a promise settles only once.
-      answer.on("close", () => resolve(RelayOutcome.Interrupted));
+      endpointResponse.on("close", () => resolve(RelayOutcome.Interrupted));
     });
   }
 
-  private write(answer: IncomingMessage, bytes: Buffer): void {
-    this.writeHead(answer);
+  private write(endpointResponse: IncomingMessage, bytes: Buffer): void {
+    this.writeHead(endpointResponse);
     if (this.response.write(bytes)) return;
-    answer.pause();
-    this.response.once("drain", () => answer.resume());
+    endpointResponse.pause();
+    this.response.once("drain", () => endpointResponse.resume());
   }
 
-  private finish(answer: IncomingMessage): void {
-    this.writeHead(answer);
+  private finish(endpointResponse: IncomingMessage): void {
+    this.writeHead(endpointResponse);
     this.response.end(this.splitter.takeRest());
   }
 
   /** Writes the head with the first event, so that a stream interrupted before it can still get another response. */
-  private writeHead(answer: IncomingMessage): void {
+  private writeHead(endpointResponse: IncomingMessage): void {
     if (this.response.headersSent) return;
-    const headers = copyResponseHeaders(answer.rawHeaders);
+    const headers = copyResponseHeaders(endpointResponse.rawHeaders);
     if (this.isLeaving()) headers.push("Connection", "close");
-    this.response.writeHead(answer.statusCode ?? 0, answer.statusMessage, headers);
+    this.response.writeHead(endpointResponse.statusCode ?? 0, endpointResponse.statusMessage, headers);
   }
 }
