--- a/packages/gateway/test/capacityPlan.test.ts
+++ b/packages/gateway/test/capacityPlan.test.ts
@@ -19,7 +19,7 @@
   };
 }
 
-/** All ways to spread a number over the data halls. */
+/** Yields all ways to distribute a number over the data halls. */
 function* spread(needed: number, max: number, halls = hallNames.length): Generator<readonly number[]> {
   if (halls === 1) {
     if (needed <= max) yield [needed];
@@ -30,7 +30,7 @@
   }
 }
 
-/** Grows with the loss of one data hall and of any further ones: reclaims come in waves. */
+/** Weighs the loss of one data hall and of further ones, because reclaims come in waves. */
 function getLoss(counts: readonly number[]): number {
   return counts.reduce((sum, count) => sum + count * count, 0);
 }
@@ -40,7 +40,7 @@
 }
 
 t.test(
-  "of all ways to spread reclaimable endpoints, the plan's loses least with its data halls, and of these it is the cheapest",
+  "of all distributions of reclaimable endpoints, the plan has the least loss per data hall and the lowest cost among these",
   async (t) => {
     for (const prices of [
       [1, 0.8, 1.25, 0.9],
--- a/packages/gateway/test/completeResponses.test.ts
+++ b/packages/gateway/test/completeResponses.test.ts
@@ -20,7 +20,7 @@
   readonly instance: Awaited<ReturnType<GatewayTestBench["startReady"]>>;
 }
 
-/** One instance before endpoints with scripts, and one route of a kind. */
+/** Creates one instance with one route in front of scripted endpoints. */
 async function createTestBench(
   t: Tap,
   route: Parameters<typeof createRoute>[0],
@@ -43,7 +43,7 @@
 type Tap = Pick<typeof t, "teardown">;
 
 t.test(
-  "an answer comes back byte for byte, with the endpoint's signature and without its connection's headers",
+  "a response is forwarded unchanged, with the endpoint's signature and without hop-by-hop headers",
   async (t) => {
     const { bench, endpoints, instance } = await createTestBench(t, {}, [respondSuccess]);
     const answer = await bench.call(instance, {
@@ -63,7 +63,7 @@
   },
 );
 
-t.test("an answer without length that ends with its connection is whole", async (t) => {
+t.test("a response without length that ends with its connection is complete", async (t) => {
   const script: EndpointScript = ({ id, socket }) => {
     socket.end(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nConnection: close\r\n\r\nall of it`);
   };
@@ -71,30 +71,33 @@
   t.match(await bench.call(instance), { status: 200, body: "all of it", isComplete: true });
 });
 
-t.test("an answer without length that is reset is not whole, one that ends in order is", async (t) => {
-  for (const isReset of [true, false]) {
-    const server = createServer((socket) => {
-      socket.on("error", () => undefined);
-      socket.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of");
-    });
-    await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    const accepted = once(server, "connection") as Promise<[Socket]>;
-    const sent = request({ port: (server.address() as AddressInfo).port, host: "127.0.0.1", agent: false });
-    sent.on("error", () => undefined);
-    sent.end();
-    const [socket] = await accepted;
-    const [answer] = (await once(sent, "response")) as [IncomingMessage];
-    const body = readResponseBody(answer);
-    // The first piece has arrived before the connection ends, as on a real network.
-    await once(answer, "data");
-    if (isReset) socket.resetAndDestroy();
-    else socket.end();
-    t.same(await body, { bytes: Buffer.from("half of"), isComplete: !isReset });
-    server.close();
-  }
-});
+t.test(
+  "a response without length is complete if its connection is closed in order, but not if it is reset",
+  async (t) => {
+    for (const isReset of [true, false]) {
+      const server = createServer((socket) => {
+        socket.on("error", () => undefined);
+        socket.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of");
+      });
+      await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
+      const accepted = once(server, "connection") as Promise<[Socket]>;
+      const sent = request({ port: (server.address() as AddressInfo).port, host: "127.0.0.1", agent: false });
+      sent.on("error", () => undefined);
+      sent.end();
+      const [socket] = await accepted;
+      const [answer] = (await once(sent, "response")) as [IncomingMessage];
+      const body = readResponseBody(answer);
+      // The first chunk arrives before the connection ends, as on a real network.
+      await once(answer, "data");
+      if (isReset) socket.resetAndDestroy();
+      else socket.end();
+      t.same(await body, { bytes: Buffer.from("half of"), isComplete: !isReset });
+      server.close();
+    }
+  },
+);
 
-t.test("an answer without length whose data and reset arrive together is not whole", async (t) => {
+t.test("a response without length whose data and reset arrive together is not complete", async (t) => {
   const script: EndpointScript = ({ id, socket }) => {
     socket.write(`HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nConnection: close\r\n\r\nhalf of`, () =>
       socket.resetAndDestroy(),
@@ -104,7 +107,7 @@
   t.equal((await bench.call(instance, { method: "POST", body: "x" })).status, 502);
 });
 
-t.test("a stream without length that is reset does not look complete", async (t) => {
+t.test("a stream without length that is reset does not look complete to the caller", async (t) => {
   const { bench, endpoints, instance } = await createTestBench(t, { kind: RouteKind.Stream, attempts: 1 }, [
     ({ id, socket }) => {
       const head = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nConnection: close\r\n\r\n`;
@@ -117,7 +120,7 @@
 });
 
 t.test(
-  "a cut answer of a safe request is had from another endpoint; of an unsafe one it is a 502",
+  "a safe request whose response is interrupted is retried at another endpoint; an unsafe one gets a 502",
   async (t) => {
     const cut: EndpointScript = ({ id, response, socket }) => {
       response.writeHead(200, { "x-id": id, "x-stamp": "s", "content-length": 100 });
@@ -127,7 +130,7 @@
     for (const endpoint of safe.endpoints) {
       let isFirst = true;
       endpoint.script = (call) => {
-        // Whichever endpoint comes first cuts its answer.
+        // Whichever endpoint is called first interrupts its response.
         const hasOther = safe.endpoints.some((other) => other !== endpoint && other.requests.length > 0);
         if (isFirst && !hasOther) cut(call);
         else respondSuccess(call);
@@ -142,7 +145,7 @@
 );
 
 t.test(
-  "what an endpoint did not run is sent elsewhere, an unsafe request too; where none runs it, 503",
+  "a request that an endpoint did not run, even an unsafe one, is sent to another; if none runs it, it gets a 503",
   async (t) => {
     const { bench, instance, endpoints } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [
       respondNotRun,
@@ -159,7 +162,7 @@
   },
 );
 
-t.test("an answer that belongs to another request reaches nobody", async (t) => {
+t.test("a response that belongs to another request reaches no caller", async (t) => {
   const foreign: EndpointScript = ({ response }) => {
     response.writeHead(200, { "x-id": "somebody-else", "x-stamp": "s", "content-length": 5 });
     response.end("wrong");
@@ -170,7 +173,7 @@
   t.notMatch(answer.body, "wrong");
 });
 
-t.test("a second answer on a kept connection is never taken for the next request's", async (t) => {
+t.test("a second response on a kept-alive connection is never used for the next request", async (t) => {
   const twice: EndpointScript = ({ id, socket }) => {
     const answer = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok`;
     socket.write(answer + answer);
@@ -183,7 +186,7 @@
 });
 
 t.test(
-  "a stream that is cut goes on at another endpoint after the last whole event, in the same answer",
+  "an interrupted stream continues at another endpoint after the last complete event, in the same response",
   async (t) => {
     const route = { kind: RouteKind.Stream, attempts: 2, isResumable: true };
     const { bench, instance, endpoints } = await createTestBench(t, route, [
@@ -209,7 +212,7 @@
 );
 
 t.test(
-  "a stream that may not be resumed is cut off, and a client that leaves frees its endpoint",
+  "a stream that is not resumable runs once, and a caller that disconnects closes it at the endpoint",
   async (t) => {
     const { bench, instance, endpoints } = await createTestBench(t, { kind: RouteKind.Stream, attempts: 1 }, [
       startEventStream,
@@ -232,7 +235,7 @@
 );
 
 t.test(
-  "a request without an answer ends at its route's time with 504, one that was never sent with 503",
+  "a request without a response gets a 504 at its route's timeout, one that was never sent a 503",
   async (t) => {
     const silent = await createTestBench(t, { timeoutMs: 60, attempts: 1 }, [() => undefined]);
     t.equal((await silent.bench.call(silent.instance)).status, 504);
@@ -244,18 +247,21 @@
   },
 );
 
-t.test("a request that ran once and was then not run elsewhere is not said to be not run", async (t) => {
-  const reset: EndpointScript = ({ socket }) => socket.resetAndDestroy();
-  const { bench, endpoints, instance } = await createTestBench(t, {}, [reset, reset]);
-  for (const endpoint of endpoints) {
-    endpoint.script = (call) => {
-      const isFirst = endpoints.every((other) => other === endpoint || other.requests.length === 0);
-      if (isFirst) reset(call);
-      else respondNotRun(call);
-    };
-  }
-  const answer = await bench.call(instance);
-  t.equal(endpoints[0]!.requests.length + endpoints[1]!.requests.length, 2);
-  t.match(answer, { status: 502, isComplete: true });
-  t.equal(answer.headers["retry-after"], undefined);
-});
+t.test(
+  "a request that may have run once gets no status that denies it, although another endpoint did not run it",
+  async (t) => {
+    const reset: EndpointScript = ({ socket }) => socket.resetAndDestroy();
+    const { bench, endpoints, instance } = await createTestBench(t, {}, [reset, reset]);
+    for (const endpoint of endpoints) {
+      endpoint.script = (call) => {
+        const isFirst = endpoints.every((other) => other === endpoint || other.requests.length === 0);
+        if (isFirst) reset(call);
+        else respondNotRun(call);
+      };
+    }
+    const answer = await bench.call(instance);
+    t.equal(endpoints[0]!.requests.length + endpoints[1]!.requests.length, 2);
+    t.match(answer, { status: 502, isComplete: true });
+    t.equal(answer.headers["retry-after"], undefined);
+  },
+);
--- a/packages/gateway/test/decisions.test.ts
+++ b/packages/gateway/test/decisions.test.ts
@@ -18,7 +18,7 @@
 
 const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 
-t.test("a route is found by host and longest prefix", async (t) => {
+t.test("a route is found by its host and longest prefix", async (t) => {
   const routes = ["/", "/a/", "/a/b/"].map((prefix) => createRoute({ name: prefix, prefix }));
   const table = RouteTable.create({
     version: 1,
@@ -36,7 +36,7 @@
   t.equal(table.findWorkspaceByKey("none"), undefined);
 });
 
-t.test("targets are drawn by weight", async (t) => {
+t.test("targets are picked by weight", async (t) => {
   const targets = [
     { service: "a", weight: 90 },
     { service: "b", weight: 10 },
@@ -47,7 +47,7 @@
   );
 });
 
-t.test("a sliding window forgets what is older than its length, and no sooner", async (t) => {
+t.test("a sliding window drops amounts that are older than its length, and no others", async (t) => {
   const window = SlidingWindow.create(8_000);
   window.add(1_000, 5);
   window.add(2_000, 7);
@@ -57,7 +57,7 @@
   t.equal(window.getSum(99_000), 0);
 });
 
-t.test("events are cut behind blank lines, whatever the pieces they come in", async (t) => {
+t.test("events are split after blank lines, whatever chunks they arrive in", async (t) => {
   const text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
   for (let size = 1; size <= text.length; size++) {
     const splitter = EventSplitter.create(true);
@@ -71,7 +71,7 @@
   }
 });
 
-t.test("a peer's totals count once, whatever is lost or repeated", async (t) => {
+t.test("a peer's totals are counted once, whether reports are lost or repeated", async (t) => {
   const clock = VirtualClock.create();
   const windows = {
     [CounterKind.Quota]: 8_000,
@@ -97,7 +97,7 @@
 });
 
 t.test(
-  "usage adds up over lives of instances, and a life's later word replaces its earlier one",
+  "usage is summed over incarnations of instances, and a later report of one replaces the earlier report",
   async (t) => {
     const usage = UsageCounts.create();
     usage.add(7, "a");
@@ -108,7 +108,7 @@
   },
 );
 
-t.test("the time of day does not follow a jump of the wall clock, but most peers", async (t) => {
+t.test("the time of day follows the majority of peers instead of a jump of the wall clock", async (t) => {
   const clock = VirtualClock.create();
   let step = 0;
   const stepped = {
@@ -129,7 +129,7 @@
 });
 
 t.test(
-  "words that were long under way do not drive the time of day back, one word is not corrected twice",
+  "delayed messages do not set the time of day back, and one message is not corrected for twice",
   async (t) => {
     const clock = VirtualClock.create();
     const time = DisciplinedClock.create(clock);
@@ -150,7 +150,7 @@
 );
 
 t.test(
-  "reclaimable endpoints are spread over data halls, on-demand ones fill only what is missing",
+  "reclaimable endpoints are spread over the data halls, on-demand ones only fill what is missing",
   async (t) => {
     const scaling = {
       min: 1,
@@ -191,14 +191,14 @@
       createHall("a", { isReclaimableRefused: true }),
       createHall("b", { reclaimable: 2, isReclaimableRefused: true }),
     ];
-    // On-demand endpoints make up for most of what is missing, not for all: they are dear.
+    // On-demand endpoints only make up for most of what is missing, because they are expensive.
     t.same(plan(dry, 4, true), ["ar0", "ad1", "br2", "bd0"]);
     const asked = dry.map((hall) => ({ ...hall, isReclaimableRefused: false }));
     t.same(plan(asked, 4, true), ["ar2", "ad0", "br2", "bd1"]);
   },
 );
 
-t.test("on-demand endpoints that were ordered are kept until enough reclaimable ones serve", async (t) => {
+t.test("ordered on-demand endpoints are kept until enough reclaimable ones serve", async (t) => {
   const scaling = { min: 0, max: 12, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices: new Map([["a", 1]]) };
   const plan = (reclaimable: number) =>
     planCapacity({
@@ -220,7 +220,7 @@
   t.same([plan(1), plan(3), plan(4)], [3, 2, 0]);
 });
 
-t.test("in a wave of reclaims, what the next data hall would lose is provided for", async (t) => {
+t.test("in a wave of reclaims, replacements for the next data hall are ordered in advance", async (t) => {
   const scaling = { min: 0, max: 12, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices: new Map([["a", 1]]) };
   const createHall = (hall: string, reclaimable: number): HallCount => ({
     hall,
@@ -241,36 +241,45 @@
     })
       .filter(({ isReclaimable }) => !isReclaimable)
       .reduce((sum, { desired }) => sum + desired, 0);
-  t.same([plan(0), plan(5)], [0, 0], "seven are enough for the dear share of ten");
+  t.same([plan(0), plan(5)], [0, 0], "seven are enough for the on-demand share of ten");
   t.same([plan(9), plan(12)], [4, 7]);
 });
 
-t.test("before the first load, on-demand endpoints go as soon as orders for others are taken", async (t) => {
-  const scaling = { min: 0, max: 12, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices: new Map([["a", 1]]) };
-  const plan = (reclaimableOrdered: number, isLoadAwaited: boolean) =>
-    planCapacity({
-      service: "s",
-      limits: scaling,
-      halls: [
-        {
-          hall: "a",
-          reclaimable: 0,
-          reclaimableOrdered,
-          onDemand: 4,
-          onDemandOrdered: 4,
-          isReclaimableRefused: false,
-          isReclaimableExhausted: false,
-        },
-      ],
-      needed: 4,
-      isReclaimableScarce: false,
-      isLoadAwaited,
-    }).find(({ isReclaimable }) => !isReclaimable)?.desired;
-  t.same([plan(0, true), plan(4, true), plan(4, false)], [4, 0, 4]);
-});
+t.test(
+  "before the first load, on-demand endpoints are released as soon as orders for reclaimable ones are accepted",
+  async (t) => {
+    const scaling = {
+      min: 0,
+      max: 12,
+      bootMs: 4_000,
+      reclaimablePrice: 0.2,
+      hallPrices: new Map([["a", 1]]),
+    };
+    const plan = (reclaimableOrdered: number, isLoadAwaited: boolean) =>
+      planCapacity({
+        service: "s",
+        limits: scaling,
+        halls: [
+          {
+            hall: "a",
+            reclaimable: 0,
+            reclaimableOrdered,
+            onDemand: 4,
+            onDemandOrdered: 4,
+            isReclaimableRefused: false,
+            isReclaimableExhausted: false,
+          },
+        ],
+        needed: 4,
+        isReclaimableScarce: false,
+        isLoadAwaited,
+      }).find(({ isReclaimable }) => !isReclaimable)?.desired;
+    t.same([plan(0, true), plan(4, true), plan(4, false)], [4, 0, 4]);
+  },
+);
 
 t.test(
-  "a data hall full of on-demand endpoints makes room for reclaimable ones that can be had, and surplus is given up",
+  "a data hall full of on-demand endpoints yields places to available reclaimable ones and releases surplus",
   async (t) => {
     const scaling = { min: 0, max: 7, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices: new Map([["a", 1]]) };
     const plan = (
@@ -297,13 +306,13 @@
     t.same(plan(4, false), [4, 3]);
     t.same(plan(4, true), [0, 4]);
     t.same(plan(7, true), [0, 6]);
-    // The pause after a refusal has ended, and nothing was given since.
+    // The cooldown after a refusal has ended, and no order has been accepted since.
     t.same(plan(7, false, true), [7, 7]);
   },
 );
 
 t.test(
-  "whatever is added to a leaky bucket within its room, no window holds more than room and rate allow",
+  "as long as a leaky bucket stays within its capacity, no window exceeds what capacity and rate allow",
   async (t) => {
     const bucket = LeakyBucket.create();
     bucket.setRate(0, 100);
--- a/packages/gateway/test/demandEstimator.test.ts
+++ b/packages/gateway/test/demandEstimator.test.ts
@@ -29,7 +29,7 @@
 
 const service = createService({ name: "pool", engine: { slots: 16, tokenCapacity: 400_000 } });
 
-t.test("the need is what prompts ask for or what requests under way occupy, whichever is more", async (t) => {
+t.test("the need is the larger of what prompt tokens and requests in progress require", async (t) => {
   let active = 0;
   const { clock, demand } = createDemand(() => active);
   for (let second = 0; second < 10; second++) {
@@ -37,13 +37,13 @@
     demand.getNeededEndpoints(service, 4, 4);
     await clock.advance(1_000);
   }
-  // The window of four seconds holds five prompts: 125 tokens a millisecond, at 20 an endpoint.
+  // The window of four seconds holds five prompts: 125 tokens per millisecond, at 20 per endpoint.
   t.equal(demand.getNeededEndpoints(service, 4, 4), 7);
   active = 96;
   t.equal(demand.getNeededEndpoints(service, 4, 4), 15);
 });
 
-t.test("a need that has passed is provided for a while longer", async (t) => {
+t.test("a peak of the need is held for a while after it has passed", async (t) => {
   let active = 96;
   const { clock, demand } = createDemand(() => active);
   demand.countPromptTokens("pool", 1_000);
--- a/packages/gateway/test/engineTestBench.ts
+++ b/packages/gateway/test/engineTestBench.ts
@@ -1,5 +1,5 @@
 /**
- * A bench with one engine that answers nothing until the test says so.
+ * A test bench with one engine that only responds when the test makes it respond.
  * @module
  */
 import type { Test } from "tap";
@@ -12,14 +12,14 @@
   ScriptedEndpoint,
 } from "@gladewall/standins";
 
-/** What a test works with. */
+/** The bench and the requests that its engine holds. */
 export interface EngineTestBench {
   readonly bench: GatewayTestBench;
-  /** Requests that the engine has and has not answered. */
+  /** Requests that the engine has received and not responded to. */
   readonly held: EndpointRequest[];
 }
 
-/** Creates the bench; the engine is listed as `b`, with eight slots. */
+/** Creates the bench; the engine is registered as `b` and has eight slots. */
 export async function createEngineTestBench(t: Pick<Test, "teardown">): Promise<EngineTestBench> {
   const bench = GatewayTestBench.create();
   bench.platform.configure({
--- a/packages/gateway/test/explain.test.ts
+++ b/packages/gateway/test/explain.test.ts
@@ -13,7 +13,7 @@
   waitUntil,
 } from "@gladewall/standins";
 
-/** One instance whose log lines are kept. */
+/** Creates one instance whose log lines are recorded. */
 async function createTestBench(t: Pick<Test, "teardown">, route: Parameters<typeof createRoute>[0]) {
   const lines: string[] = [];
   const bench = GatewayTestBench.create(
@@ -32,7 +32,7 @@
 }
 
 t.test(
-  "a refusal for a limit leads from its id to the level, the room and the part of the fleet heard",
+  "the log of a request refused for a limit shows the level, the capacity and the known share of the fleet",
   async (t) => {
     const { bench, instance, find } = await createTestBench(t, {});
     t.equal((await bench.call(instance, { key: "key" })).status, 200);
@@ -44,29 +44,32 @@
   },
 );
 
-t.test("a cut stream leads from its id to its endpoint, and from there to the endpoint's end", async (t) => {
-  const { bench, instance, endpoint, find } = await createTestBench(t, {
-    kind: RouteKind.Stream,
-    attempts: 1,
-  });
-  endpoint.script = (call) => {
-    startEventStream(call);
-    call.response.write("id: 1\ndata: a\n\n");
-  };
-  const onData = (): void => {
-    bench.platform.putEndpoint({ id: "b1", address: endpoint.address, isLeaving: true });
-    void waitUntil(() => instance.gateway.countEndpoints("web") === 0).then(() =>
-      endpoint.requests[0]?.socket.destroy(),
-    );
-  };
-  await bench.call(instance, { id: "cut", key: "key", method: "POST", body: "x", onData });
-  await waitUntil(() => find("request.failed", "request=cut") !== undefined);
-  t.match(find("stream.cut", "request=cut"), /endpoint=b1/);
-  t.match(find("request.failed", "request=cut"), /failure=EndpointCut mayHaveRun=true endpoint=b1/);
-  t.match(find("endpoint.state", "endpoint=b1"), /state=Leaving cause=record/);
-});
+t.test(
+  "the log of an interrupted stream shows its endpoint, whose own log lines show why it ended",
+  async (t) => {
+    const { bench, instance, endpoint, find } = await createTestBench(t, {
+      kind: RouteKind.Stream,
+      attempts: 1,
+    });
+    endpoint.script = (call) => {
+      startEventStream(call);
+      call.response.write("id: 1\ndata: a\n\n");
+    };
+    const onData = (): void => {
+      bench.platform.putEndpoint({ id: "b1", address: endpoint.address, isLeaving: true });
+      void waitUntil(() => instance.gateway.countEndpoints("web") === 0).then(() =>
+        endpoint.requests[0]?.socket.destroy(),
+      );
+    };
+    await bench.call(instance, { id: "cut", key: "key", method: "POST", body: "x", onData });
+    await waitUntil(() => find("request.failed", "request=cut") !== undefined);
+    t.match(find("stream.cut", "request=cut"), /endpoint=b1/);
+    t.match(find("request.failed", "request=cut"), /failure=EndpointCut mayHaveRun=true endpoint=b1/);
+    t.match(find("endpoint.state", "endpoint=b1"), /state=Leaving cause=record/);
+  },
+);
 
-t.test("a 504 leads from its id to the endpoint that was silent", async (t) => {
+t.test("the log of a 504 shows the endpoint that did not respond", async (t) => {
   const { bench, instance, endpoint, find } = await createTestBench(t, { timeoutMs: 50, attempts: 1 });
   endpoint.script = () => undefined;
   t.equal((await bench.call(instance, { id: "late", key: "key" })).status, 504);
@@ -80,7 +83,7 @@
   t.match(page, /gladewall_ready 1/);
 });
 
-t.test("the page of settings is what the schema says, and mistakes name section and key", async (t) => {
+t.test("the settings page matches the schema, and error messages name section and key", async (t) => {
   const page = fileURLToPath(new URL("../../../../docs/operating/gateway-settings.md", import.meta.url));
   t.equal(
     readFileSync(page, "utf8").trim(),
--- a/packages/gateway/test/leaderTasks.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -27,7 +27,7 @@
 const prefix = "gladewall/usage/";
 const reviewEveryMs = 250;
 
-/** Instances that compete for the duties of one store; time is virtual. */
+/** Instances that compete for leadership in one store, on a virtual clock. */
 class DutyTestBench {
   readonly clock = VirtualClock.create();
   readonly shared = SharedStore.create(this.clock);
@@ -43,7 +43,7 @@
     };
   }
 
-  /** Starts an instance with the counts it has. */
+  /** Starts an instance with the given usage counts. */
   start(
     name: string,
     counts: UsageCounts = UsageCounts.create(),
@@ -127,7 +127,7 @@
   }
 }
 
-/** Counts of an instance in the windows of the next seconds. */
+/** Creates counts of an instance for the windows of the next seconds. */
 function createCounts(bench: DutyTestBench, amount: number): UsageCounts {
   const counts = UsageCounts.create();
   const first = Math.floor(bench.clock.getWallTime() / windowMs);
@@ -137,48 +137,48 @@
   return counts;
 }
 
-t.test("what was counted when all instances were killed is reported by the next holder", async (t) => {
-  const bench = new DutyTestBench();
-  const first = Math.floor(bench.clock.getWallTime() / windowMs);
-  const one = bench.start("one", createCounts(bench, 3));
-  await bench.clock.advance(4_000);
-  one.store.fault = StoreFault.Down;
-  const counts = UsageCounts.create();
-  counts.add(first, "a");
-  bench.start("two", counts);
-  await bench.clock.advance(20_000);
-  const reported = bench.orders.taken.find(({ usage }) => usage?.window === first);
-  t.same(reported?.usage?.counts, { a: 4 });
-});
-
 t.test(
-  "a window is reported with the same counts by whoever reports it, also after a lost answer",
+  "usage that was counted before all instances were killed is reported by the next leader",
   async (t) => {
     const bench = new DutyTestBench();
-    const one = bench.start("one", createCounts(bench, 1));
-    await bench.clock.advance(6_000);
-    const two = bench.start("two", createCounts(bench, 2));
-    await bench.clock.advance(6_000);
-    t.ok(one.duties.isActing());
-    one.store.fault = StoreFault.LosesResponses;
-    await bench.clock.advance(6_000);
-    // The first holder is gone without a word.
+    const first = Math.floor(bench.clock.getWallTime() / windowMs);
+    const one = bench.start("one", createCounts(bench, 3));
+    await bench.clock.advance(4_000);
     one.store.fault = StoreFault.Down;
-    await bench.clock.advance(30_000);
-    t.ok(two.duties.isActing());
-    const counts = new Map<number, Set<string>>();
-    for (const { usage } of bench.orders.taken) {
-      if (!usage) continue;
-      const told = counts.get(usage.window) ?? new Set();
-      counts.set(usage.window, told.add(JSON.stringify(usage.counts)));
-    }
-    t.ok(counts.size > 6);
-    for (const [window, told] of counts) t.equal(told.size, 1, `window ${window}`);
+    const counts = UsageCounts.create();
+    counts.add(first, "a");
+    bench.start("two", counts);
+    await bench.clock.advance(20_000);
+    const reported = bench.orders.taken.find(({ usage }) => usage?.window === first);
+    t.same(reported?.usage?.counts, { a: 4 });
   },
 );
 
+t.test("a window is reported with the same counts by every leader, also after a lost response", async (t) => {
+  const bench = new DutyTestBench();
+  const one = bench.start("one", createCounts(bench, 1));
+  await bench.clock.advance(6_000);
+  const two = bench.start("two", createCounts(bench, 2));
+  await bench.clock.advance(6_000);
+  t.ok(one.duties.isActing());
+  one.store.fault = StoreFault.LosesResponses;
+  await bench.clock.advance(6_000);
+  // The first leader stops without releasing its lease.
+  one.store.fault = StoreFault.Down;
+  await bench.clock.advance(30_000);
+  t.ok(two.duties.isActing());
+  const counts = new Map<number, Set<string>>();
+  for (const { usage } of bench.orders.taken) {
+    if (!usage) continue;
+    const told = counts.get(usage.window) ?? new Set();
+    counts.set(usage.window, told.add(JSON.stringify(usage.counts)));
+  }
+  t.ok(counts.size > 6);
+  for (const [window, told] of counts) t.equal(told.size, 1, `window ${window}`);
+});
+
 t.test(
-  "fences rise with each holder, and no two act by turns in time, even where leases lapse early",
+  "fencing tokens increase with each leader, and no two alternate within the window, even if leases expire early",
   async (t) => {
     const bench = new DutyTestBench();
     for (const name of ["one", "two", "three"]) bench.start(name);
@@ -188,7 +188,7 @@
     }
     const acts = bench.times.map(({ at, order }) => ({ at, ...order.sender }));
     const holders = new Set(acts.map(({ holder }) => holder));
-    t.ok(holders.size > 1, "the duties changed hands");
+    t.ok(holders.size > 1, "leadership has changed");
     let highest = 0;
     for (const { fence } of acts) {
       t.ok(fence >= highest);
@@ -202,7 +202,7 @@
   },
 );
 
-t.test("the first holder ever acts at once; a later one waits", async (t) => {
+t.test("the first leader ever acts at once; a later one waits", async (t) => {
   const bench = new DutyTestBench();
   const one = bench.start("one");
   await bench.clock.advance(1_600);
@@ -215,12 +215,15 @@
   t.ok(two.duties.isActing());
 });
 
-/** Returns the acts of a bench as a platform judges them. */
+/** Returns the orders that the platform received, with time and sender. */
 function getActs(bench: DutyTestBench) {
   return bench.times.map(({ at, order }) => ({ at, ...order.sender, usage: order.usage }));
 }
 
-/** Checks that fences rise, that no two holders act by turns in time, and that no window is reported with two figures. */
+/**
+ * Checks that fencing tokens increase, that no two leaders alternate within the window, and that no usage window is reported
+ * with different counts.
+ */
 function checkActs(t: Pick<Test, "ok" | "notOk" | "equal">, bench: DutyTestBench): void {
   const acts = getActs(bench);
   let highest = 0;
@@ -230,7 +233,7 @@
     highest = Math.max(highest, fence);
     const turned = acts.slice(index).find((act) => act.holder !== holder);
     const again = turned && acts.find((act) => act.holder === holder && act.at > turned.at);
-    t.notOk(again && again.at - at < turnMs, `${holder} acts by turns`);
+    t.notOk(again && again.at - at < turnMs, `${holder} alternates with another leader`);
     if (!usage) continue;
     const told = figures.get(usage.window) ?? new Set();
     figures.set(usage.window, told.add(JSON.stringify(usage.counts)));
@@ -239,7 +242,7 @@
 }
 
 t.test(
-  "after the store went back, one holder acts at a time, fences rise, and windows keep their figures",
+  "after the store was restored, one leader acts at a time, fencing tokens increase, and windows keep their counts",
   async (t) => {
     for (const [round, tellsEra] of [true, true, false, true].entries()) {
       const bench = new DutyTestBench();
@@ -251,7 +254,7 @@
         const copy = bench.shared.takeSnapshot();
         for (let count = 0; count < 30; count++) bench.shared.put("other", "x");
         await bench.clock.advance(1_500 + ((drill * 1_777 + round * 977) % 6_000));
-        // The holder loses its lease while what it wrote is lost.
+        // The leader loses its lease, and what it wrote is lost as well.
         if (drill % 3 === 1) bench.shared.endAllLeases();
         if (drill % 2 === 0) one.store.responseDelayMs = 400;
         await bench.clock.advance(drill * 300);
@@ -261,14 +264,14 @@
       }
       await bench.clock.advance(20_000);
       checkActs(t, bench);
-      t.ok(getActs(bench).at(-1)!.at > bench.clock.getTime() - 8_000, "somebody acts");
+      t.ok(getActs(bench).at(-1)!.at > bench.clock.getTime() - 8_000, "some leader acts");
     }
   },
 );
 
-// Counts of a draft in the copy lack what came after it.
+// Guards against reporting from the checkpoint of a snapshot, which lacks the counts that came after it.
 t.test(
-  "a window that was reported and lost is not reported with other figures by a life that never heard of it",
+  "a window that was reported and lost is not reported with other counts by an instance that never knew of it",
   async (t) => {
     const bench = new DutyTestBench();
     const counts = createCounts(bench, 1);
@@ -286,12 +289,12 @@
     await bench.clock.advance(30_000);
     checkActs(t, bench);
     const later = bench.orders.taken.filter(({ sender }) => sender.holder === "two");
-    t.ok(later.length > 2, "what ends later is reported");
+    t.ok(later.length > 2, "later windows are reported");
   },
 );
 
-// The first offset of a store that tells no era was taken for one from before it told any.
-t.test("fences rise after a return of a store that tells no era", async (t) => {
+// Guards against treating the first offset of a store that reports no era as one from before it reported any.
+t.test("fencing tokens increase after a store that reports no era was restored", async (t) => {
   const bench = new DutyTestBench();
   bench.shared.reportsEra = false;
   bench.start("one", createCounts(bench, 1));
@@ -303,7 +306,7 @@
   checkActs(t, bench);
 });
 
-t.test("a mark that was lost with the store's last seconds makes nobody the first holder ever", async (t) => {
+t.test("a marker that was lost by a restore makes no instance the first leader ever", async (t) => {
   const bench = new DutyTestBench();
   const copy = bench.shared.takeSnapshot();
   const one = bench.start("one");
@@ -318,7 +321,7 @@
   t.ok(two.duties.isActing());
 });
 
-t.test("a lease whose number another instance was granted is not held on to", async (t) => {
+t.test("a lease whose number was granted to another instance is given up", async (t) => {
   const bench = new DutyTestBench();
   const copy = bench.shared.takeSnapshot();
   const one = bench.start("one");
@@ -335,47 +338,50 @@
   checkActs(t, bench);
 });
 
-t.test("an order is given once, and a data hall that has none is left alone for a while", async (t) => {
-  const clock = VirtualClock.create();
-  const orders = FakeOrderService.create();
-  const isDry = (order: CapacityOrder): boolean => order.isReclaimable && order.hall === "a";
-  orders.getCapacityOutcome = (order) => (isDry(order) ? OrderOutcome.NoneAvailable : OrderOutcome.Taken);
-  const capacity = CapacityOrders.create({
-    orders,
-    clock,
-    logger: Logger.createSilent(),
-    getEndpoints: () => [],
-    getNeeded: () => 4,
-    isLoadAwaited: () => false,
-  });
-  const hallPrices = new Map([
-    ["a", 1],
-    ["b", 2],
-  ]);
-  const scaling = { min: 0, max: 6, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices };
-  const step = (): Promise<void> =>
-    capacity.step(createService({ scaling }), () => ({ holder: "one", fence: 1 }));
-  for (let count = 0; count < 4; count++) await step();
-  const words = orders.taken.map(({ capacity: order }) =>
-    order ? `${order.hall}${order.isReclaimable ? "r" : "d"}${order.desired}` : "",
-  );
-  t.same(
-    words.filter((word) => word.startsWith("ar")),
-    ["ar2"],
-    "asked once",
-  );
-  t.ok(words.includes("br4"), "the other data hall takes its part");
-  t.ok(
-    words.some((word) => word.startsWith("ad") || word.startsWith("bd")),
-    "on demand for what is missing",
-  );
-  const given = orders.taken.length;
-  await step();
-  t.equal(orders.taken.length, given, "nothing is ordered twice");
-});
+t.test(
+  "an order is sent once, and a data hall that has no endpoints available is left alone for a while",
+  async (t) => {
+    const clock = VirtualClock.create();
+    const orders = FakeOrderService.create();
+    const isDry = (order: CapacityOrder): boolean => order.isReclaimable && order.hall === "a";
+    orders.getCapacityOutcome = (order) => (isDry(order) ? OrderOutcome.NoneAvailable : OrderOutcome.Taken);
+    const capacity = CapacityOrders.create({
+      orders,
+      clock,
+      logger: Logger.createSilent(),
+      getEndpoints: () => [],
+      getNeeded: () => 4,
+      isLoadAwaited: () => false,
+    });
+    const hallPrices = new Map([
+      ["a", 1],
+      ["b", 2],
+    ]);
+    const scaling = { min: 0, max: 6, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices };
+    const step = (): Promise<void> =>
+      capacity.step(createService({ scaling }), () => ({ holder: "one", fence: 1 }));
+    for (let count = 0; count < 4; count++) await step();
+    const words = orders.taken.map(({ capacity: order }) =>
+      order ? `${order.hall}${order.isReclaimable ? "r" : "d"}${order.desired}` : "",
+    );
+    t.same(
+      words.filter((word) => word.startsWith("ar")),
+      ["ar2"],
+      "ordered once",
+    );
+    t.ok(words.includes("br4"), "the other data hall makes up for it");
+    t.ok(
+      words.some((word) => word.startsWith("ad") || word.startsWith("bd")),
+      "on-demand endpoints fill what is missing",
+    );
+    const given = orders.taken.length;
+    await step();
+    t.equal(orders.taken.length, given, "nothing is ordered twice");
+  },
+);
 
 t.test(
-  "a holder that no longer hears the whole fleet stops at once, and another follows in time",
+  "a leader that no longer receives the whole fleet's reports stops at once, and another one follows in time",
   async (t) => {
     const bench = new DutyTestBench();
     let isEligible = true;
@@ -396,7 +402,7 @@
 );
 
 t.test(
-  "a holder whose fence is refused sends nothing more with it and comes back with a higher one",
+  "a leader whose fencing token is refused sends nothing more with it and resumes with a higher one",
   async (t) => {
     const bench = new DutyTestBench();
     const one = bench.start("one", createCounts(bench, 3));
@@ -406,14 +412,14 @@
     const outdated = bench.orders.taken.at(-1)!.sender.fence;
     bench.orders.minFence = outdated + 1;
     await bench.clock.advance(40_000);
-    t.equal(bench.orders.refusedCount, 1, "one call learns of it");
+    t.equal(bench.orders.refusedCount, 1, "only one call is refused");
     const later = bench.orders.taken.slice(before);
     t.ok(later.length > 3, "windows are reported again");
     t.ok(later.every(({ sender }) => sender.fence > outdated));
     const windows = bench.orders.taken.map(({ usage }) => usage?.window);
     t.equal(new Set(windows).size, windows.length, "no window is reported twice");
     const missing = windows.filter((window, index) => index > 0 && window !== (windows[index - 1] ?? 0) + 1);
-    t.same(missing, [], "and none is left out");
+    t.same(missing, [], "no window is left out");
     const closed = one.duties.close();
     await bench.clock.advance(5_000);
     await closed;
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -15,7 +15,7 @@
 const overrides = ["leaving.grace=1000", "leaving.unnoticed=0"];
 
 t.test(
-  "an instance that leaves is unready at once and finishes what it has, closing connections with the answers",
+  "a leaving instance is unready at once, finishes its requests and closes connections with the responses",
   async (t) => {
     const bench = GatewayTestBench.create();
     bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
@@ -33,20 +33,23 @@
   },
 );
 
-t.test("what has no answer when the grace ends is answered, not cut", async (t) => {
-  const bench = GatewayTestBench.create();
-  bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
-  const endpoint = await ScriptedEndpoint.create("b", () => undefined);
-  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
-  const instance = await bench.startReady(1, "web", overrides);
-  t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
-  const answer = bench.call(instance, { method: "POST", body: "x" });
-  await endpoint.waitForRequests(1);
-  await instance.gateway.leave();
-  t.match(await answer, { status: 504, isComplete: true });
-});
+t.test(
+  "a request without a response at the end of the grace period gets a failure instead of a closed connection",
+  async (t) => {
+    const bench = GatewayTestBench.create();
+    bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
+    const endpoint = await ScriptedEndpoint.create("b", () => undefined);
+    bench.platform.putEndpoint({ id: "b", address: endpoint.address });
+    const instance = await bench.startReady(1, "web", overrides);
+    t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
+    const answer = bench.call(instance, { method: "POST", body: "x" });
+    await endpoint.waitForRequests(1);
+    await instance.gateway.leave();
+    t.match(await answer, { status: 504, isComplete: true });
+  },
+);
 
-t.test("a stream that is under way when the instance leaves is passed on to its end", async (t) => {
+t.test("a stream in progress when the instance leaves is forwarded to its end", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Stream, attempts: 1 })] });
   const endpoint = await ScriptedEndpoint.create("b", startEventStream);
@@ -66,33 +69,35 @@
 });
 
 /*
- * What happened: a request that came 4.7 s after the request to stop, on a connection that was open, was passed on to an
- * endpoint and cut 9 ms later. Sequence: nothing was under way, so the instance waited 0.2 s for its last answers to
- * leave; the request came in that time and was served as any other; the process ended. Cause: the end was decided once,
- * and nothing kept requests from being taken after it.
+ * Guards against requests that are accepted after the shutdown was decided. With no request open, the instance waited 0.2 s
+ * for its last responses to be sent. A request that arrived in that time on an open connection, 4.7 s after the stop signal,
+ * was sent to an endpoint and interrupted 9 ms later by the end of the process.
  */
-t.test("what comes on an open connection after the end has begun is refused, not passed on", async (t) => {
-  let send: () => void = () => undefined;
-  const logger = Logger.create(LogLevel.Info, {}, (line) => {
-    if (line.includes("event=instance.stopping")) send();
-  });
-  const bench = GatewayTestBench.create(undefined, logger);
-  bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
-  const endpoint = await ScriptedEndpoint.create("b", () => undefined);
-  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
-  const instance = await bench.startReady(1, "web", overrides);
-  t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
-  const { callers } = instance.settings.listen;
-  const socket = connect(Number(callers.slice(callers.lastIndexOf(":") + 1)), "127.0.0.1");
-  await once(socket, "connect");
-  // The front knows of the connection once it has read something of it.
-  socket.write("POST / HTTP/1.1\r\n");
-  const first = once(socket, "data") as Promise<[Buffer]>;
-  send = () => void socket.write("host: app.test\r\nx-id: late\r\ncontent-length: 1\r\n\r\nx");
-  const left = instance.gateway.leave();
-  const [answer] = await first;
-  t.match(answer.toString(), /^HTTP\/1\.1 503 /);
-  await left;
-  t.equal(endpoint.requests.length, 0);
-  socket.destroy();
-});
+t.test(
+  "a request that arrives on an open connection after the shutdown was decided is refused, not forwarded",
+  async (t) => {
+    let send: () => void = () => undefined;
+    const logger = Logger.create(LogLevel.Info, {}, (line) => {
+      if (line.includes("event=instance.stopping")) send();
+    });
+    const bench = GatewayTestBench.create(undefined, logger);
+    bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
+    const endpoint = await ScriptedEndpoint.create("b", () => undefined);
+    bench.platform.putEndpoint({ id: "b", address: endpoint.address });
+    const instance = await bench.startReady(1, "web", overrides);
+    t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
+    const { callers } = instance.settings.listen;
+    const socket = connect(Number(callers.slice(callers.lastIndexOf(":") + 1)), "127.0.0.1");
+    await once(socket, "connect");
+    // The server only knows of the connection once it has read some bytes from it.
+    socket.write("POST / HTTP/1.1\r\n");
+    const first = once(socket, "data") as Promise<[Buffer]>;
+    send = () => void socket.write("host: app.test\r\nx-id: late\r\ncontent-length: 1\r\n\r\nx");
+    const left = instance.gateway.leave();
+    const [answer] = await first;
+    t.match(answer.toString(), /^HTTP\/1\.1 503 /);
+    await left;
+    t.equal(endpoint.requests.length, 0);
+    socket.destroy();
+  },
+);
--- a/packages/gateway/test/placement.test.ts
+++ b/packages/gateway/test/placement.test.ts
@@ -33,19 +33,22 @@
 
 const request = { service: engine, promptTokens: 1_000, parts: [], excluded: new Set<string>() };
 
-t.test("prompts go where the fewest tokens wait, and the choice agrees with trying all", async (t) => {
-  const endpoints = createEndpoints(5);
-  const placer = createPlacer(endpoints);
-  for (let round = 0; round < 50; round++) {
-    for (const [index, endpoint] of endpoints.entries())
-      endpoint.pendingTokens = ((round + 3) * (index + 7) * 379) % 9_000;
-    const least = Math.min(...endpoints.map(({ pendingTokens }) => pendingTokens));
-    t.equal(placer.choose(request)?.endpoint.pendingTokens, least);
-  }
-});
+t.test(
+  "prompts are placed where the fewest tokens are queued, as an exhaustive search confirms",
+  async (t) => {
+    const endpoints = createEndpoints(5);
+    const placer = createPlacer(endpoints);
+    for (let round = 0; round < 50; round++) {
+      for (const [index, endpoint] of endpoints.entries())
+        endpoint.pendingTokens = ((round + 3) * (index + 7) * 379) % 9_000;
+      const least = Math.min(...endpoints.map(({ pendingTokens }) => pendingTokens));
+      t.equal(placer.choose(request)?.endpoint.pendingTokens, least);
+    }
+  },
+);
 
 t.test(
-  "prompts with the same shared part meet at one home on every instance, unless it is busy",
+  "every instance places prompts with the same shared part on the same endpoint, unless it is busy",
   async (t) => {
     const endpoints = createEndpoints(6);
     const parts = [
@@ -63,21 +66,25 @@
   },
 );
 
-t.test("endpoints that leave, that were tried, or that can't be reached are passed over", async (t) => {
+t.test("endpoints that are leaving, already tried or unreachable are skipped", async (t) => {
   const clock = VirtualClock.create();
   const endpoints = createEndpoints(3);
   const placer = createPlacer(endpoints, clock);
   endpoints[0]!.state = EndpointState.Leaving;
   endpoints[1]!.noteUnreachable(clock.getTime());
   t.equal(placer.choose(request)?.endpoint.id, "b2");
-  t.equal(placer.choose({ ...request, excluded: new Set(["b2"]) })?.endpoint.id, "b1", "better than none");
+  t.equal(
+    placer.choose({ ...request, excluded: new Set(["b2"]) })?.endpoint.id,
+    "b1",
+    "an unreachable endpoint is used if there is no other",
+  );
   t.equal(placer.choose({ ...request, excluded: new Set(["b1", "b2"]) }), undefined);
   await clock.advance(10_000);
   endpoints[2]!.pendingTokens = 9_000;
   t.equal(placer.choose(request)?.endpoint.id, "b1");
 });
 
-t.test("an endpoint that fails part of its requests gets less, though it looks idle", async (t) => {
+t.test("an endpoint that fails some of its requests gets fewer, although it looks idle", async (t) => {
   const endpoints = createEndpoints(2);
   const placer = createPlacer(endpoints);
   for (let count = 0; count < 6; count++) endpoints[0]!.noteOutcome(count % 2 === 0, 0);
@@ -85,7 +92,7 @@
   t.equal(placer.choose(request)?.endpoint.id, "b1");
 });
 
-t.test("repeats of a service never exceed the budget that all instances share", async (t) => {
+t.test("retries of a service never exceed the budget that all instances share", async (t) => {
   const clock = VirtualClock.create();
   const windows = {
     [CounterKind.Quota]: 10_000,
--- a/packages/gateway/test/quotaCharges.test.ts
+++ b/packages/gateway/test/quotaCharges.test.ts
@@ -8,7 +8,7 @@
   ScriptedEndpoint,
 } from "@gladewall/standins";
 
-t.test("units of a limit are counted by workspace and by what became of them", async (t) => {
+t.test("units of a limit are counted by workspace and by outcome", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({ workspaces: [createWorkspace({ ratePerSecond: 0.001, burst: 2 })] });
   const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
@@ -18,7 +18,7 @@
   const statuses = [];
   for (let index = 0; index < 3; index++) statuses.push((await bench.call(instance, { key: "key" })).status);
   t.same(statuses, [200, 200, 429]);
-  // A charge ends when its answer has left, so the caller may be ahead of it.
+  // A charge is settled after its response was sent, so the caller may read the metrics before that.
   const series = (event: string): string =>
     `gladewall_quota_units_total{workspace="workspace",event="${event}"}`;
   while (!(await bench.readMetrics(instance)).includes(`${series("run")} 2\n`)) continue;
@@ -29,22 +29,25 @@
   t.ok(page.includes('gladewall_quota_room{workspace="workspace"} 2\n'));
 });
 
-t.test("the endpoints' side judges a limit by the worst span, wherever it begins", async (t) => {
-  const windows = RunUnitLog.create();
-  for (const [at, units] of [
-    [0, 5],
-    [900, 7],
-    [1_000, 1],
-    [1_950, 6],
-  ] as const) {
-    windows.record("w", at, units);
-  }
-  t.same(windows.getMax("w", 1_000), { units: 13, at: 1_000 });
-  t.same(windows.getMax("none", 1_000), { units: 0, at: 0 });
-  t.equal(windows.getSum("w", 900, 1_950), 8);
-});
+t.test(
+  "the endpoints' own count of a limit finds the window with the most units, wherever it begins",
+  async (t) => {
+    const windows = RunUnitLog.create();
+    for (const [at, units] of [
+      [0, 5],
+      [900, 7],
+      [1_000, 1],
+      [1_950, 6],
+    ] as const) {
+      windows.record("w", at, units);
+    }
+    t.same(windows.getMax("w", 1_000), { units: 13, at: 1_000 });
+    t.same(windows.getMax("none", 1_000), { units: 0, at: 0 });
+    t.equal(windows.getSum("w", 900, 1_950), 8);
+  },
+);
 
-t.test("units of what endpoints turned away are given back", async (t) => {
+t.test("units of requests that endpoints refused are refunded", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({ workspaces: [createWorkspace({ ratePerSecond: 0.001, burst: 2 })] });
   const endpoint = await ScriptedEndpoint.create("b", respondNotRun);
--- a/packages/gateway/test/relay.test.ts
+++ b/packages/gateway/test/relay.test.ts
@@ -16,47 +16,50 @@
   return { clock, relay, sent };
 }
 
-t.test("placements are handed on together, to those that asked of late, each without its own", async (t) => {
-  const { clock, relay, sent } = createRelay();
-  relay.add("a", ["b0", 1]);
-  t.equal(relay.lastNumber, 1, "counted although nobody is told");
-  relay.noteSubscriber("a");
-  relay.noteSubscriber("c");
-  relay.addReadParts({ b1: ["shared"] });
-  relay.add("a", ["b1", 10_000]);
-  relay.add("reader", ["b2", 20_000]);
-  t.equal(relay.lastNumber, 3);
-  await clock.advance(20);
-  const message = { kind: MemberMessageKind.PlacementRelay, first: 2, read: { b1: ["shared"] } };
-  t.same(sent, [
-    [
-      "a",
-      {
-        ...message,
-        entries: [
-          ["", 0],
-          ["b2", 20_000],
-        ],
-      },
-    ],
-    [
-      "c",
-      {
-        ...message,
-        entries: [
-          ["b1", 10_000],
-          ["b2", 20_000],
-        ],
-      },
-    ],
-  ]);
-  await clock.advance(1_600);
-  relay.add("a", ["b1", 10_000]);
-  await clock.advance(20);
-  t.equal(sent.length, 2, "nobody has asked for long");
-});
+t.test(
+  "placements are relayed in batches to recent subscribers, without each subscriber's own",
+  async (t) => {
+    const { clock, relay, sent } = createRelay();
+    relay.add("a", ["b0", 1]);
+    t.equal(relay.lastNumber, 1, "numbered although there is no subscriber");
+    relay.noteSubscriber("a");
+    relay.noteSubscriber("c");
+    relay.addReadParts({ b1: ["shared"] });
+    relay.add("a", ["b1", 10_000]);
+    relay.add("reader", ["b2", 20_000]);
+    t.equal(relay.lastNumber, 3);
+    await clock.advance(20);
+    const message = { kind: MemberMessageKind.PlacementRelay, first: 2, read: { b1: ["shared"] } };
+    t.same(sent, [
+      [
+        "a",
+        {
+          ...message,
+          entries: [
+            ["", 0],
+            ["b2", 20_000],
+          ],
+        },
+      ],
+      [
+        "c",
+        {
+          ...message,
+          entries: [
+            ["b1", 10_000],
+            ["b2", 20_000],
+          ],
+        },
+      ],
+    ]);
+    await clock.advance(1_600);
+    relay.add("a", ["b1", 10_000]);
+    await clock.advance(20);
+    t.equal(sent.length, 2, "all subscriptions have expired");
+  },
+);
 
-t.test("of many at once the latest are told, under their own numbers", async (t) => {
+t.test("of many placements only the latest are relayed, with their own numbers", async (t) => {
   const { clock, relay, sent } = createRelay();
   relay.noteSubscriber("c");
   for (let index = 1; index <= 40; index++) relay.add("a", [`b${index}`, 1]);
@@ -67,7 +70,7 @@
   t.equal(relay.lastNumber, 40);
 });
 
-t.test("parts that endpoints have read go along with placements, so many at once", async (t) => {
+t.test("prompt parts that endpoints have read are sent along with placements, up to a maximum", async (t) => {
   const { clock, relay, sent } = createRelay();
   relay.addReadParts({ b0: ["nobody asked"] });
   relay.noteSubscriber("c");
@@ -75,17 +78,17 @@
   relay.addReadParts({ b1: parts });
   relay.addReadParts({ b2: parts });
   await clock.advance(100);
-  t.equal(sent.length, 0, "they wait for a placement");
+  t.equal(sent.length, 0, "parts are not sent without a placement");
   relay.add("a", ["b1", 10_000]);
   await clock.advance(20);
   t.same(sent[0]?.[1].read, { b1: parts, b2: parts.slice(0, 14) });
   relay.add("a", ["b1", 10_000]);
   await clock.advance(20);
-  t.same(sent[1]?.[1].read, {}, "told once");
+  t.same(sent[1]?.[1].read, {}, "parts are sent once");
 });
 
 t.test(
-  "what a view includes is not counted beside it, and another reader's numbers mean nothing",
+  "placements that a view includes are not counted twice, and another reader's placements are ignored",
   async (t) => {
     const recent = RecentPlacements.create();
     t.notOk(recent.takeRelayed("r/1", 1, [["b", 100]]), "no view yet");
@@ -103,11 +106,11 @@
     t.same(recent.getWork(), { c: [1, 50] });
     t.notOk(recent.takeRelayed("r/2", 9, [["b", 900]]));
     recent.noteView("r/2", 0);
-    t.same(recent.getWork(), {}, "the new reader's view knows them by itself");
+    t.same(recent.getWork(), {}, "the new reader's view includes all placements");
   },
 );
 
-t.test("in a large fleet a long prompt is known to every instance, and counted once", async (t) => {
+t.test("in a large fleet every instance knows of a long prompt and counts it once", async (t) => {
   const { bench, held } = await createEngineTestBench(t);
   const overrides = ["peers.large_fleet_interval=40", "peers.largest_mesh=2"];
   for (let index = 0; index < 6; index++) {
@@ -124,7 +127,7 @@
     return tokens.every((count) => count === 12_000);
   };
   await waitUntil(isKnown);
-  // Some reports and views later it is known by them, and no longer by what was told at once.
+  // After some reports and views, the prompt is known from these and no longer from its announcement.
   const sequence = sender!.gateway.peerTraffic.receivedFrames;
   await waitUntil(() => {
     isKnown();
@@ -135,7 +138,7 @@
     [...seen].sort((one, other) => one - other),
     [0, 12_000],
   );
-  t.equal(sender!.gateway.getPeerTokens("b"), 0, "nobody is told of its own");
+  t.equal(sender!.gateway.getPeerTokens("b"), 0, "an instance does not count its own prompt as a peer's");
   respondSuccess(held[0]!);
   t.equal((await answer).status, 200);
 });
--- a/packages/gateway/test/retryBudget.test.ts
+++ b/packages/gateway/test/retryBudget.test.ts
@@ -1,6 +1,6 @@
 /*
- * Repeats are counted for the whole fleet, and each instance hears of the others' a quarter of a second later. Where endpoints end
- * under many requests at once, every instance took all that the budget seemed to have left.
+ * Guards against a fleet that exceeds its retry budget. Instances learn of each other's retries a quarter of a second late,
+ * so that every instance took all that seemed left of the budget when endpoints crashed under many requests at once.
  */
 import t from "tap";
 import {
@@ -34,7 +34,7 @@
 
 type Handler = (message: PeerMessage, peer: PeerIdentity) => unknown;
 
-/** Instances that share a budget; messages are under way for a while. */
+/** Instances that share a budget; messages are delayed. */
 class RepeatingFleet {
   readonly clock = new StepClock();
   private readonly members: Member[];
@@ -51,7 +51,7 @@
     return this.members.slice(0, readerCount).map(({ name }) => name);
   }
 
-  /** Whether peers answer questions about repeats. */
+  /** Whether peers reply to calls that request retries. */
   get isAble(): boolean {
     return this.hasArbiters;
   }
@@ -89,7 +89,10 @@
     this.clock.startTimer(reportMs, () => this.report());
   }
 
-  /** Each instance has served so many requests, and then wants so many repeats, twice. Returns requests and repeats. */
+  /**
+   * Serves `requestsEach` requests at each instance, then requests `wantedEach` retries at each, twice. Returns the retries
+   * taken and the retries that are tolerated.
+   */
   async play(requestsEach: number, wantedEach: number) {
     for (let count = 0; count < requestsEach; count++) {
       for (const { budget } of this.members) budget.countRequest(service);
@@ -148,16 +151,19 @@
   }
 }
 
-t.test("all instances together repeat no more than the budget, though all want to at once", async (t) => {
-  for (const [instances, requestsEach, wantedEach] of [
-    [8, 40, 60],
-    [9, 0, 20],
-    [77, 40, 20],
-    [320, 5, 5],
-  ] as const) {
-    const { taken, borne } = await new RepeatingFleet(instances, true).play(requestsEach, wantedEach);
-    const told = `${instances} instances: ${taken} of ${borne.toFixed(0)}`;
-    t.ok(taken <= borne, told);
-    t.ok(taken >= 0.6 * borne, told);
-  }
-});
+t.test(
+  "all instances together retry no more than the budget allows, although all request retries at once",
+  async (t) => {
+    for (const [instances, requestsEach, wantedEach] of [
+      [8, 40, 60],
+      [9, 0, 20],
+      [77, 40, 20],
+      [320, 5, 5],
+    ] as const) {
+      const { taken, borne } = await new RepeatingFleet(instances, true).play(requestsEach, wantedEach);
+      const told = `${instances} instances: ${taken} of ${borne.toFixed(0)}`;
+      t.ok(taken <= borne, told);
+      t.ok(taken >= 0.6 * borne, told);
+    }
+  },
+);
--- a/packages/gateway/test/returnCrowd.test.ts
+++ b/packages/gateway/test/returnCrowd.test.ts
@@ -5,11 +5,11 @@
 
 const fleetSize = 320;
 const startedWithinMs = 300;
-/** What a platform of that size gives to all instances together. */
+/** Calls per second that the store of a fleet of that size allows all instances together. */
 const readsPerSecond = 2_000;
 const writesPerSecond = 400;
 
-/** Records of a large fleet on a virtual clock; three of them ask the store, the others are told. */
+/** Creates the member records of a large fleet on a virtual clock; three of them read the store, the others do not. */
 async function createFleet() {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock, 200);
@@ -37,8 +37,8 @@
   return { clock, platform, fleet };
 }
 
-// Every instance finds at once that its lease is of an era that is over.
-t.test("a large fleet stays within the store's rates when the store has come back", async (t) => {
+// Guards against a burst of calls: every instance finds at the same time that its lease belongs to a past era.
+t.test("a large fleet stays within the store's rate limits after the store was restored", async (t) => {
   const { clock, platform, fleet } = await createFleet();
   const { shared } = platform;
   shared.restore(shared.takeSnapshot());
@@ -53,7 +53,7 @@
   t.ok(mostReads < readsPerSecond, `${mostReads} reads in a second`);
   t.ok(mostWrites < writesPerSecond / 4, `${mostWrites} writes in a second`);
   const recorded = [...shared.entries.keys()].filter((key) => key.startsWith("gladewall/members/"));
-  t.equal(recorded.length, fleetSize, "all are recorded");
+  t.equal(recorded.length, fleetSize, "all instances are recorded");
   await clock.advance(10_000);
   t.equal([...shared.entries.keys()].filter((key) => key.startsWith("gladewall/members/")).length, fleetSize);
   const closed = Promise.all(fleet.map((records) => records.close()));
@@ -61,7 +61,7 @@
   await closed;
 });
 
-t.test("instances whose records the copy lacks record themselves again", async (t) => {
+t.test("instances whose records the snapshot lacks record themselves again", async (t) => {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock, 200);
   const copy = platform.shared.takeSnapshot();
@@ -83,7 +83,7 @@
   await clock.advance(3_000);
   t.ok(platform.shared.entries.has("gladewall/members/one"));
   await clock.advance(10_000);
-  t.ok(platform.shared.entries.has("gladewall/members/one"), "under a lease that is renewed");
+  t.ok(platform.shared.entries.has("gladewall/members/one"), "the record is under a lease that is renewed");
   const closed = records.close();
   await clock.advance(20_000);
   await closed;
