--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -45,7 +45,7 @@
  * Prefill time from which a placement is announced to peers at once: a request that another instance unknowingly queues
  * behind it would miss its latency objective. A tenth of the shortest usual objective.
  */
-const minAnnouncedReadMs = 25;
+const minAnnouncedPrefillMs = 25;
 const retryAfterMs = 300;
 /** A trial ends once the request has streamed for this long: observed crashes came 40 to 120 ms after the run's start. */
 const trialSurvivalMs = 200;
@@ -76,7 +76,7 @@
   private isOver = false;
   private timer: Timer | undefined;
   private readonly deadlineAt: number;
-  private end: RequestOutcome | undefined;
+  private outcome: RequestOutcome | undefined;
 
   private constructor(
     private readonly parts: ActiveRequestParts,
@@ -104,7 +104,7 @@
     this.isOver = true;
     this.timer.cancel();
     response.off("close", handleClose);
-    return this.end ?? this.createOutcome(response.statusCode, undefined);
+    return this.outcome ?? this.createOutcome(response.statusCode, undefined);
   }
 
   private createOutcome(status: number, failure: Failure | undefined): RequestOutcome {
@@ -165,7 +165,7 @@
   }
 
   private failUnplaced(failure: Failure): NextStep {
-    this.history.noteNoEndpoint(failure);
+    this.history.recordNoEndpoint(failure);
     return NextStep.Fail;
   }
 
@@ -277,7 +277,7 @@
 
   private announceIfLong({ endpoint }: Placement, tokens: number): void {
     const { rates, announcePlacement } = this.parts;
-    if (tokens / rates.get(this.request.service.name) < minAnnouncedReadMs) return;
+    if (tokens / rates.get(this.request.service.name) < minAnnouncedPrefillMs) return;
     announcePlacement(endpoint.incarnation, tokens);
   }
 
@@ -290,14 +290,14 @@
     this.isAttemptPending = true;
     const round = endpoint.availability.beginAttempt();
     const result = await attempt.result;
-    endpoint.availability.endAttempt(round, result.end === AttemptOutcome.Answered);
+    endpoint.availability.endAttempt(round, result.outcome === AttemptOutcome.Answered);
     this.isAttemptPending = false;
-    this.parts.metrics.countAttempt(this.request.service.name, AttemptOutcome[result.end]);
-    if (result.end !== AttemptOutcome.NotSent) this.history.noteArrival();
+    this.parts.metrics.countAttempt(this.request.service.name, AttemptOutcome[result.outcome]);
+    if (result.outcome !== AttemptOutcome.NotSent) this.history.recordArrival();
     if (this.isOver) return NextStep.Done;
-    if (result.end !== AttemptOutcome.Answered || !result.response)
+    if (result.outcome !== AttemptOutcome.Answered || !result.response)
       return this.handleNoResponse(endpoint, result, beganAt);
-    this.history.noteRun();
+    this.history.recordRun();
     const { route } = this.request.admitted;
     const isStream = route.kind === RouteKind.Stream && (result.response.statusCode ?? 0) < 300;
     if (isStream) return this.relayStream(placement, result.response, startedAt, clearPending);
@@ -349,24 +349,24 @@
     const { clock, directory } = this.parts;
     const { service } = this.request;
     const time = clock.getTime();
-    const isLost = result.end === AttemptOutcome.Lost;
+    const isLost = result.outcome === AttemptOutcome.Lost;
     const fingerprint = isLost ? this.subject.fingerprint : undefined;
     this.log("attempt.failed", {
       endpoint: endpoint.id,
-      end: AttemptOutcome[result.end],
+      end: AttemptOutcome[result.outcome],
       detail: result.detail,
       fingerprint,
     });
     if (isLost) {
-      this.history.noteRun();
+      this.history.recordRun();
       this.countUsageOnce(beganAt);
       endpoint.noteOutcome(false, time);
       return this.handleInterruption(endpoint);
     }
-    if (result.end === AttemptOutcome.NotSent) endpoint.noteUnreachable(time);
-    if (result.end === AttemptOutcome.WrongEndpoint) directory.handleReplaced(endpoint);
-    if (result.end === AttemptOutcome.NotRun) endpoint.noteOutcome(false, time);
-    this.history.noteNotRun(createRefusal(FailureCode.Overloaded, service));
+    if (result.outcome === AttemptOutcome.NotSent) endpoint.noteUnreachable(time);
+    if (result.outcome === AttemptOutcome.WrongEndpoint) directory.handleReplaced(endpoint);
+    if (result.outcome === AttemptOutcome.NotRun) endpoint.noteOutcome(false, time);
+    this.history.recordNotRun(createRefusal(FailureCode.Overloaded, service));
     return this.history.isExhausted ? NextStep.Fail : NextStep.Retry;
   }
 
@@ -376,7 +376,7 @@
    * crashes both.
    */
   private async handleInterruption(endpoint: Endpoint): Promise<NextStep> {
-    this.history.noteRunFailed(Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.id }));
+    this.history.recordRunFailure(Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.id }));
     const checked = this.parts.suspects.noteInterruption(endpoint, this);
     if (!this.isRetryAllowed()) return NextStep.Fail;
     await checked;
@@ -407,7 +407,7 @@
         complete: body.isComplete,
       });
       if (!body.isComplete) return this.handleInterruption(endpoint);
-      this.history.noteRunFailed(
+      this.history.recordRunFailure(
         Failure.create(FailureCode.EndpointFailed, { endpoint: endpoint.id, status }),
       );
       return NextStep.Retry;
@@ -514,13 +514,13 @@
     if (this.isOver || this.request.response.writableFinished) return;
     this.isOver = true;
     this.attempt?.abort("caller gone");
-    this.end = this.createOutcome(0, Failure.create(FailureCode.CallerGone));
+    this.outcome = this.createOutcome(0, Failure.create(FailureCode.CallerGone));
   }
 
   /** Sends the final response; a response that has begun is aborted instead, so that it does not look complete. */
   private respondWithFailure(failure: Failure): void {
     const { response, head } = this.request;
-    this.end = this.createOutcome(failure.status, failure);
+    this.outcome = this.createOutcome(failure.status, failure);
     if (response.headersSent) {
       response.destroy();
       return;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -24,7 +24,7 @@
 
 /** Result of an attempt; `response` is set if the outcome is `Answered`. */
 export interface AttemptResult {
-  readonly end: AttemptOutcome;
+  readonly outcome: AttemptOutcome;
   readonly detail: string;
   readonly response: IncomingMessage | undefined;
 }
@@ -108,25 +108,25 @@
   }
 
   private fail(detail: string): void {
-    const end = this.isConnected ? AttemptOutcome.Lost : AttemptOutcome.NotSent;
-    this.resolveResult({ end, detail, response: undefined });
+    const outcome = this.isConnected ? AttemptOutcome.Lost : AttemptOutcome.NotSent;
+    this.resolveResult({ outcome, detail, response: undefined });
   }
 
   private takeResponse(response: IncomingMessage): void {
     const { protocol, requestId, onHead } = this.options;
     const status = response.statusCode ?? 0;
     const head = protocol.readResponseHead(requestId, status, response.headers);
-    const end = outcomesByStatus[head.executionStatus];
+    const outcome = outcomesByStatus[head.executionStatus];
     onHead(head, status);
     // The reader of the body handles its errors, but an `error` event without a listener would end the process.
     response.on("error", () => undefined);
-    if (end === AttemptOutcome.Answered) {
-      this.resolveResult({ end, detail: `status ${status}`, response });
+    if (outcome === AttemptOutcome.Answered) {
+      this.resolveResult({ outcome, detail: `status ${status}`, response });
       return;
     }
-    if (end === AttemptOutcome.Lost) this.abort("mismatched response");
+    if (outcome === AttemptOutcome.Lost) this.abort("mismatched response");
     else response.resume();
-    this.resolveResult({ end, detail: `status ${status}`, response: undefined });
+    this.resolveResult({ outcome, detail: `status ${status}`, response: undefined });
   }
 }
 
--- a/packages/gateway/src/attemptHistory.ts
+++ b/packages/gateway/src/attemptHistory.ts
@@ -30,26 +30,26 @@
     return this.notRunAttempts >= maxNotRunAttempts;
   }
 
-  noteArrival(): void {
+  recordArrival(): void {
     this.arrivals += 1;
   }
 
-  noteRun(): void {
+  recordRun(): void {
     this.runs += 1;
   }
 
-  noteRunFailed(failure: Failure): void {
+  recordRunFailure(failure: Failure): void {
     this.runFailure = failure;
   }
 
   /** Records an attempt that did not run the request. */
-  noteNotRun(failure: Failure): void {
+  recordNotRun(failure: Failure): void {
     this.refusal = failure;
     this.notRunAttempts += 1;
   }
 
   /** Records that no endpoint is available; the reason why an earlier attempt did not run takes precedence. */
-  noteNoEndpoint(failure: Failure): void {
+  recordNoEndpoint(failure: Failure): void {
     this.refusal ??= failure;
   }
 
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -58,7 +58,7 @@
   /** Monotonic time at which a data hall was last reclaimed. */
   private reclaimedAt = -Infinity;
   /** Highest number of endpoints found so far of each service, and when it was reached. */
-  private readonly found = new Map<string, { readonly count: number; readonly at: number }>();
+  private readonly discovered = new Map<string, { readonly count: number; readonly at: number }>();
   /** Monotonic time of the last call that failed. */
   private failedAt = -Infinity;
 
@@ -105,9 +105,9 @@
   /** Records the number of endpoints found; returns whether no more are expected. */
   private recordDiscovered(service: string, count: number): boolean {
     const time = this.options.clock.getTime();
-    const found = this.found.get(service);
+    const found = this.discovered.get(service);
     if (found && found.count >= count) return time - found.at > discoveryMs;
-    this.found.set(service, { count, at: time });
+    this.discovered.set(service, { count, at: time });
     return false;
   }
 
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -118,7 +118,8 @@
   /** Whether a window may be reported; one from before this process only if committed, as the counts may be incomplete. */
   private isReportable(window: number): boolean {
     const { getItem, committed } = this.options;
-    const isCommitted = committed.find(window) !== undefined || getItem(this.getKey(window)) !== undefined;
+    const isCommitted =
+      committed.find(window) !== undefined || getItem(this.getWindowKey(window)) !== undefined;
     return isCommitted || (window >= this.firstWindow - 1 && !this.mayBeLost(window));
   }
 
@@ -128,7 +129,7 @@
     return endsAt <= this.startedAt && endsAt <= this.options.getDurableSince();
   }
 
-  private getKey(window: number): string {
+  private getWindowKey(window: number): string {
     return `${this.options.prefix}${window}`;
   }
 
@@ -152,7 +153,7 @@
     getSender: () => OrderSender | undefined,
   ): Promise<WorkspaceCounts | undefined> {
     const { store, getItem, usage, committed } = this.options;
-    const key = this.getKey(window);
+    const key = this.getWindowKey(window);
     const remembered = committed.find(window);
     const known = getItem(key);
     // The store may have lost the counts that were committed and reported first, and hold later ones.
@@ -160,7 +161,7 @@
     if (!getSender()) return undefined;
     const counts = remembered ?? usage.getTotal(window);
     const put = [{ key, value: Buffer.from(JSON.stringify(counts)) }];
-    const outdated = this.getKey(window - retainedWindows);
+    const outdated = this.getWindowKey(window - retainedWindows);
     const remove = getItem(outdated) ? [outdated] : [];
     const written = await store.transact({ expected: [{ key, revision: 0 }], put, remove });
     if (written.isOk()) {
--- a/packages/gateway/test/completeResponses.test.ts
+++ b/packages/gateway/test/completeResponses.test.ts
@@ -219,7 +219,7 @@
     ]);
     const leaving = new AbortController();
     const [endpoint] = endpoints;
-    const seen = bench.call(instance, {
+    const result = bench.call(instance, {
       method: "POST",
       body: "x",
       signal: leaving.signal,
@@ -228,7 +228,7 @@
     await endpoint!.waitForRequests(1);
     const { response, socket } = endpoint!.requests[0]!;
     response.write("id: 1\ndata: a\n\n");
-    await seen;
+    await result;
     await waitUntil(() => socket.destroyed);
     t.equal(endpoint!.requests.length, 1);
   },
--- a/packages/gateway/test/decisions.test.ts
+++ b/packages/gateway/test/decisions.test.ts
@@ -187,14 +187,14 @@
       "br2",
       "bd0",
     ]);
-    const dry = [
+    const refusedHalls = [
       createHall("a", { isReclaimableRefused: true }),
       createHall("b", { reclaimable: 2, isReclaimableRefused: true }),
     ];
     // On-demand endpoints only make up for most of what is missing, because they are expensive.
-    t.same(plan(dry, 4, true), ["ar0", "ad1", "br2", "bd0"]);
-    const asked = dry.map((hall) => ({ ...hall, isReclaimableRefused: false }));
-    t.same(plan(asked, 4, true), ["ar2", "ad0", "br2", "bd1"]);
+    t.same(plan(refusedHalls, 4, true), ["ar0", "ad1", "br2", "bd0"]);
+    const orderableHalls = refusedHalls.map((hall) => ({ ...hall, isReclaimableRefused: false }));
+    t.same(plan(orderableHalls, 4, true), ["ar2", "ad0", "br2", "bd1"]);
   },
 );
 
--- a/packages/gateway/test/demandEstimator.test.ts
+++ b/packages/gateway/test/demandEstimator.test.ts
@@ -5,7 +5,7 @@
 
 const windowMs = 4_000;
 
-function createDemand(getActive: () => number) {
+function createEstimator(getActive: () => number) {
   const clock = VirtualClock.create();
   const windows = {
     [CounterKind.Quota]: 8_000,
@@ -31,7 +31,7 @@
 
 t.test("the need is the larger of what prompt tokens and requests in progress require", async (t) => {
   let active = 0;
-  const { clock, demand } = createDemand(() => active);
+  const { clock, demand } = createEstimator(() => active);
   for (let second = 0; second < 10; second++) {
     demand.countPromptTokens("pool", 100_000);
     demand.getNeededEndpoints(service, 4, 4);
@@ -45,7 +45,7 @@
 
 t.test("a peak of the need is held for a while after it has passed", async (t) => {
   let active = 96;
-  const { clock, demand } = createDemand(() => active);
+  const { clock, demand } = createEstimator(() => active);
   demand.countPromptTokens("pool", 1_000);
   demand.getNeededEndpoints(service, 4, 0);
   await clock.advance(9_000);
--- a/packages/gateway/test/leaderTasks.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -21,14 +21,14 @@
   type ReceivedOrder,
 } from "@gladewall/standins";
 
-const turnMs = 3_000;
+const alternationWindowMs = 3_000;
 const windowMs = 5_000;
 const leaseKey = "gladewall/duty";
 const prefix = "gladewall/usage/";
 const reviewEveryMs = 250;
 
 /** Instances that compete for leadership in one store, on a virtual clock. */
-class DutyTestBench {
+class LeaderTestBench {
   readonly clock = VirtualClock.create();
   readonly shared = SharedStore.create(this.clock);
   readonly orders = FakeOrderService.create();
@@ -114,7 +114,7 @@
       name,
       leaseKey,
       markerKey: "gladewall/duties-begun",
-      alternationWindowMs: turnMs,
+      alternationWindowMs,
       usage,
       capacity,
       isEligible,
@@ -128,7 +128,7 @@
 }
 
 /** Creates counts of an instance for the windows of the next seconds. */
-function createCounts(bench: DutyTestBench, amount: number): UsageCounts {
+function createCounts(bench: LeaderTestBench, amount: number): UsageCounts {
   const counts = UsageCounts.create();
   const first = Math.floor(bench.clock.getWallTime() / windowMs);
   for (let window = first; window < first + 8; window++) {
@@ -140,7 +140,7 @@
 t.test(
   "usage that was counted before all instances were killed is reported by the next leader",
   async (t) => {
-    const bench = new DutyTestBench();
+    const bench = new LeaderTestBench();
     const first = Math.floor(bench.clock.getWallTime() / windowMs);
     const one = bench.start("one", createCounts(bench, 3));
     await bench.clock.advance(4_000);
@@ -155,7 +155,7 @@
 );
 
 t.test("a window is reported with the same counts by every leader, also after a lost response", async (t) => {
-  const bench = new DutyTestBench();
+  const bench = new LeaderTestBench();
   const one = bench.start("one", createCounts(bench, 1));
   await bench.clock.advance(6_000);
   const two = bench.start("two", createCounts(bench, 2));
@@ -170,40 +170,41 @@
   const counts = new Map<number, Set<string>>();
   for (const { usage } of bench.orders.taken) {
     if (!usage) continue;
-    const told = counts.get(usage.window) ?? new Set();
-    counts.set(usage.window, told.add(JSON.stringify(usage.counts)));
+    const reported = counts.get(usage.window) ?? new Set();
+    counts.set(usage.window, reported.add(JSON.stringify(usage.counts)));
   }
   t.ok(counts.size > 6);
-  for (const [window, told] of counts) t.equal(told.size, 1, `window ${window}`);
+  for (const [window, reported] of counts) t.equal(reported.size, 1, `window ${window}`);
 });
 
 t.test(
   "fencing tokens increase with each leader, and no two alternate within the window, even if leases expire early",
   async (t) => {
-    const bench = new DutyTestBench();
+    const bench = new LeaderTestBench();
     for (const name of ["one", "two", "three"]) bench.start(name);
     for (let round = 0; round < 40; round++) {
       await bench.clock.advance(700 + ((round * 977) % 3_100));
       bench.shared.endAllLeases();
     }
-    const acts = bench.times.map(({ at, order }) => ({ at, ...order.sender }));
-    const holders = new Set(acts.map(({ holder }) => holder));
+    const sentOrders = bench.times.map(({ at, order }) => ({ at, ...order.sender }));
+    const holders = new Set(sentOrders.map(({ holder }) => holder));
     t.ok(holders.size > 1, "leadership has changed");
     let highest = 0;
-    for (const { fence } of acts) {
+    for (const { fence } of sentOrders) {
       t.ok(fence >= highest);
       highest = Math.max(highest, fence);
     }
-    for (const [index, first] of acts.entries()) {
-      const turned = acts.slice(index).find(({ holder }) => holder !== first.holder);
-      const again = turned && acts.find(({ at, holder }) => holder === first.holder && at >= turned.at);
-      t.notOk(again && again.at - first.at < turnMs && again.at > turned.at);
+    for (const [index, first] of sentOrders.entries()) {
+      const successor = sentOrders.slice(index).find(({ holder }) => holder !== first.holder);
+      const returned =
+        successor && sentOrders.find(({ at, holder }) => holder === first.holder && at >= successor.at);
+      t.notOk(returned && returned.at - first.at < alternationWindowMs && returned.at > successor.at);
     }
   },
 );
 
 t.test("the first leader ever acts at once; a later one waits", async (t) => {
-  const bench = new DutyTestBench();
+  const bench = new LeaderTestBench();
   const one = bench.start("one");
   await bench.clock.advance(1_600);
   t.ok(one.duties.isActing());
@@ -216,7 +217,7 @@
 });
 
 /** Returns the orders that the platform received, with time and sender. */
-function getActs(bench: DutyTestBench) {
+function getSentOrders(bench: LeaderTestBench) {
   return bench.times.map(({ at, order }) => ({ at, ...order.sender, usage: order.usage }));
 }
 
@@ -224,47 +225,48 @@
  * Checks that fencing tokens increase, that no two leaders alternate within the window, and that no usage window is reported
  * with different counts.
  */
-function checkActs(t: Pick<Test, "ok" | "notOk" | "equal">, bench: DutyTestBench): void {
-  const acts = getActs(bench);
+function checkSentOrders(t: Pick<Test, "ok" | "notOk" | "equal">, bench: LeaderTestBench): void {
+  const sentOrders = getSentOrders(bench);
   let highest = 0;
-  const figures = new Map<number, Set<string>>();
-  for (const [index, { at, holder, fence, usage }] of acts.entries()) {
+  const countsByWindow = new Map<number, Set<string>>();
+  for (const [index, { at, holder, fence, usage }] of sentOrders.entries()) {
     t.ok(fence >= highest && Number.isInteger(fence), `fence ${fence} after ${highest}`);
     highest = Math.max(highest, fence);
-    const turned = acts.slice(index).find((act) => act.holder !== holder);
-    const again = turned && acts.find((act) => act.holder === holder && act.at > turned.at);
-    t.notOk(again && again.at - at < turnMs, `${holder} alternates with another leader`);
+    const successor = sentOrders.slice(index).find((act) => act.holder !== holder);
+    const returned = successor && sentOrders.find((act) => act.holder === holder && act.at > successor.at);
+    t.notOk(returned && returned.at - at < alternationWindowMs, `${holder} alternates with another leader`);
     if (!usage) continue;
-    const told = figures.get(usage.window) ?? new Set();
-    figures.set(usage.window, told.add(JSON.stringify(usage.counts)));
+    const reported = countsByWindow.get(usage.window) ?? new Set();
+    countsByWindow.set(usage.window, reported.add(JSON.stringify(usage.counts)));
   }
-  for (const [window, told] of figures) t.equal(told.size, 1, `window ${window}: ${[...told].join(" ")}`);
+  for (const [window, reported] of countsByWindow)
+    t.equal(reported.size, 1, `window ${window}: ${[...reported].join(" ")}`);
 }
 
 t.test(
   "after the store was restored, one leader acts at a time, fencing tokens increase, and windows keep their counts",
   async (t) => {
     for (const [round, tellsEra] of [true, true, false, true].entries()) {
-      const bench = new DutyTestBench();
+      const bench = new LeaderTestBench();
       bench.shared.reportsEra = tellsEra;
       const one = bench.start("one", createCounts(bench, 1));
       bench.start("two", createCounts(bench, 2));
       await bench.clock.advance(4_000);
-      for (let drill = 0; drill < 6; drill++) {
+      for (let restore = 0; restore < 6; restore++) {
         const copy = bench.shared.takeSnapshot();
         for (let count = 0; count < 30; count++) bench.shared.put("other", "x");
-        await bench.clock.advance(1_500 + ((drill * 1_777 + round * 977) % 6_000));
+        await bench.clock.advance(1_500 + ((restore * 1_777 + round * 977) % 6_000));
         // The leader loses its lease, and what it wrote is lost as well.
-        if (drill % 3 === 1) bench.shared.endAllLeases();
-        if (drill % 2 === 0) one.store.responseDelayMs = 400;
-        await bench.clock.advance(drill * 300);
+        if (restore % 3 === 1) bench.shared.endAllLeases();
+        if (restore % 2 === 0) one.store.responseDelayMs = 400;
+        await bench.clock.advance(restore * 300);
         bench.shared.restore(copy);
         await bench.clock.advance(100);
         one.store.responseDelayMs = 0;
       }
       await bench.clock.advance(20_000);
-      checkActs(t, bench);
-      t.ok(getActs(bench).at(-1)!.at > bench.clock.getTime() - 8_000, "some leader acts");
+      checkSentOrders(t, bench);
+      t.ok(getSentOrders(bench).at(-1)!.at > bench.clock.getTime() - 8_000, "some leader acts");
     }
   },
 );
@@ -273,7 +275,7 @@
 t.test(
   "a window that was reported and lost is not reported with other counts by an instance that never knew of it",
   async (t) => {
-    const bench = new DutyTestBench();
+    const bench = new LeaderTestBench();
     const counts = createCounts(bench, 1);
     const one = bench.start("one", counts);
     await bench.clock.advance(12_000);
@@ -287,7 +289,7 @@
     await bench.clock.advance(1_000);
     bench.start("two", UsageCounts.create(), () => true, false);
     await bench.clock.advance(30_000);
-    checkActs(t, bench);
+    checkSentOrders(t, bench);
     const later = bench.orders.taken.filter(({ sender }) => sender.holder === "two");
     t.ok(later.length > 2, "later windows are reported");
   },
@@ -295,7 +297,7 @@
 
 // Guards against treating the first offset of a store that reports no era as one from before it reported any.
 t.test("fencing tokens increase after a store that reports no era was restored", async (t) => {
-  const bench = new DutyTestBench();
+  const bench = new LeaderTestBench();
   bench.shared.reportsEra = false;
   bench.start("one", createCounts(bench, 1));
   const copy = bench.shared.takeSnapshot();
@@ -303,11 +305,11 @@
   await bench.clock.advance(12_000);
   bench.shared.restore(copy);
   await bench.clock.advance(20_000);
-  checkActs(t, bench);
+  checkSentOrders(t, bench);
 });
 
 t.test("a marker that was lost by a restore makes no instance the first leader ever", async (t) => {
-  const bench = new DutyTestBench();
+  const bench = new LeaderTestBench();
   const copy = bench.shared.takeSnapshot();
   const one = bench.start("one");
   await bench.clock.advance(2_000);
@@ -322,7 +324,7 @@
 });
 
 t.test("a lease whose number was granted to another instance is given up", async (t) => {
-  const bench = new DutyTestBench();
+  const bench = new LeaderTestBench();
   const copy = bench.shared.takeSnapshot();
   const one = bench.start("one");
   await bench.clock.advance(6_000);
@@ -335,55 +337,52 @@
     t.notOk(one.duties.isActing() && two.duties.isActing(), `${time} ms`);
   }
   t.ok(one.duties.isActing() || two.duties.isActing());
-  checkActs(t, bench);
+  checkSentOrders(t, bench);
 });
 
-t.test(
-  "an order is sent once, and a data hall that has no endpoints available is left alone for a while",
-  async (t) => {
-    const clock = VirtualClock.create();
-    const orders = FakeOrderService.create();
-    const isDry = (order: CapacityOrder): boolean => order.isReclaimable && order.hall === "a";
-    orders.getCapacityOutcome = (order) => (isDry(order) ? OrderOutcome.NoneAvailable : OrderOutcome.Taken);
-    const capacity = CapacityOrders.create({
-      orders,
-      clock,
-      logger: Logger.createSilent(),
-      getEndpoints: () => [],
-      getNeeded: () => 4,
-      isLoadAwaited: () => false,
-    });
-    const hallPrices = new Map([
-      ["a", 1],
-      ["b", 2],
-    ]);
-    const scaling = { min: 0, max: 6, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices };
-    const step = (): Promise<void> =>
-      capacity.step(createService({ scaling }), () => ({ holder: "one", fence: 1 }));
-    for (let count = 0; count < 4; count++) await step();
-    const words = orders.taken.map(({ capacity: order }) =>
-      order ? `${order.hall}${order.isReclaimable ? "r" : "d"}${order.desired}` : "",
-    );
-    t.same(
-      words.filter((word) => word.startsWith("ar")),
-      ["ar2"],
-      "ordered once",
-    );
-    t.ok(words.includes("br4"), "the other data hall makes up for it");
-    t.ok(
-      words.some((word) => word.startsWith("ad") || word.startsWith("bd")),
-      "on-demand endpoints fill what is missing",
-    );
-    const given = orders.taken.length;
-    await step();
-    t.equal(orders.taken.length, given, "nothing is ordered twice");
-  },
-);
+t.test("an order is sent once, and a data hall that refuses it is skipped for a while", async (t) => {
+  const clock = VirtualClock.create();
+  const orders = FakeOrderService.create();
+  const isRefused = (order: CapacityOrder): boolean => order.isReclaimable && order.hall === "a";
+  orders.getCapacityOutcome = (order) => (isRefused(order) ? OrderOutcome.NoneAvailable : OrderOutcome.Taken);
+  const capacity = CapacityOrders.create({
+    orders,
+    clock,
+    logger: Logger.createSilent(),
+    getEndpoints: () => [],
+    getNeeded: () => 4,
+    isLoadAwaited: () => false,
+  });
+  const hallPrices = new Map([
+    ["a", 1],
+    ["b", 2],
+  ]);
+  const scaling = { min: 0, max: 6, bootMs: 4_000, reclaimablePrice: 0.2, hallPrices };
+  const step = (): Promise<void> =>
+    capacity.step(createService({ scaling }), () => ({ holder: "one", fence: 1 }));
+  for (let count = 0; count < 4; count++) await step();
+  const orderTexts = orders.taken.map(({ capacity: order }) =>
+    order ? `${order.hall}${order.isReclaimable ? "r" : "d"}${order.desired}` : "",
+  );
+  t.same(
+    orderTexts.filter((word) => word.startsWith("ar")),
+    ["ar2"],
+    "ordered once",
+  );
+  t.ok(orderTexts.includes("br4"), "the other data hall makes up for it");
+  t.ok(
+    orderTexts.some((word) => word.startsWith("ad") || word.startsWith("bd")),
+    "on-demand endpoints fill what is missing",
+  );
+  const given = orders.taken.length;
+  await step();
+  t.equal(orders.taken.length, given, "nothing is ordered twice");
+});
 
 t.test(
   "a leader that no longer receives the whole fleet's reports stops at once, and another one follows in time",
   async (t) => {
-    const bench = new DutyTestBench();
+    const bench = new LeaderTestBench();
     let isEligible = true;
     const one = bench.start("one", UsageCounts.create(), () => isEligible);
     await bench.clock.advance(7_000);
@@ -404,7 +403,7 @@
 t.test(
   "a leader whose fencing token is refused sends nothing more with it and resumes with a higher one",
   async (t) => {
-    const bench = new DutyTestBench();
+    const bench = new LeaderTestBench();
     const one = bench.start("one", createCounts(bench, 3));
     await bench.clock.advance(12_000);
     const before = bench.orders.taken.length;
--- a/packages/gateway/test/placement.test.ts
+++ b/packages/gateway/test/placement.test.ts
@@ -55,14 +55,14 @@
       { id: "shared", tokens: 5_000 },
       { id: "own", tokens: 1_000 },
     ];
-    const asked = { ...request, promptTokens: 6_000, parts };
-    const homes = [createPlacer(endpoints), createPlacer(endpoints)].map(
-      (placer) => placer.choose(asked)?.endpoint,
+    const prompt = { ...request, promptTokens: 6_000, parts };
+    const choices = [createPlacer(endpoints), createPlacer(endpoints)].map(
+      (placer) => placer.choose(prompt)?.endpoint,
     );
-    t.ok(homes[0]);
-    t.equal(homes[0], homes[1]);
-    homes[0]!.pendingTokens = 20_000;
-    t.not(createPlacer(endpoints).choose(asked)?.endpoint, homes[0]);
+    t.ok(choices[0]);
+    t.equal(choices[0], choices[1]);
+    choices[0]!.pendingTokens = 20_000;
+    t.not(createPlacer(endpoints).choose(prompt)?.endpoint, choices[0]);
   },
 );
 
--- a/packages/gateway/test/relay.test.ts
+++ b/packages/gateway/test/relay.test.ts
@@ -120,10 +120,10 @@
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
   await waitUntil(() => others.slice(2).every(({ gateway }) => gateway.isReader));
   const answer = bench.call(sender!, { headers: { "x-tokens": "12000" } });
-  const seen = new Set<number>();
+  const reportedTokens = new Set<number>();
   const isKnown = (): boolean => {
     const tokens = others.map(({ gateway }) => gateway.getPeerTokens("b"));
-    for (const count of tokens) seen.add(count);
+    for (const count of tokens) reportedTokens.add(count);
     return tokens.every((count) => count === 12_000);
   };
   await waitUntil(isKnown);
@@ -135,7 +135,7 @@
   });
   t.ok(isKnown());
   t.same(
-    [...seen].sort((one, other) => one - other),
+    [...reportedTokens].sort((one, other) => one - other),
     [0, 12_000],
   );
   t.equal(sender!.gateway.getPeerTokens("b"), 0, "an instance does not count its own prompt as a peer's");
--- a/packages/gateway/test/retryBudget.test.ts
+++ b/packages/gateway/test/retryBudget.test.ts
@@ -35,7 +35,7 @@
 type Handler = (message: PeerMessage, peer: PeerIdentity) => unknown;
 
 /** Instances that share a budget; messages are delayed. */
-class RepeatingFleet {
+class RetryingFleet {
   readonly clock = new StepClock();
   private readonly members: Member[];
 
@@ -109,7 +109,7 @@
       await this.clock.advance(300);
     }
     const requests = requestsEach * this.members.length;
-    return { taken, borne: ratio * requests + slack };
+    return { taken, tolerated: ratio * requests + slack };
   }
 }
 
@@ -122,7 +122,7 @@
 
   constructor(
     readonly name: string,
-    fleet: RepeatingFleet,
+    fleet: RetryingFleet,
     instances: number,
   ) {
     const { clock } = fleet;
@@ -137,7 +137,7 @@
       call: (peer, message, timeoutMs) => fleet.call(this, peer, message, timeoutMs),
     });
     const links = { setHandler: (kind: number, handler: Handler) => void this.handlers.set(kind, handler) };
-    const words = { links, isCollector: true } as Partial<FleetTopology> as FleetTopology;
+    const topology = { links, isCollector: true } as Partial<FleetTopology> as FleetTopology;
     this.budget = RetryBudget.create({
       counters: this.counters,
       ratio,
@@ -147,7 +147,9 @@
       arbiters,
       supportsRetryCalls: () => fleet.isAble,
     });
-    RetryLinks.create(words, (peer, ask: RetryCallArguments) => this.budget.decideForPeer(peer, ask));
+    RetryLinks.create(topology, (peer, callArguments: RetryCallArguments) =>
+      this.budget.decideForPeer(peer, callArguments),
+    );
   }
 }
 
@@ -160,10 +162,10 @@
       [77, 40, 20],
       [320, 5, 5],
     ] as const) {
-      const { taken, borne } = await new RepeatingFleet(instances, true).play(requestsEach, wantedEach);
-      const told = `${instances} instances: ${taken} of ${borne.toFixed(0)}`;
-      t.ok(taken <= borne, told);
-      t.ok(taken >= 0.6 * borne, told);
+      const { taken, tolerated } = await new RetryingFleet(instances, true).play(requestsEach, wantedEach);
+      const message = `${instances} instances: ${taken} of ${tolerated.toFixed(0)}`;
+      t.ok(taken <= tolerated, message);
+      t.ok(taken >= 0.6 * tolerated, message);
     }
   },
 );
