--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -304,7 +304,7 @@
   /**
    * Counts most of the capacity as taken, because a process that does not belong to the system's first start can't know the
    * usage just before it. A process that has done so for its own share does it again once it knows more of the fleet;
-   * otherwise new readers would let many times the rate run after a restart of the whole fleet.
+   * otherwise new readers would grant many times the rate after a restart of the whole fleet.
    */
   private assumePriorUse(workspace: Workspace, share: number): void {
     const { name } = workspace;
@@ -346,7 +346,7 @@
 
 /**
  * Returns the units by which a request exceeds the bound; 0 or less if it fits. A request larger than the bound is admitted
- * while the level is 0, but not by instances that are cut off from the fleet, because each of them knows only its own level.
+ * while the level is 0, but not by instances that are partitioned from the fleet: each of them knows only its own level.
  */
 function getExcess({ needed, level, bound, share }: QuotaCheck): number {
   const isAlone = level === 0 && share >= minShareForOversized;
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -25,7 +25,7 @@
 const invalidSettingsExitCode = 2;
 const filePollMs = 2_000;
 
-/** Runs one instance until a signal stops it; `words` are the command-line arguments. */
+/** Runs one instance until a signal stops it; `argv` are the command-line arguments. */
 export async function runGatewayDaemon(argv: readonly string[]): Promise<void> {
   const options = await readArguments(argv);
   if (options.reference) {
--- a/packages/gateway/src/quotaAllowances.ts
+++ b/packages/gateway/src/quotaAllowances.ts
@@ -59,12 +59,12 @@
   { ratePerSecond, burst }: Pick<Workspace, "ratePerSecond" | "burst">,
   { slack, overshoot, windowMs }: QuotaTolerance,
 ): QuotaAllowances {
-  const borne = overshoot * ((ratePerSecond * windowMs) / millisecondsPerSecond + burst);
+  const tolerated = overshoot * ((ratePerSecond * windowMs) / millisecondsPerSecond + burst);
   return {
     extraBurst: slack * extraBurstShare,
-    restart: slack * restartShare + borne * restartLimitShare,
+    restart: slack * restartShare + tolerated * restartLimitShare,
     retries: slack * retryShare,
-    unreported: borne * unreportedShare,
-    arbiterOverlap: borne * arbiterOverlapShare,
+    unreported: tolerated * unreportedShare,
+    arbiterOverlap: tolerated * arbiterOverlapShare,
   };
 }
--- a/packages/gateway/src/quotaCharges.ts
+++ b/packages/gateway/src/quotaCharges.ts
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Charges a request for one more run. Fails with `QuotaSpent`. Otherwise retries of runs whose responses were lost would
-   * exceed the limit.
+   * Charges a request for one more run. Fails with `QuotaSpent`. Without this charge, retries of runs whose responses were
+   * lost would exceed the limit.
    */
   takeRetry(charge: RequestCharge, leftMs: number): Promise<Result<void, Failure>> {
     return this.charge(charge, QuotaUse.Retry, leftMs);
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -29,7 +29,7 @@
 /** Interval at which a starting instance checks whether it can serve held requests. */
 const startPollMs = 10;
 /** After this long of leaving, requests that may outlast the instance are refused. */
-const shortRequestMaxMs = 2_500;
+const unrestrictedLeavingMs = 2_500;
 
 /** Serves requests and tracks those in progress. */
 export class RequestServer {
@@ -184,7 +184,7 @@
     const leavingSince = getLeavingSince();
     if (leavingSince === undefined) return false;
     const elapsed = parts.clock.getTime() - leavingSince;
-    if (elapsed < shortRequestMaxMs) return false;
+    if (elapsed < unrestrictedLeavingMs) return false;
     const left = servedMs - elapsed;
     return route.kind === RouteKind.Stream || route.timeoutMs > left;
   }
--- a/packages/gateway/test/completeResponses.test.ts
+++ b/packages/gateway/test/completeResponses.test.ts
@@ -46,12 +46,12 @@
   "a response is forwarded unchanged, with the endpoint's signature and without hop-by-hop headers",
   async (t) => {
     const { bench, endpoints, instance } = await createTestBench(t, {}, [respondSuccess]);
-    const answer = await bench.call(instance, {
+    const result = await bench.call(instance, {
       id: "r1",
       path: "/a/b?c=%2F",
       headers: { "x-expect": "forged" },
     });
-    t.match(answer, {
+    t.match(result, {
       status: 200,
       body: "answer to r1",
       isComplete: true,
@@ -85,10 +85,10 @@
       sent.on("error", () => undefined);
       sent.end();
       const [socket] = await accepted;
-      const [answer] = (await once(sent, "response")) as [IncomingMessage];
-      const body = readResponseBody(answer);
+      const [incoming] = (await once(sent, "response")) as [IncomingMessage];
+      const body = readResponseBody(incoming);
       // The first chunk arrives before the connection ends, as on a real network.
-      await once(answer, "data");
+      await once(incoming, "data");
       if (isReset) socket.resetAndDestroy();
       else socket.end();
       t.same(await body, { bytes: Buffer.from("half of"), isComplete: !isReset });
@@ -115,8 +115,8 @@
     },
   ]);
   const onData = (): void => void endpoints[0]?.requests[0]?.socket.resetAndDestroy();
-  const answer = await bench.call(instance, { method: "POST", body: "x", onData });
-  t.match(answer, { status: 200, isComplete: false });
+  const result = await bench.call(instance, { method: "POST", body: "x", onData });
+  t.match(result, { status: 200, isComplete: false });
 });
 
 t.test(
@@ -168,20 +168,20 @@
     response.end("wrong");
   };
   const { bench, instance } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [foreign]);
-  const answer = await bench.call(instance, { method: "POST", body: "x" });
-  t.equal(answer.status, 502);
-  t.notMatch(answer.body, "wrong");
+  const result = await bench.call(instance, { method: "POST", body: "x" });
+  t.equal(result.status, 502);
+  t.notMatch(result.body, "wrong");
 });
 
 t.test("a second response on a kept-alive connection is never used for the next request", async (t) => {
   const twice: EndpointScript = ({ id, socket }) => {
-    const answer = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok`;
-    socket.write(answer + answer);
+    const responseText = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-stamp: s\r\nContent-Length: 2\r\n\r\nok`;
+    socket.write(responseText + responseText);
   };
   const { bench, instance } = await createTestBench(t, { kind: RouteKind.Unsafe, attempts: 1 }, [twice]);
   for (const id of ["one", "two", "three"]) {
-    const answer = await bench.call(instance, { id, method: "POST", body: "x" });
-    t.ok(answer.status === 502 || (answer.status === 200 && answer.body === "ok"));
+    const result = await bench.call(instance, { id, method: "POST", body: "x" });
+    t.ok(result.status === 502 || (result.status === 200 && result.body === "ok"));
   }
 });
 
@@ -206,8 +206,8 @@
         }
       };
     }
-    const answer = await bench.call(instance, { method: "POST", body: "x" });
-    t.match(answer, { status: 200, isComplete: true, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" });
+    const result = await bench.call(instance, { method: "POST", body: "x" });
+    t.match(result, { status: 200, isComplete: true, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" });
   },
 );
 
@@ -259,9 +259,9 @@
         else respondNotRun(call);
       };
     }
-    const answer = await bench.call(instance);
+    const result = await bench.call(instance);
     t.equal(endpoints[0]!.requests.length + endpoints[1]!.requests.length, 2);
-    t.match(answer, { status: 502, isComplete: true });
-    t.equal(answer.headers["retry-after"], undefined);
+    t.match(result, { status: 502, isComplete: true });
+    t.equal(result.headers["retry-after"], undefined);
   },
 );
--- a/packages/gateway/test/leaderTasks.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -374,9 +374,9 @@
     orderTexts.some((word) => word.startsWith("ad") || word.startsWith("bd")),
     "on-demand endpoints fill what is missing",
   );
-  const given = orders.taken.length;
+  const sentCount = orders.taken.length;
   await step();
-  t.equal(orders.taken.length, given, "nothing is ordered twice");
+  t.equal(orders.taken.length, sentCount, "nothing is ordered twice");
 });
 
 t.test(
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -23,12 +23,12 @@
     bench.platform.putEndpoint({ id: "b", address: endpoint.address });
     const instance = await bench.startReady(1);
     t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
-    const answer = bench.call(instance, { id: "r", method: "POST", body: "x" });
+    const result = bench.call(instance, { id: "r", method: "POST", body: "x" });
     await endpoint.waitForRequests(1);
     const left = instance.gateway.leave();
     t.notOk(instance.gateway.isReady());
     respondSuccess(endpoint.requests[0]!);
-    t.match(await answer, { status: 200, body: "answer to r", headers: { connection: "close" } });
+    t.match(await result, { status: 200, body: "answer to r", headers: { connection: "close" } });
     await left;
   },
 );
@@ -42,10 +42,10 @@
     bench.platform.putEndpoint({ id: "b", address: endpoint.address });
     const instance = await bench.startReady(1, "web", overrides);
     t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
-    const answer = bench.call(instance, { method: "POST", body: "x" });
+    const result = bench.call(instance, { method: "POST", body: "x" });
     await endpoint.waitForRequests(1);
     await instance.gateway.leave();
-    t.match(await answer, { status: 504, isComplete: true });
+    t.match(await result, { status: 504, isComplete: true });
   },
 );
 
@@ -57,14 +57,14 @@
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   let seen = "";
-  const answer = bench.call(instance, { method: "POST", body: "x", onData: (text) => (seen += text) });
+  const result = bench.call(instance, { method: "POST", body: "x", onData: (text) => (seen += text) });
   await endpoint.waitForRequests(1);
   const { response } = endpoint.requests[0]!;
   response.write("id: 1\ndata: a\n\n");
   await waitUntil(() => seen !== "");
   const left = instance.gateway.leave();
   response.end("id: 2\ndata: b\n\n");
-  t.match(await answer, { status: 200, isComplete: true, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" });
+  t.match(await result, { status: 200, isComplete: true, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n" });
   await left;
 });
 
@@ -94,8 +94,8 @@
     const first = once(socket, "data") as Promise<[Buffer]>;
     send = () => void socket.write("host: app.test\r\nx-id: late\r\ncontent-length: 1\r\n\r\nx");
     const left = instance.gateway.leave();
-    const [answer] = await first;
-    t.match(answer.toString(), /^HTTP\/1\.1 503 /);
+    const [received] = await first;
+    t.match(received.toString(), /^HTTP\/1\.1 503 /);
     await left;
     t.equal(endpoint.requests.length, 0);
     socket.destroy();
--- a/packages/gateway/test/placement.test.ts
+++ b/packages/gateway/test/placement.test.ts
@@ -105,16 +105,16 @@
     RetryBudget.create({ counters: own, ratio: 0.2, slack: 10, getKnownShare: () => 1 }),
   );
   let requests = 0;
-  let repeats = 0;
+  let retries = 0;
   for (let round = 0; round < 200; round++) {
     for (const [index, budget] of budgets.entries()) {
       budget.countRequest("s");
       requests += 1;
-      if (budget.tryTake("s")) repeats += 1;
+      if (budget.tryTake("s")) retries += 1;
       const other = counters[1 - index]!;
       other.applyReport(`n${index}`, `n${index}/1`, counters[index]!.createReport());
     }
   }
-  t.ok(repeats > 0);
-  t.ok(repeats <= 0.2 * requests + 10);
+  t.ok(retries > 0);
+  t.ok(retries <= 0.2 * requests + 10);
 });
--- a/packages/gateway/test/relay.test.ts
+++ b/packages/gateway/test/relay.test.ts
@@ -72,7 +72,7 @@
 
 t.test("prompt parts that endpoints have read are sent along with placements, up to a maximum", async (t) => {
   const { clock, relay, sent } = createRelay();
-  relay.addReadParts({ b0: ["nobody asked"] });
+  relay.addReadParts({ b0: ["no subscriber"] });
   relay.noteSubscriber("c");
   const parts = Array.from({ length: 50 }, (_, index) => `p${index}`);
   relay.addReadParts({ b1: parts });
@@ -119,7 +119,7 @@
   const [sender, ...others] = bench.instances;
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
   await waitUntil(() => others.slice(2).every(({ gateway }) => gateway.isReader));
-  const answer = bench.call(sender!, { headers: { "x-tokens": "12000" } });
+  const result = bench.call(sender!, { headers: { "x-tokens": "12000" } });
   const reportedTokens = new Set<number>();
   const isKnown = (): boolean => {
     const tokens = others.map(({ gateway }) => gateway.getPeerTokens("b"));
@@ -140,5 +140,5 @@
   );
   t.equal(sender!.gateway.getPeerTokens("b"), 0, "an instance does not count its own prompt as a peer's");
   respondSuccess(held[0]!);
-  t.equal((await answer).status, 200);
+  t.equal((await result).status, 200);
 });
--- a/packages/gateway/test/retryBudget.test.ts
+++ b/packages/gateway/test/retryBudget.test.ts
@@ -68,10 +68,10 @@
       const failure = Failure.create(FailureCode.PeerUnreachable, { peer: name });
       const timer = clock.startTimer(timeoutMs, () => resolve(Err(failure)));
       clock.startTimer(delayMs, () => {
-        const answer = member.handlers.get(message.kind)?.(message, from.identity);
+        const reply = member.handlers.get(message.kind)?.(message, from.identity);
         clock.startTimer(delayMs, () => {
           timer.cancel();
-          resolve(Ok(answer));
+          resolve(Ok(reply));
         });
       });
     });
