--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -195,7 +195,7 @@
     return placement ? Ok(placement) : Err(createRefusal(FailureCode.NoEndpoint, service));
   }
 
-  /** Sends the request if the endpoint needs no permit or grants one; otherwise the request is placed again. */
+  /** Sends the request if the endpoint needs no permit or one is granted; otherwise the request is placed again. */
   private async sendWithPermit(placement: Placement): Promise<NextStep> {
     const { permits, clock } = this.parts;
     const { endpoint } = placement;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -40,7 +40,7 @@
   readonly headers: readonly string[];
   readonly body: Buffer;
   readonly connectTimeoutMs: number;
-  /** Called as soon as the response head is received, even if the attempt has been aborted. */
+  /** Called as soon as the response head is received, even if the result is no longer awaited. */
   readonly onHead: (head: ResponseHead, status: number) => void;
 }
 
