--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -13,7 +13,7 @@
   readonly subject: string;
   readonly message: PeerMessage;
   /** Whether an answer says that its giver does not know enough. */
-  readonly isUndecided: (answer: Answer) => boolean;
+  readonly isUndecided: (reply: Answer) => boolean;
   /** Whether an instance knows this kind of question; where it is left out, all do. */
   readonly supportsCall?: (name: string) => boolean;
 }
@@ -30,33 +30,33 @@
 }
 
 /** Time for an answer of an arbiter that has not answered yet; in calm it comes within 5 ms. */
-const firstPatienceMs = 300;
+const initialTimeoutMs = 300;
 /** A tenth of the shortest usual objective: a caller is to notice nothing of an arbiter that is slow. */
-const leastPatienceMs = 60;
+const minTimeoutMs = 60;
 /** A caller waits no longer for an arbiter; its links may be so slow that a shorter time has no answer at all. */
-const mostPatienceMs = 1_000;
+const maxTimeoutMs = 1_000;
 /** An answer may take this many times as long as the last one, and `patienceMarginMs` more. */
-const patienceFactor = 4;
-const patienceMarginMs = 40;
+const timeoutFactor = 4;
+const timeoutMarginMs = 40;
 /** Time for which an arbiter that did not answer is passed over: pauses of processes last about as long. */
-const firstRestMs = 1_000;
+const initialBackoffMs = 1_000;
 /** One that is slower than another each time is asked again after so long: slow machines stay slow for some seconds. */
-const mostRestMs = 8_000;
+const maxBackoffMs = 8_000;
 /**
  * Time for a link to an arbiter to come up: an instance that has just started has some within 0.2 s. Refused, a caller would
  * be back later than that.
  */
-const linkWaitMs = 250;
-const linkCheckMs = 10;
+const linkTimeoutMs = 250;
+const linkPollMs = 10;
 /** Arbiters that are asked for one request. */
-const mostTries = 2;
+const maxAttempts = 2;
 
 /** How an arbiter has answered. */
 interface ArbiterState {
-  patienceMs: number;
+  timeoutMs: number;
   /** Time for which it is passed over when it does not answer. */
-  restMs: number;
-  passedOverUntil: number;
+  backoffMs: number;
+  skippedUntil: number;
 }
 
 /** Chooses arbiters and asks them. */
@@ -78,25 +78,25 @@
    * Asks the subject's arbiter, and the next where it does not answer; fails with `PeerUnreachable` where none gives a
    * clear answer within `waitMs`. Both may have counted what was asked for.
    */
-  async call<Answer>(question: ArbiterCall<Answer>, waitMs: number): Promise<Result<Answer, Failure>> {
+  async call<Answer>(arbiterCall: ArbiterCall<Answer>, waitMs: number): Promise<Result<Answer, Failure>> {
     const { clock, own } = this.options;
-    const { subject, isUndecided: isUnclear } = question;
+    const { subject, isUndecided: isUnclear } = arbiterCall;
     const endsAt = clock.getTime() + waitMs;
-    const silent: ArbiterState[] = [];
-    for (let tries = 0; tries < mostTries; tries++) {
-      const arbiter = await this.waitForArbiter(question, endsAt);
-      const leftMs = endsAt - clock.getTime();
-      if (arbiter === undefined || arbiter === own || leftMs <= 0) break;
-      const answer = await this.callOne(arbiter, question, leftMs);
-      if (answer !== undefined && !isUnclear(answer)) {
-        for (const state of silent) state.restMs = Math.min(mostRestMs, state.restMs * 2);
-        return Ok(answer);
+    const unanswered: ArbiterState[] = [];
+    for (let attempt = 0; attempt < maxAttempts; attempt++) {
+      const arbiter = await this.waitForArbiter(arbiterCall, endsAt);
+      const remainingMs = endsAt - clock.getTime();
+      if (arbiter === undefined || arbiter === own || remainingMs <= 0) break;
+      const reply = await this.callOne(arbiter, arbiterCall, remainingMs);
+      if (reply !== undefined && !isUnclear(reply)) {
+        for (const state of unanswered) state.backoffMs = Math.min(maxBackoffMs, state.backoffMs * 2);
+        return Ok(reply);
       }
-      if (answer === undefined) silent.push(this.getState(arbiter));
-      this.passOver(arbiter, subject, answer !== undefined);
+      if (reply === undefined) unanswered.push(this.getState(arbiter));
+      this.skip(arbiter, subject, reply !== undefined);
     }
     // Where all are slow, their links are: only more time brings an answer.
-    for (const state of silent) state.patienceMs = Math.min(mostPatienceMs, state.patienceMs * 2);
+    for (const state of unanswered) state.timeoutMs = Math.min(maxTimeoutMs, state.timeoutMs * 2);
     return Err(Failure.create(FailureCode.PeerUnreachable, { peer: subject }));
   }
 
@@ -106,10 +106,10 @@
     latestAt: number,
   ): Promise<string | undefined> {
     const { clock } = this.options;
-    const endsAt = Math.min(latestAt, clock.getTime() + linkWaitMs);
+    const endsAt = Math.min(latestAt, clock.getTime() + linkTimeoutMs);
     let arbiter = this.find(subject, isAble);
     while (arbiter === undefined && clock.getTime() < endsAt) {
-      await waitFor(clock, linkCheckMs);
+      await waitFor(clock, linkPollMs);
       arbiter = this.find(subject, isAble);
     }
     return arbiter;
@@ -122,7 +122,7 @@
     const readers = getReaders();
     if (readers.length === 0) return own;
     const canDecide = (name: string): boolean =>
-      name === own || (isLinked(name) && isAble(name) && this.getState(name).passedOverUntil <= time);
+      name === own || (isLinked(name) && isAble(name) && this.getState(name).skippedUntil <= time);
     return sortReaders(subject, readers).find(canDecide);
   }
 
@@ -141,39 +141,39 @@
   private async callOne<Answer>(
     arbiter: string,
     { message }: ArbiterCall<Answer>,
-    leftMs: number,
+    remainingMs: number,
   ): Promise<Answer | undefined> {
     const { clock, call } = this.options;
     const state = this.getState(arbiter);
-    const askedAt = clock.getTime();
-    const answer = await call(arbiter, message, Math.min(state.patienceMs, leftMs));
-    if (answer.isErr()) return undefined;
-    const tookMs = clock.getTime() - askedAt;
-    state.restMs = firstRestMs;
-    state.patienceMs = clampPatience(tookMs * patienceFactor + patienceMarginMs);
-    return answer.value as Answer;
+    const calledAt = clock.getTime();
+    const reply = await call(arbiter, message, Math.min(state.timeoutMs, remainingMs));
+    if (reply.isErr()) return undefined;
+    const tookMs = clock.getTime() - calledAt;
+    state.backoffMs = initialBackoffMs;
+    state.timeoutMs = clampTimeout(tookMs * timeoutFactor + timeoutMarginMs);
+    return reply.value as Answer;
   }
 
-  private passOver(arbiter: string, subject: string, hasAnswered: boolean): void {
+  private skip(arbiter: string, subject: string, hasReplied: boolean): void {
     const { clock, logger } = this.options;
     const state = this.getState(arbiter);
-    state.passedOverUntil = clock.getTime() + state.restMs;
-    const { patienceMs } = state;
-    logger.warn("arbiter.passed-over", { arbiter, subject, answered: hasAnswered, patienceMs });
+    state.skippedUntil = clock.getTime() + state.backoffMs;
+    const { timeoutMs: patienceMs } = state;
+    logger.warn("arbiter.passed-over", { arbiter, subject, answered: hasReplied, patienceMs });
   }
 
   private getState(arbiter: string): ArbiterState {
     let state = this.states.get(arbiter);
     if (!state) {
-      state = { patienceMs: firstPatienceMs, restMs: firstRestMs, passedOverUntil: -Infinity };
+      state = { timeoutMs: initialTimeoutMs, backoffMs: initialBackoffMs, skippedUntil: -Infinity };
       this.states.set(arbiter, state);
     }
     return state;
   }
 }
 
-function clampPatience(patienceMs: number): number {
-  return Math.min(mostPatienceMs, Math.max(leastPatienceMs, patienceMs));
+function clampTimeout(patienceMs: number): number {
+  return Math.min(maxTimeoutMs, Math.max(minTimeoutMs, patienceMs));
 }
 
 function sortReaders(subject: string, readers: readonly string[]): readonly string[] {
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -25,36 +25,36 @@
   /** Asks an address whether anybody listens there. */
   readonly probe: (address: string) => Promise<ProbeResult>;
   /** Returns an endpoint by its life; undefined once it is forgotten. */
-  readonly findEndpoint: (life: string) => Endpoint | undefined;
+  readonly findEndpoint: (incarnation: string) => Endpoint | undefined;
   /** Time for which an endpoint serves on after its word that it leaves; milliseconds. */
   readonly drainMs: number;
   /** Milliseconds since the store was last in trouble: until then, records say nothing of their endpoints. */
   readonly getTimeSinceTrouble: () => number;
   /** Tells peers at once: the time until they know decides how many endpoints end. */
-  readonly broadcast: (words: CrashUpdate) => void;
+  readonly broadcast: (update: CrashUpdate) => void;
   readonly countCrash: (service: string) => void;
 }
 
 /** Part of the drain time after which an end may be the planned one: the word may be as old as the answer before it. */
-const plannedShare = 0.75;
+const plannedStopShare = 0.75;
 /** Connections that an endpoint takes right after a cut tell for as long that it lives. */
 const aliveMs = 100;
 /** Most requests of one instance that are reported of one end: those that run there and wait there, 60 bytes each. */
-const mostReported = 256;
+const maxReported = 256;
 /** A record vanishes after three heartbeats without a write, 3.6 s; one that is there after this long is a live one's. */
-const recordedMs = 6_000;
+const refuteAfterMs = 6_000;
 /** Fingerprints of suspects in a log line. */
-const mostLogged = 4;
+const maxLoggedFingerprints = 4;
 
 /** An attempt to find out whether an endpoint has ended, and who was cut there meanwhile. */
-interface EndCheck {
-  readonly cut: InFlightRequest[];
-  readonly hasEnded: Promise<boolean>;
+interface CrashCheck {
+  readonly interrupted: InFlightRequest[];
+  readonly hasCrashed: Promise<boolean>;
 }
 
 /** Watches endpoints for their end. */
 export class CrashDetector {
-  private readonly checks = new Map<Endpoint, EndCheck>();
+  private readonly checks = new Map<Endpoint, CrashCheck>();
   /** When an endpoint last showed that it lives, though a request was cut there. */
   private readonly aliveAt = new WeakMap<Endpoint, number>();
 
@@ -67,7 +67,7 @@
   /** Takes note that a request was cut at an endpoint; resolves with whether the endpoint has ended. */
   async noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
     const { clock, records } = this.options;
-    if (this.mayBePlanned(endpoint)) return false;
+    if (this.mayBePlannedStop(endpoint)) return false;
     if (records.hasCrashed(endpoint.incarnation)) {
       this.report(endpoint, [request]);
       return true;
@@ -75,20 +75,20 @@
     const aliveAt = this.aliveAt.get(endpoint) ?? -Infinity;
     if (clock.getTime() - aliveAt < aliveMs) return false;
     const check = this.checks.get(endpoint) ?? this.startCheck(endpoint);
-    check.cut.push(request);
-    return check.hasEnded;
+    check.interrupted.push(request);
+    return check.hasCrashed;
   }
 
   /** Takes back what a record shows to be wrong; called several times a second. */
   review(): void {
-    const { records, findEndpoint, getTimeSinceTrouble, logger, broadcast: tell } = this.options;
-    if (getTimeSinceTrouble() < recordedMs) return;
-    for (const life of records.getCrashedBefore(recordedMs)) {
-      if (findEndpoint(life)?.state !== EndpointState.Ready) continue;
-      logger.info("endpoint.end-refuted", { life });
-      const words = { refuted: [life] };
-      records.apply(words);
-      tell(words);
+    const { records, findEndpoint, getTimeSinceTrouble, logger, broadcast } = this.options;
+    if (getTimeSinceTrouble() < refuteAfterMs) return;
+    for (const incarnation of records.getCrashedBefore(refuteAfterMs)) {
+      if (findEndpoint(incarnation)?.state !== EndpointState.Ready) continue;
+      logger.info("endpoint.end-refuted", { life: incarnation });
+      const update = { refuted: [incarnation] };
+      records.apply(update);
+      broadcast(update);
     }
   }
 
@@ -96,53 +96,54 @@
    * Whether an end now would be one that was announced, so that no request is to blame. One that leaves ends as planned, and one
    * whose record is gone may; but one that has only just begun to say so in answers does not end before its drain time.
    */
-  private mayBePlanned({ state, availability: words, servedAt }: Endpoint): boolean {
+  private mayBePlannedStop({ state, availability, servedAt }: Endpoint): boolean {
     if (state === EndpointState.Ready) return false;
-    const isHeardInAnswers =
-      words.leavingSource === LeavingSource.Answer || words.leavingSource === LeavingSource.Peer;
-    if (!isHeardInAnswers) return true;
+    const isAnnouncedInAnswers =
+      availability.leavingSource === LeavingSource.Answer ||
+      availability.leavingSource === LeavingSource.Peer;
+    if (!isAnnouncedInAnswers) return true;
     const { clock, drainMs } = this.options;
-    return clock.getTime() - servedAt >= drainMs * plannedShare;
+    return clock.getTime() - servedAt >= drainMs * plannedStopShare;
   }
 
-  private startCheck(endpoint: Endpoint): EndCheck {
-    const cut: InFlightRequest[] = [];
-    const check = { cut, hasEnded: this.check(endpoint, cut) };
+  private startCheck(endpoint: Endpoint): CrashCheck {
+    const interrupted: InFlightRequest[] = [];
+    const check = { interrupted, hasCrashed: this.check(endpoint, interrupted) };
     this.checks.set(endpoint, check);
     return check;
   }
 
-  private async check(endpoint: Endpoint, cut: readonly InFlightRequest[]): Promise<boolean> {
-    const word = await this.options.probe(endpoint.record.address);
+  private async check(endpoint: Endpoint, interrupted: readonly InFlightRequest[]): Promise<boolean> {
+    const result = await this.options.probe(endpoint.record.address);
     this.checks.delete(endpoint);
-    if (word === ProbeResult.Listening) this.aliveAt.set(endpoint, this.options.clock.getTime());
-    const hasEnded = word === ProbeResult.Refused && !this.mayBePlanned(endpoint);
-    if (hasEnded) this.report(endpoint, [...new Set([...cut, ...endpoint.inFlight])]);
-    return hasEnded;
+    if (result === ProbeResult.Listening) this.aliveAt.set(endpoint, this.options.clock.getTime());
+    const hasCrashed = result === ProbeResult.Refused && !this.mayBePlannedStop(endpoint);
+    if (hasCrashed) this.report(endpoint, [...new Set([...interrupted, ...endpoint.inFlight])]);
+    return hasCrashed;
   }
 
   private report(endpoint: Endpoint, requests: readonly InFlightRequest[]): void {
-    const { clock, logger, records, broadcast: tell, countCrash: countEnd } = this.options;
-    const { incarnation: life, record } = endpoint;
-    const isFirst = !records.hasCrashed(life);
-    const aboard = requests.slice(0, mostReported).map(({ subject }) => subject);
-    const report: CrashReport = records.createReport(life, aboard);
-    const words = { reports: [report] };
-    if (!records.apply(words)) return;
-    tell(words);
+    const { clock, logger, records, broadcast, countCrash } = this.options;
+    const { incarnation, record } = endpoint;
+    const isFirst = !records.hasCrashed(incarnation);
+    const inFlight = requests.slice(0, maxReported).map(({ subject }) => subject);
+    const report: CrashReport = records.createReport(incarnation, inFlight);
+    const update = { reports: [report] };
+    if (!records.apply(update)) return;
+    broadcast(update);
     logger.info("endpoint.ended", {
       endpoint: record.id,
-      life,
+      life: incarnation,
       service: record.service,
-      aboard: aboard.length,
+      aboard: inFlight.length,
       suspects: report.suspects.length,
       fingerprints: report.suspects
-        .slice(0, mostLogged)
+        .slice(0, maxLoggedFingerprints)
         .map(({ fingerprint }) => fingerprint)
         .join(),
     });
     if (!isFirst) return;
     endpoint.noteUnreachable(clock.getTime());
-    countEnd(record.service);
+    countCrash(record.service);
   }
 }
--- a/packages/gateway/src/crashGossip.ts
+++ b/packages/gateway/src/crashGossip.ts
@@ -15,13 +15,13 @@
 
 /** Numbers of the messages; after that of vouching. */
 enum CrashMessageKind {
-  Words = 41,
+  Updates = 41,
   TrialCall = 42,
   TrialEnd = 43,
 }
 
-interface WordsMessage extends PeerMessage, CrashUpdate {
-  readonly kind: CrashMessageKind.Words;
+interface UpdateMessage extends PeerMessage, CrashUpdate {
+  readonly kind: CrashMessageKind.Updates;
 }
 
 interface TrialCall extends PeerMessage, TrialCallArguments {
@@ -45,9 +45,9 @@
   readonly own: string;
   readonly fleet: CrashFleet;
   readonly records: CrashRecords;
-  readonly grants: TrialScheduler;
+  readonly scheduler: TrialScheduler;
   /** Called with each word that told something new. */
-  readonly onUpdate: (words: CrashUpdate) => void;
+  readonly onUpdate: (update: CrashUpdate) => void;
 }
 
 /** Time beyond the wait that was asked for: the way to the arbiter and back. */
@@ -55,16 +55,16 @@
 
 /** Tells and asks. */
 export class CrashGossip {
-  private readonly words: FleetBroadcast;
+  private readonly broadcaster: FleetBroadcast;
 
   private constructor(private readonly options: CrashGossipOptions) {
-    this.words = FleetBroadcast.create(options.fleet);
+    this.broadcaster = FleetBroadcast.create(options.fleet);
     const { links } = options.fleet;
-    links.setHandler(CrashMessageKind.Words, (message, peer) => this.take(message, peer));
-    links.setHandler(CrashMessageKind.TrialCall, (message) => this.answer(message as TrialCall));
+    links.setHandler(CrashMessageKind.Updates, (message, peer) => this.handleUpdate(message, peer));
+    links.setHandler(CrashMessageKind.TrialCall, (message) => this.handleTrialRequest(message as TrialCall));
     links.setHandler(CrashMessageKind.TrialEnd, (message) => {
-      const { life, fingerprint } = message as TrialEndMessage;
-      options.grants.end(life, fingerprint);
+      const { life: incarnation, fingerprint } = message as TrialEndMessage;
+      options.scheduler.end(incarnation, fingerprint);
     });
     links.onLinkUp((peer) => this.sendToNewPeer(peer));
   }
@@ -74,57 +74,62 @@
   }
 
   /** Tells all peers, or in a large fleet the readers. */
-  broadcast(words: CrashUpdate): void {
-    this.words.broadcast(createMessage(words));
+  broadcast(update: CrashUpdate): void {
+    this.broadcaster.broadcast(createMessage(update));
   }
 
   /** Asks the arbiter of the service; where none answers, nobody knows where other suspects run. */
-  async callArbiter(question: TrialCallArguments): Promise<TrialReply> {
-    const { own, fleet, grants } = this.options;
-    const arbiter = fleet.findArbiter(question.service);
-    if (arbiter === own) return grants.decideOrWait(question);
+  async callArbiter(request: TrialCallArguments): Promise<TrialReply> {
+    const { own, fleet, scheduler } = this.options;
+    const arbiter = fleet.findArbiter(request.service);
+    if (arbiter === own) return scheduler.decideOrWait(request);
     if (arbiter === undefined) return { word: TrialDecision.Unknown };
-    const message: TrialCall = { kind: CrashMessageKind.TrialCall, ...question };
-    const answer = await fleet.links.call(arbiter, message, question.waitMs + answerMarginMs);
-    return answer.isOk() ? (answer.value as TrialReply) : { word: TrialDecision.Unknown };
+    const message: TrialCall = { kind: CrashMessageKind.TrialCall, ...request };
+    const reply = await fleet.links.call(arbiter, message, request.waitMs + answerMarginMs);
+    return reply.isOk() ? (reply.value as TrialReply) : { word: TrialDecision.Unknown };
   }
 
   /** Tells the arbiter that a suspect's run is over, or has lasted long enough. */
-  endTrial(service: string, life: string, fingerprint: string): void {
-    const { own, fleet, grants } = this.options;
+  endTrial(service: string, incarnation: string, fingerprint: string): void {
+    const { own, fleet, scheduler } = this.options;
     const arbiter = fleet.findArbiter(service);
-    const message: TrialEndMessage = { kind: CrashMessageKind.TrialEnd, life, fingerprint };
-    if (arbiter === own) grants.end(life, fingerprint);
+    const message: TrialEndMessage = { kind: CrashMessageKind.TrialEnd, life: incarnation, fingerprint };
+    if (arbiter === own) scheduler.end(incarnation, fingerprint);
     else if (arbiter !== undefined) fleet.links.send(arbiter, message);
   }
 
-  private take(message: WordsMessage, { name }: PeerIdentity): void {
-    const { records, onUpdate: onWords } = this.options;
+  private handleUpdate(message: UpdateMessage, { name }: PeerIdentity): void {
+    const { records, onUpdate } = this.options;
     const { reports, acquittals, refuted } = message;
-    const words: CrashUpdate = {
+    const update: CrashUpdate = {
       ...(reports && { reports }),
       ...(acquittals && { acquittals }),
       ...(refuted && { refuted }),
     };
-    if (!records.apply(words)) return;
-    onWords(words);
-    this.words.relay(createMessage(words), name);
+    if (!records.apply(update)) return;
+    onUpdate(update);
+    this.broadcaster.relay(createMessage(update), name);
   }
 
   /** One that does not hear the whole fleet knows too little to decide. */
-  private answer({ service, subject, excluded, waitMs }: TrialCall): Promise<TrialReply> | TrialReply {
-    const { fleet, grants } = this.options;
+  private handleTrialRequest({
+    service,
+    subject,
+    excluded,
+    waitMs,
+  }: TrialCall): Promise<TrialReply> | TrialReply {
+    const { fleet, scheduler } = this.options;
     if (!fleet.isCollector) return { word: TrialDecision.Unknown };
-    return grants.decideOrWait({ service, subject, excluded, waitMs });
+    return scheduler.decideOrWait({ service, subject, excluded, waitMs });
   }
 
   private sendToNewPeer({ name }: PeerIdentity): void {
-    const words = this.options.records.createSnapshot();
-    if (words.reports?.length === 0) return;
-    this.options.fleet.links.send(name, createMessage(words));
+    const update = this.options.records.createSnapshot();
+    if (update.reports?.length === 0) return;
+    this.options.fleet.links.send(name, createMessage(update));
   }
 }
 
-function createMessage(words: CrashUpdate): WordsMessage {
-  return { kind: CrashMessageKind.Words, ...words };
+function createMessage(update: CrashUpdate): UpdateMessage {
+  return { kind: CrashMessageKind.Updates, ...update };
 }
--- a/packages/gateway/src/crashProtection.ts
+++ b/packages/gateway/src/crashProtection.ts
@@ -39,9 +39,9 @@
   readonly records: CrashRecords;
   /** What requests are asked about. */
   readonly suspects: SuspectGate;
-  private readonly watch: CrashDetector;
-  private readonly grants: TrialScheduler;
-  private readonly kept: CrashStore;
+  private readonly detector: CrashDetector;
+  private readonly scheduler: TrialScheduler;
+  private readonly crashStore: CrashStore;
 
   private constructor(private readonly options: CrashProtectionOptions) {
     const { own, clock, logger, store, directory, members, metrics } = options;
@@ -49,28 +49,28 @@
     this.records = records;
     const findEndpoint = directory.find.bind(directory);
     const getEndpoints = directory.getOfService.bind(directory);
-    this.grants = TrialScheduler.create({
+    this.scheduler = TrialScheduler.create({
       clock,
       records,
       getEndpoints,
-      getPeerWork: (life) => members.getPeerWork(life),
+      getPeerWork: (incarnation) => members.getPeerWork(incarnation),
     });
-    const onWords = (words: CrashUpdate): void => {
-      this.noteUnreachable(words);
-      this.kept.review();
+    const onUpdate = (update: CrashUpdate): void => {
+      this.markUnreachable(update);
+      this.crashStore.review();
     };
-    const links = CrashGossip.create({
+    const gossip = CrashGossip.create({
       own,
       fleet: members,
       records,
-      grants: this.grants,
-      onUpdate: onWords,
+      scheduler: this.scheduler,
+      onUpdate,
     });
-    const tell = (words: CrashUpdate): void => {
-      links.broadcast(words);
-      this.kept.review();
+    const broadcast = (update: CrashUpdate): void => {
+      gossip.broadcast(update);
+      this.crashStore.review();
     };
-    this.watch = CrashDetector.create({
+    this.detector = CrashDetector.create({
       clock,
       logger,
       records,
@@ -78,10 +78,10 @@
       findEndpoint,
       drainMs: options.drainMs,
       getTimeSinceTrouble: options.getTimeSinceTrouble,
-      broadcast: tell,
+      broadcast,
       countCrash: (service) => metrics.countEndpointCrash(service),
     });
-    this.kept = CrashStore.create({
+    this.crashStore = CrashStore.create({
       store,
       clock,
       logger,
@@ -92,11 +92,11 @@
       clock,
       logger,
       records,
-      detector: this.watch,
+      detector: this.detector,
       metrics,
-      broadcast: tell,
-      callArbiter: (question) => links.callArbiter(question),
-      endTrial: (service, life, fingerprint) => links.endTrial(service, life, fingerprint),
+      broadcast,
+      callArbiter: (callArguments) => gossip.callArbiter(callArguments),
+      endTrial: (service, incarnation, fingerprint) => gossip.endTrial(service, incarnation, fingerprint),
       getEndpoints,
       findEndpoint,
     });
@@ -108,24 +108,24 @@
 
   /** Takes an item of the store, or that it is gone and how. */
   handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
-    this.kept.handleItem(key, item, removal);
+    this.crashStore.handleItem(key, item, removal);
   }
 
   /** Looks again at what was held to have ended, and at what the store should hold. */
   review(): void {
-    this.watch.review();
-    this.kept.review();
+    this.detector.review();
+    this.crashStore.review();
   }
 
   close(): void {
-    this.grants.close();
+    this.scheduler.close();
   }
 
   /** A peer found that an endpoint has ended: this instance need not find it out by requests of its own. */
-  private noteUnreachable({ reports = [] }: CrashUpdate): void {
+  private markUnreachable({ reports = [] }: CrashUpdate): void {
     const { clock, directory } = this.options;
-    for (const { life } of reports) {
-      const endpoint = directory.find(life);
+    for (const { life: incarnation } of reports) {
+      const endpoint = directory.find(incarnation);
       const time = clock.getTime();
       if (endpoint && !endpoint.isUnreachable(time)) endpoint.noteUnreachable(time);
     }
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -62,44 +62,44 @@
 }
 
 /** Blame for one end: of one suspect alone; several share it. */
-const wholeBlame = 1;
+const fullScore = 1;
 /**
  * Blame up to which a request runs like others, at which it rests, and above which it is not run any more. One that
  * ends each endpoint it runs at comes to the last with its third end, or with its fourth where two of its runs began
  * before anybody could know. The platform bears three ends, and three more runs after them.
  */
-const suspectBlame = 1;
+const suspectScore = 1;
 /**
  * Most blame for ends before anybody knew of an earlier one. A request that is at two such at once is asked for often, or
  * sent again at once: enough to run it apart, but the ends may have another cause.
  */
-const mostFirstBlame = 1.5;
-const restingBlame = 2;
+const maxFirstScore = 1.5;
+const cooldownScore = 2;
 /** Time without a run: two ends may still be chance, and a caller that asks again after a minute is served by then. */
 export const cooldownMs = 60_000;
 /** A suspect that never came back is forgotten: endpoints end by themselves, and most suspects are innocent. */
-const suspicionMs = 600_000;
+const suspectLifetimeMs = 600_000;
 /**
  * Ended endpoints that are remembered, about 100 bytes for each request that was there: three for each verdict in the
  * store.
  */
-const keptEnds = 1_024;
+const maxCrashes = 1_024;
 /** Requests of one workspace that are watched: one that makes endpoints end on purpose pushes out only its own. */
-const watchedPerWorkspace = 256;
+const maxSuspectsPerWorkspace = 256;
 /** Requests in one snapshot for a peer; 60 bytes each, a tenth of a link's outbox. */
-const mostTold = 400;
+const maxSnapshotRequests = 400;
 
 interface InFlightState {
   readonly workspace: string;
   wasSuspect: boolean;
-  isAcquitted: boolean;
+  isCleared: boolean;
 }
 
 /** The end of one life of an endpoint. */
-interface EndpointEnd {
+interface EndpointCrash {
   readonly life: string;
   /** Monotonic time at which it was heard of. */
-  readonly notedAt: number;
+  readonly recordedAt: number;
   /** Requests that were there, by fingerprint. */
   readonly inFlight: Map<string, InFlightState>;
   isRefuted: boolean;
@@ -108,10 +108,10 @@
 /** All that is known of ended endpoints and of the requests there. */
 export class CrashRecords {
   /** Ends by life, the latest at the end. */
-  private readonly ends = new Map<string, EndpointEnd>();
-  private readonly endsByFingerprint = new Map<string, Set<EndpointEnd>>();
+  private readonly crashes = new Map<string, EndpointCrash>();
+  private readonly crashesByFingerprint = new Map<string, Set<EndpointCrash>>();
   /** Fingerprints to blame for something, by workspace, the latest at the end. */
-  private readonly watched = new Map<string, Set<string>>();
+  private readonly suspectsByWorkspace = new Map<string, Set<string>>();
 
   private constructor(private readonly clock: Clock) {}
 
@@ -121,98 +121,101 @@
 
   /** Whether some request of a workspace is watched: only then a request's fingerprint is needed. */
   hasSuspects(workspace: string): boolean {
-    return this.watched.has(workspace);
+    return this.suspectsByWorkspace.has(workspace);
   }
 
   /** Whether an endpoint's life is held to have ended. */
-  hasCrashed(life: string): boolean {
-    const end = this.ends.get(life);
-    return end !== undefined && !end.isRefuted;
+  hasCrashed(incarnation: string): boolean {
+    const crash = this.crashes.get(incarnation);
+    return crash !== undefined && !crash.isRefuted;
   }
 
   /** Returns what may be done with a request. */
   getQuarantineState({ fingerprint }: CrashSubject): QuarantineState {
-    const blame = this.getBlame(fingerprint);
-    if (blame === 0) return QuarantineState.Clear;
-    if (blame > restingBlame) return QuarantineState.Convicted;
+    const score = this.getScore(fingerprint);
+    if (score === 0) return QuarantineState.Clear;
+    if (score > cooldownScore) return QuarantineState.Convicted;
     const age = this.getTimeSinceCrash(fingerprint);
-    if (blame === restingBlame) return age < cooldownMs ? QuarantineState.Resting : QuarantineState.Isolated;
-    if (age >= suspicionMs) return QuarantineState.Clear;
-    return blame > suspectBlame ? QuarantineState.Isolated : QuarantineState.Suspect;
+    if (score === cooldownScore) return age < cooldownMs ? QuarantineState.Resting : QuarantineState.Isolated;
+    if (age >= suspectLifetimeMs) return QuarantineState.Clear;
+    return score > suspectScore ? QuarantineState.Isolated : QuarantineState.Suspect;
   }
 
   /** Milliseconds since an endpoint last ended under a request, as heard here. */
   getTimeSinceCrash(fingerprint: string): number {
-    let notedAt = -Infinity;
-    for (const end of this.endsByFingerprint.get(fingerprint) ?? []) {
-      if (!end.isRefuted) notedAt = Math.max(notedAt, end.notedAt);
+    let recordedAt = -Infinity;
+    for (const crash of this.crashesByFingerprint.get(fingerprint) ?? []) {
+      if (!crash.isRefuted) recordedAt = Math.max(recordedAt, crash.recordedAt);
     }
-    return this.clock.getTime() - notedAt;
+    return this.clock.getTime() - recordedAt;
   }
 
   /** Lives of endpoints that ended while a request was there, and that it is not cleared of. */
   getUncleared(fingerprint: string): readonly string[] {
-    const ends = [...(this.endsByFingerprint.get(fingerprint) ?? [])];
-    return ends.filter((end) => isOpen(end, fingerprint)).map(({ life }) => life);
+    const crashes = [...(this.crashesByFingerprint.get(fingerprint) ?? [])];
+    return crashes
+      .filter((crash) => countsAgainst(crash, fingerprint))
+      .map(({ life: incarnation }) => incarnation);
   }
 
   /** The ends that a verdict rests on: those before which a request was no suspect, and those before which it was. */
   getEvidence(fingerprint: string): CrashEvidence {
-    const lives = this.getUncleared(fingerprint);
-    const wasSuspect = (life: string): boolean =>
-      this.ends.get(life)?.inFlight.get(fingerprint)?.wasSuspect === true;
+    const incarnations = this.getUncleared(fingerprint);
+    const wasSuspect = (incarnation: string): boolean =>
+      this.crashes.get(incarnation)?.inFlight.get(fingerprint)?.wasSuspect === true;
     return {
-      first: lives.filter((life) => !wasSuspect(life)),
-      repeated: lives.filter((life) => wasSuspect(life)),
+      first: incarnations.filter((incarnation) => !wasSuspect(incarnation)),
+      repeated: incarnations.filter((incarnation) => wasSuspect(incarnation)),
     };
   }
 
   /** Requests whose verdict must outlast this instance. */
   getDurable(): readonly CrashSubject[] {
-    const kept: CrashSubject[] = [];
-    for (const [workspace, fingerprints] of this.watched) {
+    const durable: CrashSubject[] = [];
+    for (const [workspace, fingerprints] of this.suspectsByWorkspace) {
       for (const fingerprint of fingerprints) {
-        if (this.getBlame(fingerprint) >= restingBlame) kept.push({ workspace, fingerprint });
+        if (this.getScore(fingerprint) >= cooldownScore) durable.push({ workspace, fingerprint });
       }
     }
-    return kept;
+    return durable;
   }
 
   /** Requests that are watched, and of these such as are not run any more. */
   count(): { readonly watched: number; readonly convicted: number } {
     let watched = 0;
     let convicted = 0;
-    for (const fingerprints of this.watched.values()) {
+    for (const fingerprints of this.suspectsByWorkspace.values()) {
       watched += fingerprints.size;
       for (const fingerprint of fingerprints) {
-        convicted += this.getBlame(fingerprint) > restingBlame ? 1 : 0;
+        convicted += this.getScore(fingerprint) > cooldownScore ? 1 : 0;
       }
     }
     return { watched, convicted };
   }
 
   /** Sorts those that were at an endpoint by whether they were suspects before it ended; of these, the most to blame. */
-  createReport(life: string, aboard: readonly CrashSubject[]): CrashReport {
-    const getBefore = ({ fingerprint }: CrashSubject): number => this.getBlame(fingerprint, life);
-    const hasIsolated = aboard.some((subject) => getBefore(subject) > suspectBlame);
-    const least = hasIsolated ? suspectBlame : 0;
-    const isSuspect = (subject: CrashSubject): boolean => getBefore(subject) > least;
+  createReport(incarnation: string, inFlight: readonly CrashSubject[]): CrashReport {
+    const getPreviousScore = ({ fingerprint }: CrashSubject): number =>
+      this.getScore(fingerprint, incarnation);
+    const hasIsolated = inFlight.some((subject) => getPreviousScore(subject) > suspectScore);
+    const minScore = hasIsolated ? suspectScore : 0;
+    const isSuspect = (subject: CrashSubject): boolean => getPreviousScore(subject) > minScore;
     return {
-      life,
-      suspects: aboard.filter((subject) => isSuspect(subject)),
-      others: aboard.filter((subject) => !isSuspect(subject)),
+      life: incarnation,
+      suspects: inFlight.filter((subject) => isSuspect(subject)),
+      others: inFlight.filter((subject) => !isSuspect(subject)),
     };
   }
 
   /** What is known, for a peer that may know less: the latest ends. */
   createSnapshot(): CrashUpdate {
     const reports: CrashReport[] = [];
-    let told = 0;
-    for (const end of [...this.ends.values()].reverse()) {
-      const report = createOpenReport(end);
-      told += report.suspects.length + report.others.length;
-      if (told > mostTold) break;
-      if (!end.isRefuted && report.suspects.length + report.others.length > 0) reports.push(report);
+    let count = 0;
+    for (const crash of [...this.crashes.values()].reverse()) {
+      const report = createUnclearedReport(crash);
+      count += report.suspects.length + report.others.length;
+      if (count > maxSnapshotRequests) break;
+      if (!crash.isRefuted && report.suspects.length + report.others.length > 0) reports.push(report);
     }
     return { reports: reports.reverse() };
   }
@@ -220,158 +223,159 @@
   /** Takes words; returns whether they told anything new. */
   apply({ reports = [], acquittals = [], refuted = [] }: CrashUpdate): boolean {
     let isNew = false;
-    for (const report of reports) isNew = this.takeReport(report) || isNew;
-    for (const acquittal of acquittals) isNew = this.takeAcquittal(acquittal) || isNew;
-    for (const life of refuted) isNew = this.refute(life) || isNew;
+    for (const report of reports) isNew = this.applyReport(report) || isNew;
+    for (const clearance of acquittals) isNew = this.applyClearance(clearance) || isNew;
+    for (const incarnation of refuted) isNew = this.refute(incarnation) || isNew;
     return isNew;
   }
 
   /** Lives that were noted longer ago than a time and are held to have ended. */
   getCrashedBefore(ageMs: number): readonly string[] {
     const latest = this.clock.getTime() - ageMs;
-    return [...this.ends.values()]
-      .filter((end) => !end.isRefuted && end.notedAt <= latest)
-      .map(({ life }) => life);
+    return [...this.crashes.values()]
+      .filter((crash) => !crash.isRefuted && crash.recordedAt <= latest)
+      .map(({ life: incarnation }) => incarnation);
   }
 
   /** The blame of a request, without the end of one life where that is given. */
-  private getBlame(fingerprint: string, without?: string): number {
-    let firstEnds = 0;
+  private getScore(fingerprint: string, excluded?: string): number {
+    let firstCrashes = 0;
     let repeated = 0;
-    for (const end of this.endsByFingerprint.get(fingerprint) ?? []) {
-      if (end.life === without || !isOpen(end, fingerprint)) continue;
-      const suspects = countSuspects(end);
-      const wasSuspect = end.inFlight.get(fingerprint)?.wasSuspect === true;
-      if (wasSuspect) repeated += wholeBlame / suspects;
-      else if (suspects === 0) firstEnds += 1;
+    for (const crash of this.crashesByFingerprint.get(fingerprint) ?? []) {
+      if (crash.life === excluded || !countsAgainst(crash, fingerprint)) continue;
+      const suspects = countSuspects(crash);
+      const wasSuspect = crash.inFlight.get(fingerprint)?.wasSuspect === true;
+      if (wasSuspect) repeated += fullScore / suspects;
+      else if (suspects === 0) firstCrashes += 1;
     }
-    return Math.min(firstEnds * wholeBlame, mostFirstBlame) + repeated;
+    return Math.min(firstCrashes * fullScore, maxFirstScore) + repeated;
   }
 
-  private takeReport({ life, suspects, others }: CrashReport): boolean {
-    const isKnown = this.ends.has(life);
-    const end = this.getEnd(life);
+  private applyReport({ life: incarnation, suspects, others }: CrashReport): boolean {
+    const isKnown = this.crashes.has(incarnation);
+    const crash = this.getCrash(incarnation);
     let isNew = !isKnown;
-    for (const subject of suspects) isNew = this.addInFlight(end, subject, true) || isNew;
-    for (const subject of others) isNew = this.addInFlight(end, subject, false) || isNew;
-    if (isNew) this.watchAll(end);
+    for (const subject of suspects) isNew = this.addInFlight(crash, subject, true) || isNew;
+    for (const subject of others) isNew = this.addInFlight(crash, subject, false) || isNew;
+    if (isNew) this.updateSuspects(crash);
     // Before its requests are noted a new end is needed by nobody, and would be the one to go.
     this.forgetOldest();
     return isNew;
   }
 
-  private getEnd(life: string): EndpointEnd {
-    let end = this.ends.get(life);
-    if (!end) {
-      end = { life, notedAt: this.clock.getTime(), inFlight: new Map(), isRefuted: false };
-      this.ends.set(life, end);
+  private getCrash(incarnation: string): EndpointCrash {
+    let crash = this.crashes.get(incarnation);
+    if (!crash) {
+      crash = { life: incarnation, recordedAt: this.clock.getTime(), inFlight: new Map(), isRefuted: false };
+      this.crashes.set(incarnation, crash);
     }
-    return end;
+    return crash;
   }
 
   private addInFlight(
-    end: EndpointEnd,
+    crash: EndpointCrash,
     { workspace, fingerprint }: CrashSubject,
     wasSuspect: boolean,
   ): boolean {
-    const state = end.inFlight.get(fingerprint);
+    const state = crash.inFlight.get(fingerprint);
     if (state) {
       if (state.wasSuspect || !wasSuspect) return false;
       state.wasSuspect = true;
       return true;
     }
-    end.inFlight.set(fingerprint, { workspace, wasSuspect, isAcquitted: false });
-    const ends = this.endsByFingerprint.get(fingerprint) ?? new Set<EndpointEnd>();
-    this.endsByFingerprint.set(fingerprint, ends);
-    ends.add(end);
+    crash.inFlight.set(fingerprint, { workspace, wasSuspect, isCleared: false });
+    const crashes = this.crashesByFingerprint.get(fingerprint) ?? new Set<EndpointCrash>();
+    this.crashesByFingerprint.set(fingerprint, crashes);
+    crashes.add(crash);
     return true;
   }
 
-  private takeAcquittal({ fingerprint, lives }: Clearance): boolean {
+  private applyClearance({ fingerprint, lives: incarnations }: Clearance): boolean {
     let isNew = false;
-    for (const life of lives) {
-      const end = this.ends.get(life);
-      const state = end?.inFlight.get(fingerprint);
-      if (!end || !state || state.isAcquitted) continue;
-      state.isAcquitted = true;
+    for (const incarnation of incarnations) {
+      const crash = this.crashes.get(incarnation);
+      const state = crash?.inFlight.get(fingerprint);
+      if (!crash || !state || state.isCleared) continue;
+      state.isCleared = true;
       isNew = true;
-      this.watchAll(end);
+      this.updateSuspects(crash);
     }
     return isNew;
   }
 
-  private refute(life: string): boolean {
-    const end = this.ends.get(life);
-    if (!end || end.isRefuted) return false;
-    end.isRefuted = true;
-    this.watchAll(end);
+  private refute(incarnation: string): boolean {
+    const crash = this.crashes.get(incarnation);
+    if (!crash || crash.isRefuted) return false;
+    crash.isRefuted = true;
+    this.updateSuspects(crash);
     return true;
   }
 
   /** Watches those at an endpoint that are to blame, and no others. */
-  private watchAll(end: EndpointEnd): void {
-    for (const [fingerprint, { workspace }] of end.inFlight) {
-      if (this.getBlame(fingerprint) > 0) this.watch(workspace, fingerprint);
-      else this.unwatch(workspace, fingerprint);
+  private updateSuspects(crash: EndpointCrash): void {
+    for (const [fingerprint, { workspace }] of crash.inFlight) {
+      if (this.getScore(fingerprint) > 0) this.addSuspect(workspace, fingerprint);
+      else this.removeSuspect(workspace, fingerprint);
     }
   }
 
-  private watch(workspace: string, fingerprint: string): void {
-    const fingerprints = this.watched.get(workspace) ?? new Set<string>();
-    this.watched.set(workspace, fingerprints);
+  private addSuspect(workspace: string, fingerprint: string): void {
+    const fingerprints = this.suspectsByWorkspace.get(workspace) ?? new Set<string>();
+    this.suspectsByWorkspace.set(workspace, fingerprints);
     fingerprints.add(fingerprint);
-    if (fingerprints.size <= watchedPerWorkspace) return;
-    const dropped = [...fingerprints].find((other) => this.getBlame(other) <= suspectBlame) ?? fingerprint;
-    this.drop(dropped);
-    this.unwatch(workspace, dropped);
+    if (fingerprints.size <= maxSuspectsPerWorkspace) return;
+    const evicted = [...fingerprints].find((other) => this.getScore(other) <= suspectScore) ?? fingerprint;
+    this.forget(evicted);
+    this.removeSuspect(workspace, evicted);
   }
 
-  private unwatch(workspace: string, fingerprint: string): void {
-    const fingerprints = this.watched.get(workspace);
+  private removeSuspect(workspace: string, fingerprint: string): void {
+    const fingerprints = this.suspectsByWorkspace.get(workspace);
     if (!fingerprints?.delete(fingerprint) || fingerprints.size > 0) return;
-    this.watched.delete(workspace);
+    this.suspectsByWorkspace.delete(workspace);
   }
 
-  private drop(fingerprint: string): void {
-    for (const end of this.endsByFingerprint.get(fingerprint) ?? []) end.inFlight.delete(fingerprint);
-    this.endsByFingerprint.delete(fingerprint);
+  private forget(fingerprint: string): void {
+    for (const crash of this.crashesByFingerprint.get(fingerprint) ?? []) crash.inFlight.delete(fingerprint);
+    this.crashesByFingerprint.delete(fingerprint);
   }
 
   /** Forgets the oldest end that no verdict which must last rests on. */
   private forgetOldest(): void {
-    if (this.ends.size <= keptEnds) return;
-    const isNeeded = ({ inFlight: aboard }: EndpointEnd): boolean =>
-      [...aboard.keys()].some((fingerprint) => this.getBlame(fingerprint) >= restingBlame);
-    const ends = [...this.ends.values()];
-    const oldest = ends.find((end) => !isNeeded(end)) ?? ends[0];
+    if (this.crashes.size <= maxCrashes) return;
+    const isDurable = ({ inFlight }: EndpointCrash): boolean =>
+      [...inFlight.keys()].some((fingerprint) => this.getScore(fingerprint) >= cooldownScore);
+    const crashes = [...this.crashes.values()];
+    const oldest = crashes.find((crash) => !isDurable(crash)) ?? crashes[0];
     if (!oldest) return;
-    this.ends.delete(oldest.life);
+    this.crashes.delete(oldest.life);
     for (const [fingerprint, { workspace }] of oldest.inFlight) {
-      const left = this.endsByFingerprint.get(fingerprint);
-      left?.delete(oldest);
-      if (left?.size === 0) this.endsByFingerprint.delete(fingerprint);
-      if (this.getBlame(fingerprint) === 0) this.unwatch(workspace, fingerprint);
+      const remaining = this.crashesByFingerprint.get(fingerprint);
+      remaining?.delete(oldest);
+      if (remaining?.size === 0) this.crashesByFingerprint.delete(fingerprint);
+      if (this.getScore(fingerprint) === 0) this.removeSuspect(workspace, fingerprint);
     }
   }
 }
 
 /** Whether an end still speaks against a request. */
-function isOpen({ isRefuted, inFlight: aboard }: EndpointEnd, fingerprint: string): boolean {
-  return !isRefuted && aboard.get(fingerprint)?.isAcquitted === false;
+function countsAgainst({ isRefuted, inFlight }: EndpointCrash, fingerprint: string): boolean {
+  return !isRefuted && inFlight.get(fingerprint)?.isCleared === false;
 }
 
-function countSuspects({ inFlight: aboard }: EndpointEnd): number {
+function countSuspects({ inFlight }: EndpointCrash): number {
   let count = 0;
-  for (const { wasSuspect, isAcquitted } of aboard.values()) count += wasSuspect && !isAcquitted ? 1 : 0;
+  for (const { wasSuspect, isCleared: isAcquitted } of inFlight.values())
+    count += wasSuspect && !isAcquitted ? 1 : 0;
   return count;
 }
 
-function createOpenReport({ life, inFlight: aboard }: EndpointEnd): CrashReport {
+function createUnclearedReport({ life: incarnation, inFlight }: EndpointCrash): CrashReport {
   const suspects: CrashSubject[] = [];
   const others: CrashSubject[] = [];
-  for (const [fingerprint, { workspace, wasSuspect, isAcquitted }] of aboard) {
+  for (const [fingerprint, { workspace, wasSuspect, isCleared: isAcquitted }] of inFlight) {
     if (isAcquitted) continue;
     (wasSuspect ? suspects : others).push({ workspace, fingerprint });
   }
-  return { life, suspects, others };
+  return { life: incarnation, suspects, others };
 }
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -24,9 +24,9 @@
 
 const crashPrefix = `${gatewayPrefix}crashes/`;
 /** Items in all, 200 bytes each: every instance reads them when it starts. */
-const mostItems = 256;
+const maxItems = 256;
 /** Items of one workspace: one that makes endpoints end on purpose takes no room from others. */
-const mostOfWorkspace = 64;
+const maxItemsOfWorkspace = 64;
 /** Time between two attempts of a write that failed. */
 const retryMs = 1_000;
 
@@ -71,29 +71,29 @@
   review(): void {
     const { clock } = this.options;
     if (this.isWriting || clock.getTime() - this.failedAt < retryMs) return;
-    const kept = this.options.records.getDurable();
-    const due = kept.find((subject) => this.isDue(subject));
-    if (due) {
-      void this.write(due);
+    const durable = this.options.records.getDurable();
+    const missing = durable.find((subject) => this.needsWrite(subject));
+    if (missing) {
+      void this.write(missing);
       return;
     }
     const cleared = [...this.items.keys()].find((fingerprint) => this.isCleared(fingerprint));
     if (cleared !== undefined) void this.remove(cleared);
   }
 
-  private isDue({ workspace, fingerprint }: CrashSubject): boolean {
+  private needsWrite({ workspace, fingerprint }: CrashSubject): boolean {
     const { records, isWriter } = this.options;
     if (!isWriter(fingerprint)) return false;
     const item = this.items.get(fingerprint);
-    if (!item) return this.hasRoom(workspace);
-    const known = getLives(item);
-    return records.getUncleared(fingerprint).some((life) => !known.includes(life));
+    if (!item) return this.hasSpace(workspace);
+    const known = getIncarnations(item);
+    return records.getUncleared(fingerprint).some((incarnation) => !known.includes(incarnation));
   }
 
-  private hasRoom(workspace: string): boolean {
+  private hasSpace(workspace: string): boolean {
     const items = [...this.items.values()];
     const own = items.filter((item) => item.workspace === workspace);
-    return items.length < mostItems && own.length < mostOfWorkspace;
+    return items.length < maxItems && own.length < maxItemsOfWorkspace;
   }
 
   /** A removal clears a request on all instances: one that is only blamed for less must stay. */
@@ -140,21 +140,21 @@
   private handleRemoved(fingerprint: string): void {
     const item = this.items.get(fingerprint);
     if (!this.items.delete(fingerprint) || !item) return;
-    const lives = getLives(item);
-    const words: CrashUpdate = { acquittals: [{ fingerprint, lives }] };
-    this.options.records.apply(words);
-    this.options.logger.info("crash.item-removed", { fingerprint, lives: lives.length });
+    const incarnations = getIncarnations(item);
+    const update: CrashUpdate = { acquittals: [{ fingerprint, lives: incarnations }] };
+    this.options.records.apply(update);
+    this.options.logger.info("crash.item-removed", { fingerprint, lives: incarnations.length });
   }
 }
 
-function getLives({ first, repeated }: CrashItem): readonly string[] {
+function getIncarnations({ first, repeated }: CrashItem): readonly string[] {
   return [...first, ...repeated];
 }
 
 function createReports(fingerprint: string, { workspace, first, repeated }: CrashItem): CrashReport[] {
   const subject = { workspace, fingerprint };
   return [
-    ...first.map((life) => ({ life, suspects: [], others: [subject] })),
-    ...repeated.map((life) => ({ life, suspects: [subject], others: [] })),
+    ...first.map((incarnation) => ({ life: incarnation, suspects: [], others: [subject] })),
+    ...repeated.map((incarnation) => ({ life: incarnation, suspects: [subject], others: [] })),
   ];
 }
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -26,10 +26,10 @@
 const failureWeight = 0.2;
 const failureHalfLifeMs = 2_500;
 const latencyWeight = 0.2;
-const unreachableStepMs = 400;
-const longestUnreachableMs = 3_000;
+const firstUnreachableMs = 400;
+const maxUnreachableMs = 3_000;
 /** Share of failures below which an endpoint counts as sound. */
-const soundShare = 0.02;
+const healthyFailureShare = 0.02;
 
 /** An endpoint and this instance's own view of it. */
 export class Endpoint {
@@ -50,7 +50,7 @@
   /** Monotonic time of its last answer, while it counted as ready, that did not say that it leaves. */
   servedAt = -Infinity;
   private unreachableUntil = -Infinity;
-  private unreachableTimes = 0;
+  private unreachableCount = 0;
   private failureShare = 0;
   private failureShareAt = 0;
 
@@ -104,9 +104,9 @@
 
   /** Takes note that it could not be reached. */
   noteUnreachable(time: number): void {
-    this.unreachableTimes += 1;
-    const length = Math.min(longestUnreachableMs, unreachableStepMs * 2 ** (this.unreachableTimes - 1));
-    this.unreachableUntil = time + length;
+    this.unreachableCount += 1;
+    const durationMs = Math.min(maxUnreachableMs, firstUnreachableMs * 2 ** (this.unreachableCount - 1));
+    this.unreachableUntil = time + durationMs;
     this.noteOutcome(false, time);
   }
 
@@ -118,13 +118,13 @@
   }
 
   /** Takes note of how an attempt ended; after one that ends well it counts as reachable. */
-  noteOutcome(isGood: boolean, time: number): void {
+  noteOutcome(isSuccess: boolean, time: number): void {
     const share = this.getFailureShare(time);
-    this.failureShare = share + ((isGood ? 0 : 1) - share) * failureWeight;
+    this.failureShare = share + ((isSuccess ? 0 : 1) - share) * failureWeight;
     this.failureShareAt = time;
-    if (this.failureShare < soundShare) this.failureShare = 0;
-    if (!isGood) return;
-    this.unreachableTimes = 0;
+    if (this.failureShare < healthyFailureShare) this.failureShare = 0;
+    if (!isSuccess) return;
+    this.unreachableCount = 0;
     this.unreachableUntil = -Infinity;
   }
 
@@ -145,15 +145,15 @@
 }
 
 /** Stands between an endpoint's id and the start of its life. */
-const lifeMark = "@";
+const incarnationSeparator = "@";
 
 /** Returns the name of a life; the id alone where its record does not say when it began. */
 export function getIncarnation({ id, born }: Pick<EndpointRecord, "id" | "born">): string {
-  return born === undefined ? id : `${id}${lifeMark}${born}`;
+  return born === undefined ? id : `${id}${incarnationSeparator}${born}`;
 }
 
 /** Returns the id that a life goes by. */
-export function getIncarnationId(life: string): string {
-  const end = life.lastIndexOf(lifeMark);
-  return end < 0 ? life : life.slice(0, end);
+export function getIncarnationId(incarnation: string): string {
+  const end = incarnation.lastIndexOf(incarnationSeparator);
+  return end < 0 ? incarnation : incarnation.slice(0, end);
 }
--- a/packages/gateway/src/endpointAvailability.ts
+++ b/packages/gateway/src/endpointAvailability.ts
@@ -19,14 +19,14 @@
 }
 
 /** Lives of which words are kept, some 200 bytes each: all endpoints of a fleet replaced within a few minutes. */
-const keptLives = 2_048;
+const maxIncarnations = 2_048;
 /** Time that a word is kept for; an endpoint that leaves ends within a minute. */
-const keptMs = 600_000;
+const maxAgeMs = 600_000;
 
 /** Requests that may wait for an answer right after a hold-off. */
-const firstRoom = 1;
+const firstConcurrency = 1;
 /** Room at which it is given up: the rounds before, of one, two and four requests, were all taken. */
-const fullRoom = 8;
+const fullConcurrency = 8;
 
 /** Words of one life. */
 export class EndpointAvailability {
@@ -34,8 +34,8 @@
   /** Monotonic time until which it wants no request of this instance. */
   private heldOffUntil = -Infinity;
   /** Requests that may wait for an answer there; bounded from a hold-off on, until it takes what is sent. */
-  private room = Infinity;
-  private waiting = 0;
+  private concurrency = Infinity;
+  private pending = 0;
   /** Grows with each hold-off: what was sent before one neither counts after it nor shows that it is over. */
   private round = 0;
   /** Monotonic time of the last word. */
@@ -66,7 +66,7 @@
   noteHoldOff(milliseconds: number, time: number): void {
     this.updatedAt = time;
     this.heldOffUntil = Math.max(this.heldOffUntil, time + milliseconds);
-    this.beginReturn();
+    this.beginSlowStart();
   }
 
   /** Takes note of an answer that names a limit. */
@@ -78,13 +78,13 @@
   /** Takes note of an answer that names no limit; what waited for the end comes back as after a hold-off. */
   clearLimit(sentAt: number): LimitChange {
     const change = this.limit.noteOmitted(sentAt);
-    if (change === LimitChange.Ended) this.beginReturn();
+    if (change === LimitChange.Ended) this.beginSlowStart();
     return change;
   }
 
-  private beginReturn(): void {
-    this.room = firstRoom;
-    this.waiting = 0;
+  private beginSlowStart(): void {
+    this.concurrency = firstConcurrency;
+    this.pending = 0;
     this.round += 1;
   }
 
@@ -108,28 +108,28 @@
 
   /** The same where a permit is at hand. */
   acceptsPermitted(time: number): boolean {
-    return time >= this.heldOffUntil && this.waiting < this.room;
+    return time >= this.heldOffUntil && this.pending < this.concurrency;
   }
 
   /** Takes note that a request is sent there; returns what its end is told with. */
   beginAttempt(): number {
-    this.waiting += 1;
+    this.pending += 1;
     return this.round;
   }
 
   /** Takes note of what came of a request that was sent there. */
-  endAttempt(round: number, isTaken: boolean): void {
+  endAttempt(round: number, isAccepted: boolean): void {
     if (round !== this.round) return;
-    this.waiting -= 1;
-    if (isTaken) this.room += 1;
-    if (this.room >= fullRoom) this.room = Infinity;
+    this.pending -= 1;
+    if (isAccepted) this.concurrency += 1;
+    if (this.concurrency >= fullConcurrency) this.concurrency = Infinity;
   }
 }
 
 /** Words of all lives, also of those whose records are gone or not there yet. */
 export class AvailabilityCache {
   /** Words by life, the latest at the end. */
-  private readonly words = new Map<string, EndpointAvailability>();
+  private readonly entries = new Map<string, EndpointAvailability>();
 
   private constructor(private readonly clock: Clock) {}
 
@@ -137,39 +137,42 @@
     return new AvailabilityCache(clock);
   }
 
-  find(life: string): EndpointAvailability | undefined {
-    return this.words.get(life);
+  find(incarnation: string): EndpointAvailability | undefined {
+    return this.entries.get(incarnation);
   }
 
   /** Keeps the words of a life, to which one was just added. */
-  touch(life: string, words: EndpointAvailability): void {
-    this.words.delete(life);
-    this.words.set(life, words);
-    const limit = this.clock.getTime() - keptMs;
-    for (const [oldest, { updatedAt: heardAt }] of this.words) {
-      if (this.words.size <= keptLives && heardAt >= limit) return;
-      this.words.delete(oldest);
+  touch(incarnation: string, availability: EndpointAvailability): void {
+    this.entries.delete(incarnation);
+    this.entries.set(incarnation, availability);
+    const limit = this.clock.getTime() - maxAgeMs;
+    for (const [oldest, { updatedAt }] of this.entries) {
+      if (this.entries.size <= maxIncarnations && updatedAt >= limit) return;
+      this.entries.delete(oldest);
     }
   }
 
   /** Lives that are known to leave by an answer, the latest first, so many at most. */
-  getLeaving(most: number): readonly string[] {
+  getLeaving(maxCount: number): readonly string[] {
     return this.select(
-      most,
+      maxCount,
       ({ leavingSource: leaving }) => leaving === LeavingSource.Answer || leaving === LeavingSource.Peer,
     );
   }
 
   /** Lives that name a limit, the latest first, so many at most. */
-  getLimited(most: number): readonly string[] {
-    return this.select(most, ({ limit }) => limit.perSecond !== undefined);
+  getLimited(maxCount: number): readonly string[] {
+    return this.select(maxCount, ({ limit }) => limit.perSecond !== undefined);
   }
 
-  private select(most: number, isMeant: (words: EndpointAvailability) => boolean): readonly string[] {
-    const meant = [...this.words].filter(([, words]) => isMeant(words));
-    return meant
+  private select(
+    maxCount: number,
+    isSelected: (availability: EndpointAvailability) => boolean,
+  ): readonly string[] {
+    const selected = [...this.entries].filter(([, availability]) => isSelected(availability));
+    return selected
       .reverse()
-      .slice(0, most)
-      .map(([life]) => life);
+      .slice(0, maxCount)
+      .map(([incarnation]) => incarnation);
   }
 }
--- a/packages/gateway/src/endpointConnections.ts
+++ b/packages/gateway/src/endpointConnections.ts
@@ -10,7 +10,7 @@
 import type { Endpoint } from "./endpoint.js";
 import { trackConnectionEnd } from "./connectionEnds.js";
 
-const mostIdle = 32;
+const maxIdle = 32;
 /** Idle connections are closed after this long, unless the endpoint names a shorter time. */
 const idleMs = 8_000;
 
@@ -18,7 +18,7 @@
   private readonly idle = new WeakSet<Duplex>();
 
   constructor() {
-    super({ keepAlive: true, maxFreeSockets: mostIdle, scheduling: "lifo", timeout: idleMs });
+    super({ keepAlive: true, maxFreeSockets: maxIdle, scheduling: "lifo", timeout: idleMs });
   }
 
   override createConnection(options: ClientRequestArgs): Socket {
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -40,19 +40,19 @@
  * Records that lapsed while the store was in trouble are written again within two seconds of its return, by those
  * endpoints that live; one that is still missing after this long is gone.
  */
-const relistedWithinMs = 2_200;
+const relistWithinMs = 2_200;
 /** Longest time that endpoints are used on whose records vanished together, however long the trouble lasts. */
-const longestUnlistedMs = 5_000;
+const maxUnlistedMs = 5_000;
 /**
  * Share of all endpoints that vanish together only by the store's own trouble. Of one service alone it would say too much: a
  * service of four loses half with two, and those would be used beyond the drain time.
  */
-const togetherShare = 0.5;
+const massRemovalShare = 0.5;
 
 /** Fields of a line of the log. */
 export type LogFields = Readonly<Record<string, string | number | undefined>>;
 
-const wordCauses: Readonly<Record<LeavingSource, string>> = {
+const leavingCauses: Readonly<Record<LeavingSource, string>> = {
   [LeavingSource.Record]: "record",
   [LeavingSource.Answer]: "said so in an answer",
   [LeavingSource.Peer]: "said so to a peer",
@@ -67,14 +67,14 @@
   /** What endpoints have said of themselves. */
   readonly availabilities: AvailabilityCache;
   /** Lives whose records went. */
-  private readonly ended: RemovedIncarnations;
-  private readonly removeListeners: ((endpoint: Endpoint) => void)[] = [];
-  private readonly saidLeavingListeners: ((life: string) => void)[] = [];
+  private readonly removed: RemovedIncarnations;
+  private readonly removalListeners: ((endpoint: Endpoint) => void)[] = [];
+  private readonly leavingListeners: ((incarnation: string) => void)[] = [];
 
   private constructor(private readonly options: EndpointDirectoryOptions) {
     const { platform, clock, logger } = options;
     this.availabilities = AvailabilityCache.create(clock);
-    this.ended = RemovedIncarnations.create(clock);
+    this.removed = RemovedIncarnations.create(clock);
     this.follower = PrefixFollower.create({
       store: platform.store,
       prefix: platform.endpointPrefix,
@@ -83,7 +83,7 @@
       watchWaitMs: options.watchWaitMs,
       firstWatchPauseMs: options.firstWatchPauseMs,
       listener: {
-        handlePut: (item, isRestored) => this.take(item, isRestored),
+        handlePut: (item, isRestored) => this.handleRecord(item, isRestored),
         handleRemoved: (key, removal) =>
           this.handleRemoved(key.slice(platform.endpointPrefix.length), removal),
       },
@@ -119,7 +119,7 @@
     const usable = this.getOfService(service).filter((endpoint) => endpoint.isUsable());
     return usable.length === 0
       ? 0
-      : Math.min(...usable.map(({ availability: words }) => words.getWaitMs(time)));
+      : Math.min(...usable.map(({ availability }) => availability.getWaitMs(time)));
   }
 
   get(id: string): Endpoint | undefined {
@@ -127,9 +127,9 @@
   }
 
   /** Returns an endpoint by its life. */
-  find(life: string): Endpoint | undefined {
-    const endpoint = this.endpoints.get(getIncarnationId(life)) ?? this.endpoints.get(life);
-    return endpoint?.incarnation === life ? endpoint : undefined;
+  find(incarnation: string): Endpoint | undefined {
+    const endpoint = this.endpoints.get(getIncarnationId(incarnation)) ?? this.endpoints.get(incarnation);
+    return endpoint?.incarnation === incarnation ? endpoint : undefined;
   }
 
   getAll(): Iterable<Endpoint> {
@@ -138,75 +138,79 @@
 
   /** Calls back when an endpoint is forgotten. */
   onRemoved(listener: (endpoint: Endpoint) => void): void {
-    this.removeListeners.push(listener);
+    this.removalListeners.push(listener);
   }
 
   /** Calls back with a life that has said in an answer to this instance that it leaves, once. */
-  onLeavingAnnounced(listener: (life: string) => void): void {
-    this.saidLeavingListeners.push(listener);
+  onLeavingAnnounced(listener: (incarnation: string) => void): void {
+    this.leavingListeners.push(listener);
   }
 
   /** Takes an answer's word that the endpoint has ended and another has its address. */
-  handleReplaced({ incarnation: life }: Endpoint): void {
-    this.takeLeaving(life, LeavingSource.Successor);
+  handleReplaced({ incarnation }: Endpoint): void {
+    this.markLeaving(incarnation, LeavingSource.Successor);
   }
 
   /** Takes a peer's word that a life leaves; returns whether it is new. */
-  handlePeerLeaving(life: string, peer: string): boolean {
-    return this.takeLeaving(life, LeavingSource.Peer, { peer });
+  handlePeerLeaving(incarnation: string, peer: string): boolean {
+    return this.markLeaving(incarnation, LeavingSource.Peer, { peer });
   }
 
   /** Takes what an endpoint says of itself with an answer. */
   handleNotice(
-    { incarnation: life }: Endpoint,
+    { incarnation }: Endpoint,
     notice: EndpointNotice,
     { requestId, status }: AnswerReference,
   ): void {
     const { isLeaving, holdOffMs, unreadableTime } = notice;
-    const heard = { request: requestId, status };
+    const answer = { request: requestId, status };
     if (unreadableTime !== undefined) {
-      this.options.logger.warn("endpoint.time-unreadable", { life, ...heard, text: unreadableTime });
+      this.options.logger.warn("endpoint.time-unreadable", {
+        life: incarnation,
+        ...answer,
+        text: unreadableTime,
+      });
     }
-    if (holdOffMs !== undefined) this.takeHoldOff(life, holdOffMs, heard);
-    if (!isLeaving || !this.takeLeaving(life, LeavingSource.Answer, heard)) return;
-    for (const listener of this.saidLeavingListeners) listener(life);
+    if (holdOffMs !== undefined) this.startHoldOff(incarnation, holdOffMs, answer);
+    if (!isLeaving || !this.markLeaving(incarnation, LeavingSource.Answer, answer)) return;
+    for (const listener of this.leavingListeners) listener(incarnation);
   }
 
   /** Binds this instance alone: told to peers, it would take away what the endpoint still gives them. */
-  private takeHoldOff(life: string, holdOffMs: number, heard: LogFields): void {
+  private startHoldOff(incarnation: string, holdOffMs: number, answer: LogFields): void {
     const { clock, logger } = this.options;
-    const words = this.getAvailability(life);
-    words.noteHoldOff(holdOffMs, clock.getTime());
-    this.availabilities.touch(life, words);
-    logger.info("endpoint.held-off", { life, ...heard, forMs: Math.round(holdOffMs) });
+    const availability = this.getAvailability(incarnation);
+    availability.noteHoldOff(holdOffMs, clock.getTime());
+    this.availabilities.touch(incarnation, availability);
+    logger.info("endpoint.held-off", { life: incarnation, ...answer, forMs: Math.round(holdOffMs) });
   }
 
   /** Returns the words of a life; they are kept from the first one on. */
-  getAvailability(life: string): EndpointAvailability {
-    return this.find(life)?.availability ?? this.availabilities.find(life) ?? EndpointAvailability.create();
+  getAvailability(key: string): EndpointAvailability {
+    return this.find(key)?.availability ?? this.availabilities.find(key) ?? EndpointAvailability.create();
   }
 
   /**
    * Takes the word that a life leaves; returns whether it is new. Read for the one request only, it would let
    * requests reach an endpoint long after its word, while it can't write to the store.
    */
-  private takeLeaving(life: string, source: LeavingSource, fields: LogFields = {}): boolean {
+  private markLeaving(incarnation: string, source: LeavingSource, fields: LogFields = {}): boolean {
     const { clock, logger } = this.options;
     const time = clock.getTime();
-    const endpoint = this.find(life);
-    const words = this.getAvailability(life);
-    const isNew = words.noteLeaving(source, time);
-    this.availabilities.touch(life, words);
+    const endpoint = this.find(incarnation);
+    const availability = this.getAvailability(incarnation);
+    const isNew = availability.noteLeaving(source, time);
+    this.availabilities.touch(incarnation, availability);
     if (!isNew) return false;
     logger.info("endpoint.word", {
-      life,
+      life: incarnation,
       source: LeavingSource[source],
       ...fields,
       state: endpoint && EndpointState[endpoint.state],
       recordAgeMs: endpoint && Math.round(time - endpoint.recordAt),
       unheardMs: Math.round(this.follower.silenceMs),
     });
-    if (endpoint) this.setState(endpoint, EndpointState.Leaving, wordCauses[source]);
+    if (endpoint) this.setState(endpoint, EndpointState.Leaving, leavingCauses[source]);
     return true;
   }
 
@@ -214,7 +218,7 @@
     await this.follower.close();
   }
 
-  private take(item: StoreItem, isRestored: boolean): void {
+  private handleRecord(item: StoreItem, isRestored: boolean): void {
     const { platform, logger } = this.options;
     const { key, value } = item;
     const decoded = platform.decodeEndpoint(key, value);
@@ -223,9 +227,9 @@
       return;
     }
     const record = decoded.value;
-    if (isRestored && this.ended.has(getIncarnation(record))) return this.holdBack(item);
+    if (isRestored && this.removed.has(getIncarnation(record))) return this.deferRecord(item);
     const known = this.endpoints.get(record.id);
-    if (known && isBefore(record, known.record)) {
+    if (known && isEarlierIncarnation(record, known.record)) {
       logger.info("endpoint.refused", { key, text: "the record is of an earlier life" });
       return;
     }
@@ -237,33 +241,33 @@
     const wasLeaving = endpoint.record.isLeaving;
     endpoint.record = { ...record, isLeaving: record.isLeaving || wasLeaving };
     endpoint.recordAt = this.options.clock.getTime();
-    if (record.isLeaving) this.takeLeaving(endpoint.incarnation, LeavingSource.Record);
-    const { leavingSource: leaving } = endpoint.availability;
-    if (leaving === undefined) return this.setState(endpoint, EndpointState.Ready, "record");
+    if (record.isLeaving) this.markLeaving(endpoint.incarnation, LeavingSource.Record);
+    const { leavingSource } = endpoint.availability;
+    if (leavingSource === undefined) return this.setState(endpoint, EndpointState.Ready, "record");
     if (!record.isLeaving) {
       logger.info("endpoint.overruled", {
         life: endpoint.incarnation,
-        by: LeavingSource[leaving],
+        by: LeavingSource[leavingSource],
         record: "ready",
       });
     }
-    this.setState(endpoint, EndpointState.Leaving, wordCauses[leaving]);
+    this.setState(endpoint, EndpointState.Leaving, leavingCauses[leavingSource]);
   }
 
   /**
    * Leaves a record aside that is of a life whose record went before, as a copy may have it still: the store drops it unless
    * that endpoint lives and goes on writing it.
    */
-  private holdBack(item: StoreItem): void {
+  private deferRecord(item: StoreItem): void {
     const { clock, logger } = this.options;
     logger.info("endpoint.passed-over", {
       key: item.key,
       revision: item.revision,
       text: "its record went before",
     });
-    clock.startTimer(longestUnlistedMs, () => {
+    clock.startTimer(maxUnlistedMs, () => {
       const present = this.follower.getItem(item.key);
-      if (present?.revision === item.revision) this.take(present, false);
+      if (present?.revision === item.revision) this.handleRecord(present, false);
     });
   }
 
@@ -278,11 +282,11 @@
     return endpoint;
   }
 
-  private handleRemoved(id: string, { cause, troubleAgeMs: toldAgeMs }: Removal): void {
+  private handleRemoved(id: string, { cause, troubleAgeMs: reportedAgeMs }: Removal): void {
     const endpoint = this.endpoints.get(id);
     if (!endpoint) return;
     const { clock, getTimeSinceTrouble } = this.options;
-    const troubleAgeMs = toldAgeMs ?? getTimeSinceTrouble();
+    const troubleAgeMs = reportedAgeMs ?? getTimeSinceTrouble();
     const isLost = cause === RemovalCause.Lost;
     // Only trouble of whoever brings the word explains it: another reader that the store turned away says nothing of
     // the store, and by its trouble endpoints that left would be used beyond the drain time.
@@ -290,7 +294,7 @@
       (isLost || troubleAgeMs < troubleWindowMs) && endpoint.availability.leavingSource === undefined;
     if (!isExplained) {
       this.setState(endpoint, EndpointState.Leaving, "record gone", troubleAgeMs);
-      this.forgetEnded(endpoint);
+      this.forgetRemoved(endpoint);
       return;
     }
     this.setState(
@@ -301,18 +305,18 @@
     );
     clock.startTimer(this.options.unlistedMs, () => {
       // This instance's own path may have been the trouble: then the record tells of an endpoint that leaves.
-      if (!isLost && !this.haveManyVanished()) this.endUnlisted(endpoint);
+      if (!isLost && !this.haveManyVanished()) this.giveUpUnlisted(endpoint);
     });
-    this.awaitRelisting(endpoint, clock.getTime() + longestUnlistedMs);
+    this.awaitRelisting(endpoint, clock.getTime() + maxUnlistedMs);
   }
 
   /** Gives a vanished record up once the store has been well for as long as living endpoints need to come back. */
   private awaitRelisting(endpoint: Endpoint, endsAt: number): void {
     const { clock, getTimeSinceTrouble } = this.options;
-    const left = Math.min(relistedWithinMs, endsAt - clock.getTime());
-    clock.startTimer(left, () => {
-      const isStoreWell = getTimeSinceTrouble() >= relistedWithinMs;
-      if (isStoreWell || clock.getTime() >= endsAt) this.endUnlisted(endpoint);
+    const remaining = Math.min(relistWithinMs, endsAt - clock.getTime());
+    clock.startTimer(remaining, () => {
+      const isStoreHealthy = getTimeSinceTrouble() >= relistWithinMs;
+      if (isStoreHealthy || clock.getTime() >= endsAt) this.giveUpUnlisted(endpoint);
       else this.awaitRelisting(endpoint, endsAt);
     });
   }
@@ -320,17 +324,17 @@
   private haveManyVanished(): boolean {
     let unlisted = 0;
     for (const { state } of this.endpoints.values()) unlisted += state === EndpointState.Unlisted ? 1 : 0;
-    return unlisted > 1 && unlisted >= this.endpoints.size * togetherShare;
+    return unlisted > 1 && unlisted >= this.endpoints.size * massRemovalShare;
   }
 
-  private endUnlisted(endpoint: Endpoint): void {
+  private giveUpUnlisted(endpoint: Endpoint): void {
     if (endpoint.state !== EndpointState.Unlisted) return;
     this.setState(endpoint, EndpointState.Leaving, "not listed again");
-    this.forgetEnded(endpoint);
+    this.forgetRemoved(endpoint);
   }
 
-  private forgetEnded(endpoint: Endpoint): void {
-    this.ended.add(endpoint.incarnation);
+  private forgetRemoved(endpoint: Endpoint): void {
+    this.removed.add(endpoint.incarnation);
     this.forget(endpoint);
   }
 
@@ -338,9 +342,9 @@
     if (this.endpoints.get(endpoint.id) !== endpoint) return;
     this.endpoints.delete(endpoint.id);
     const { service } = endpoint.record;
-    const left = this.getOfService(service).filter((other) => other !== endpoint);
-    this.byService.set(service, left);
-    for (const listener of this.removeListeners) listener(endpoint);
+    const remaining = this.getOfService(service).filter((other) => other !== endpoint);
+    this.byService.set(service, remaining);
+    for (const listener of this.removalListeners) listener(endpoint);
   }
 
   private setState(endpoint: Endpoint, state: EndpointState, cause: string, troubleAgeMs?: number): void {
@@ -360,6 +364,6 @@
 }
 
 /** Whether a record is of a life that ended before a known one began; one that does not say when it began can't be later. */
-function isBefore({ born }: EndpointRecord, known: EndpointRecord): boolean {
+function isEarlierIncarnation({ born }: EndpointRecord, known: EndpointRecord): boolean {
   return known.born !== undefined && (born === undefined || born < known.born);
 }
--- a/packages/gateway/src/endpointLimit.ts
+++ b/packages/gateway/src/endpointLimit.ts
@@ -29,23 +29,23 @@
 export const leastUrgentRank = Infinity;
 
 /** Time for which a permit may be used: what is sent later than that is not what the issuer counts with. */
-const permitMs = 250;
+const permitValidMs = 250;
 /** Of a high limit, questions under way and permits at hand are as many as come in this time. */
 const aheadMs = 50;
 const millisecondsPerSecond = 1_000;
 
 /** A limit of one life. */
 export class EndpointLimit {
-  private named: number | undefined;
+  private advertised: number | undefined;
   /** Monotonic time of the last answer that named it, to whomever. */
-  private heardAt = -Infinity;
+  private receivedAt = -Infinity;
   /** When the request was sent whose answer named none: an answer that came before says nothing any more. */
   private endedAt = -Infinity;
-  private held = 0;
-  private heldUntil = -Infinity;
+  private heldPermits = 0;
+  private permitsValidUntil = -Infinity;
   /** Permits to be asked for at once. */
   private batch = 1;
-  private asking = 0;
+  private openCalls = 0;
   /** Until when only requests more urgent than `refusedRank` ask for a permit. */
   private refusedUntil = -Infinity;
   private refusedRank = -Infinity;
@@ -58,84 +58,85 @@
 
   /** Requests a second that it takes of all instances together; undefined where it names none. */
   get perSecond(): number | undefined {
-    return this.named;
+    return this.advertised;
   }
 
   /** Milliseconds since it was last known to be as it is: named by an answer, or not named by one to a request sent then. */
   getAge(time: number): number {
-    return time - (this.named === undefined ? this.endedAt : this.heardAt);
+    return time - (this.advertised === undefined ? this.endedAt : this.receivedAt);
   }
 
   /**
    * Takes an answer that names it. Answers on different connections pass each other: one whose request was sent before the last
    * answer came does not raise it, and one that came before the end does not bring it back.
    */
-  noteAdvertised(perSecond: number, { sentAt, receivedAt: heardAt }: ResponseTimes): LimitChange {
-    if (heardAt <= this.endedAt) return LimitChange.None;
-    const former = this.named;
-    if (former === undefined || sentAt >= this.heardAt || perSecond < former) this.named = perSecond;
-    this.heardAt = Math.max(this.heardAt, heardAt);
-    if (former === undefined) return LimitChange.Begun;
-    return this.named === former ? LimitChange.None : LimitChange.Changed;
+  noteAdvertised(perSecond: number, { sentAt, receivedAt }: ResponseTimes): LimitChange {
+    if (receivedAt <= this.endedAt) return LimitChange.None;
+    const previous = this.advertised;
+    if (previous === undefined || sentAt >= this.receivedAt || perSecond < previous)
+      this.advertised = perSecond;
+    this.receivedAt = Math.max(this.receivedAt, receivedAt);
+    if (previous === undefined) return LimitChange.Begun;
+    return this.advertised === previous ? LimitChange.None : LimitChange.Changed;
   }
 
   /** Takes an answer that does not name it; it ends it where its request was sent after the last answer that did. */
   noteOmitted(sentAt: number): LimitChange {
-    if (this.named === undefined || sentAt <= this.heardAt) return LimitChange.None;
-    this.named = undefined;
+    if (this.advertised === undefined || sentAt <= this.receivedAt) return LimitChange.None;
+    this.advertised = undefined;
     this.endedAt = sentAt;
-    this.held = 0;
+    this.heldPermits = 0;
     this.refusedUntil = -Infinity;
     return LimitChange.Ended;
   }
 
   /** Whether a request of a rank may be sent, or a permit be asked for it. */
   mayRequestPermits(time: number, rank: number): boolean {
-    if (this.named === undefined || this.hasHeld(time)) return true;
-    if (this.asking >= this.mostAhead) return false;
+    if (this.advertised === undefined || this.holdsPermit(time)) return true;
+    if (this.openCalls >= this.maxAhead) return false;
     return time >= this.refusedUntil || rank < this.refusedRank;
   }
 
   /** Milliseconds until a permit is likely to be had; 0 where there is one, or none is needed. */
   getWaitMs(time: number): number {
-    if (this.named === undefined || this.hasHeld(time)) return 0;
+    if (this.advertised === undefined || this.holdsPermit(time)) return 0;
     return Math.max(0, this.refusedUntil - time);
   }
 
   /** Uses a permit that is held; false where there is none. */
   tryUsePermit(time: number): boolean {
-    if (!this.hasHeld(time)) return false;
-    this.held -= 1;
+    if (!this.holdsPermit(time)) return false;
+    this.heldPermits -= 1;
     return true;
   }
 
   /** Takes note that an issuer is asked; returns for how many permits: twice as many while all are used, half once some lapse. */
   beginPermitCall(): number {
-    this.asking += 1;
-    this.batch = this.held > 0 ? this.batch / 2 : this.batch * 2;
-    this.batch = Math.min(this.mostAhead, Math.max(1, Math.floor(this.batch)));
-    this.held = 0;
+    this.openCalls += 1;
+    this.batch = this.heldPermits > 0 ? this.batch / 2 : this.batch * 2;
+    this.batch = Math.min(this.maxAhead, Math.max(1, Math.floor(this.batch)));
+    this.heldPermits = 0;
     return this.batch;
   }
 
   /** Takes the answer to a question for a request of a rank. */
   endPermitCall({ permits, waitMs }: PermitGrant, rank: number, time: number): void {
-    this.asking -= 1;
+    this.openCalls -= 1;
     if (permits > 0) {
-      this.held += permits;
-      this.heldUntil = time + permitMs;
+      this.heldPermits += permits;
+      this.permitsValidUntil = time + permitValidMs;
       return;
     }
-    const isHeldUp = time < this.refusedUntil;
-    this.refusedRank = isHeldUp ? Math.min(this.refusedRank, rank) : rank;
+    const isRefused = time < this.refusedUntil;
+    this.refusedRank = isRefused ? Math.min(this.refusedRank, rank) : rank;
     this.refusedUntil = Math.max(this.refusedUntil, time + waitMs);
   }
 
-  private get mostAhead(): number {
-    return Math.max(1, Math.floor(((this.named ?? 0) * aheadMs) / millisecondsPerSecond));
+  private get maxAhead(): number {
+    return Math.max(1, Math.floor(((this.advertised ?? 0) * aheadMs) / millisecondsPerSecond));
   }
 
-  private hasHeld(time: number): boolean {
-    return this.held > 0 && time < this.heldUntil;
+  private holdsPermit(time: number): boolean {
+    return this.heldPermits > 0 && time < this.permitsValidUntil;
   }
 }
--- a/packages/gateway/src/endpointLimits.ts
+++ b/packages/gateway/src/endpointLimits.ts
@@ -23,7 +23,7 @@
 
 /** Limits of all endpoints. */
 export class EndpointLimits {
-  private readonly listeners: ((life: string) => void)[] = [];
+  private readonly listeners: ((incarnation: string) => void)[] = [];
 
   private constructor(private readonly options: EndpointLimitsOptions) {}
 
@@ -32,65 +32,76 @@
   }
 
   /** Calls back with a life whose limit an answer to this instance began or ended. */
-  onLimitChange(listener: (life: string) => void): void {
+  onLimitChange(listener: (incarnation: string) => void): void {
     this.listeners.push(listener);
   }
 
   /** Takes an answer of an endpoint; `limit` is undefined where it names none. */
   handleAnswer(
-    { incarnation: life, availability: words }: Endpoint,
+    { incarnation, availability }: Endpoint,
     limit: AdvertisedLimit | undefined,
     source: LimitSource,
   ): void {
     // Nearly all answers end here.
-    if (limit === undefined && words.limit.perSecond === undefined) return;
+    if (limit === undefined && availability.limit.perSecond === undefined) return;
     const { requestId: request, status, sentAt } = source;
-    const heard = { request, status };
+    const response = { request, status };
     if (limit?.unreadable !== undefined) {
-      this.options.logger.warn("endpoint.limit-unreadable", { life, ...heard, text: limit.unreadable });
+      this.options.logger.warn("endpoint.limit-unreadable", {
+        life: incarnation,
+        ...response,
+        text: limit.unreadable,
+      });
     }
     // A word that can't be read is a word all the same: it does not end the limit.
     if (limit !== undefined && limit.perSecond === undefined) return;
-    const heardAt = this.options.clock.getTime();
-    const change = this.note(life, limit?.perSecond, { sentAt, receivedAt: heardAt }, heard);
+    const receivedAt = this.options.clock.getTime();
+    const change = this.applyLimit(incarnation, limit?.perSecond, { sentAt, receivedAt }, response);
     if (change !== LimitChange.Begun && change !== LimitChange.Ended) return;
-    for (const listener of this.listeners) listener(life);
+    for (const listener of this.listeners) listener(incarnation);
   }
 
   /** Takes a peer's word; returns whether it began or ended a limit here. */
-  mergePeer({ life, perSecond, ageMs }: PeerLimit, peer: string): boolean {
+  mergePeer({ life: incarnation, perSecond, ageMs }: PeerLimit, peer: string): boolean {
     const at = this.options.clock.getTime() - Math.max(0, ageMs);
-    const change = this.note(life, perSecond, { sentAt: at, receivedAt: at }, { peer });
+    const change = this.applyLimit(incarnation, perSecond, { sentAt: at, receivedAt: at }, { peer });
     return change === LimitChange.Begun || change === LimitChange.Ended;
   }
 
   /** Returns what is known here of a life's limit. */
-  get(life: string): PeerLimit {
-    const { limit } = this.options.directory.getAvailability(life);
+  get(incarnation: string): PeerLimit {
+    const { limit } = this.options.directory.getAvailability(incarnation);
     return {
-      life,
+      life: incarnation,
       perSecond: limit.perSecond,
       ageMs: Math.round(limit.getAge(this.options.clock.getTime())),
     };
   }
 
-  private note(
-    life: string,
+  private applyLimit(
+    incarnation: string,
     perSecond: number | undefined,
     times: ResponseTimes,
-    heard: LogFields,
+    source: LogFields,
   ): LimitChange {
     const { clock, logger, directory } = this.options;
     const time = clock.getTime();
-    const words = directory.getAvailability(life);
-    const former = words.limit.perSecond;
-    const formerAgeMs = former === undefined ? undefined : Math.round(words.limit.getAge(time));
+    const availability = directory.getAvailability(incarnation);
+    const previous = availability.limit.perSecond;
+    const previousAgeMs = previous === undefined ? undefined : Math.round(availability.limit.getAge(time));
     const change =
-      perSecond === undefined ? words.clearLimit(times.sentAt) : words.noteLimit(perSecond, times, time);
-    if (perSecond !== undefined) directory.availabilities.touch(life, words);
+      perSecond === undefined
+        ? availability.clearLimit(times.sentAt)
+        : availability.noteLimit(perSecond, times, time);
+    if (perSecond !== undefined) directory.availabilities.touch(incarnation, availability);
     if (change === LimitChange.None) return change;
-    const said = { change: LimitChange[change], perSecond, former, formerAgeMs };
-    logger.info("endpoint.limit", { life, ...said, ...heard });
+    const changeFields = {
+      change: LimitChange[change],
+      perSecond,
+      former: previous,
+      formerAgeMs: previousAgeMs,
+    };
+    logger.info("endpoint.limit", { life: incarnation, ...changeFields, ...source });
     return change;
   }
 }
--- a/packages/gateway/src/endpointProbe.ts
+++ b/packages/gateway/src/endpointProbe.ts
@@ -21,9 +21,9 @@
 export function probeEndpoint(address: string, timeoutMs: number): Promise<ProbeResult> {
   return new Promise((resolve) => {
     const socket = connect(parseAddress(address));
-    const finish = (word: ProbeResult): void => {
+    const finish = (result: ProbeResult): void => {
       socket.destroy();
-      resolve(word);
+      resolve(result);
     };
     socket.setTimeout(timeoutMs, () => finish(ProbeResult.Unknown));
     socket.once("connect", () => finish(ProbeResult.Listening));
--- a/packages/gateway/src/leakyBucket.ts
+++ b/packages/gateway/src/leakyBucket.ts
@@ -5,16 +5,16 @@
 
 const millisecondsPerSecond = 1_000;
 /** Longest time told until room is there; where the rate is zero, there never is. */
-const longestWaitMs = 60_000;
+const maxWaitMs = 60_000;
 
 /** A low of the level: it was no lower later, up to the next one. */
-interface LevelLow {
+interface LevelMinimum {
   readonly at: number;
   readonly level: number;
 }
 
 /** Lows that are kept; with more, the oldest are told as one, which only makes what is given back less. */
-const keptLows = 64;
+const maxMinima = 64;
 
 /** A level that falls at a rate. */
 export class LeakyBucket {
@@ -22,7 +22,7 @@
   private at = 0;
   private ratePerMs = 0;
   /** Lows before each rise, each higher than the one before it. */
-  private readonly lows: LevelLow[] = [];
+  private readonly minima: LevelMinimum[] = [];
 
   private constructor() {}
 
@@ -38,22 +38,22 @@
 
   add(time: number, amount: number): void {
     this.advance(time);
-    this.noteLow(this.level);
+    this.recordMinimum(this.level);
     this.level = Math.max(0, this.level + amount);
   }
 
   /** Sets the level to one that another instance knows. */
   set(time: number, level: number): void {
     this.advance(time);
-    this.noteLow(Math.min(this.level, level));
+    this.recordMinimum(Math.min(this.level, level));
     this.level = level;
   }
 
   /** Returns the lowest that the level has been after a time. */
   getLowestSince(time: number, since: number): number {
     this.advance(time);
-    const low = this.lows.find(({ at }) => at > since);
-    return Math.min(this.level, low?.level ?? Infinity);
+    const minimum = this.minima.find(({ at }) => at > since);
+    return Math.min(this.level, minimum?.level ?? Infinity);
   }
 
   /** Returns the level at a time. */
@@ -64,15 +64,15 @@
 
   /** Milliseconds until the level will have fallen by an amount. */
   getTimeUntilFreed(_time: number, amount: number): number {
-    return this.ratePerMs > 0 ? Math.min(longestWaitMs, amount / this.ratePerMs) : longestWaitMs;
+    return this.ratePerMs > 0 ? Math.min(maxWaitMs, amount / this.ratePerMs) : maxWaitMs;
   }
 
-  private noteLow(level: number): void {
-    while ((this.lows.at(-1)?.level ?? -Infinity) >= level) this.lows.pop();
-    this.lows.push({ at: this.at, level });
-    if (this.lows.length <= keptLows) return;
-    const [oldest, next] = this.lows;
-    this.lows.splice(0, 2, { at: next!.at, level: oldest!.level });
+  private recordMinimum(level: number): void {
+    while ((this.minima.at(-1)?.level ?? -Infinity) >= level) this.minima.pop();
+    this.minima.push({ at: this.at, level });
+    if (this.minima.length <= maxMinima) return;
+    const [oldest, next] = this.minima;
+    this.minima.splice(0, 2, { at: next!.at, level: oldest!.level });
   }
 
   private advance(time: number): void {
--- a/packages/gateway/src/leavingGossip.ts
+++ b/packages/gateway/src/leavingGossip.ts
@@ -16,40 +16,40 @@
 }
 
 /** Lives in one message: 40 bytes each, a tenth of a link's outbox at most; of more, the latest are told. */
-const mostTold = 400;
+const maxReported = 400;
 
 /** Tells and takes. */
 export class LeavingGossip {
-  private readonly words: FleetBroadcast;
+  private readonly broadcaster: FleetBroadcast;
 
   private constructor(
     private readonly fleet: FleetTopology,
     private readonly directory: EndpointDirectory,
   ) {
-    this.words = FleetBroadcast.create(fleet);
-    fleet.links.setHandler(leavingKind, (message, peer) => this.take(message, peer));
+    this.broadcaster = FleetBroadcast.create(fleet);
+    fleet.links.setHandler(leavingKind, (message, peer) => this.handleMessage(message, peer));
     fleet.links.onLinkUp(({ name }) => this.sendToNewPeer(name));
-    directory.onLeavingAnnounced((life) => this.words.broadcast(createMessage([life])));
+    directory.onLeavingAnnounced((incarnation) => this.broadcaster.broadcast(createMessage([incarnation])));
   }
 
   static create(fleet: FleetTopology, directory: EndpointDirectory): LeavingGossip {
     return new LeavingGossip(fleet, directory);
   }
 
-  private take(message: PeerMessage, { name }: PeerIdentity): void {
-    const { lives } = message as Partial<LeavingMessage>;
-    if (!Array.isArray(lives)) return;
-    const named = lives.slice(0, mostTold).filter((life) => typeof life === "string");
-    const fresh = named.filter((life) => this.directory.handlePeerLeaving(life, name));
-    if (fresh.length > 0) this.words.relay(createMessage(fresh), name);
+  private handleMessage(message: PeerMessage, { name }: PeerIdentity): void {
+    const { lives: incarnations } = message as Partial<LeavingMessage>;
+    if (!Array.isArray(incarnations)) return;
+    const valid = incarnations.slice(0, maxReported).filter((incarnation) => typeof incarnation === "string");
+    const news = valid.filter((incarnation) => this.directory.handlePeerLeaving(incarnation, name));
+    if (news.length > 0) this.broadcaster.relay(createMessage(news), name);
   }
 
   private sendToNewPeer(name: string): void {
-    const lives = this.directory.availabilities.getLeaving(mostTold);
-    if (lives.length > 0) this.fleet.links.send(name, createMessage(lives));
+    const incarnations = this.directory.availabilities.getLeaving(maxReported);
+    if (incarnations.length > 0) this.fleet.links.send(name, createMessage(incarnations));
   }
 }
 
-function createMessage(lives: readonly string[]): LeavingMessage {
-  return { kind: leavingKind, lives };
+function createMessage(incarnations: readonly string[]): LeavingMessage {
+  return { kind: leavingKind, lives: incarnations };
 }
--- a/packages/gateway/src/limitGossip.ts
+++ b/packages/gateway/src/limitGossip.ts
@@ -19,7 +19,7 @@
 } from "./limitMessages.js";
 
 /** Limits in one message: 60 bytes each, a tenth of a link's outbox at most; of more, the latest are told. */
-const mostTold = 400;
+const maxReported = 400;
 
 /** Options of the links. */
 export interface LimitGossipOptions {
@@ -27,24 +27,26 @@
   readonly directory: EndpointDirectory;
   readonly limits: EndpointLimits;
   /** Decides as the issuer. */
-  readonly decide: (ask: PermitCall, asker: string) => PermitReply;
+  readonly decide: (request: PermitCall, asker: string) => PermitReply;
 }
 
 /** Tells and answers. */
 export class LimitGossip {
-  private readonly words: FleetBroadcast;
+  private readonly broadcaster: FleetBroadcast;
   /** Lives of peers that give permits out. */
-  private readonly able = new Map<string, number>();
+  private readonly issuerIncarnations = new Map<string, number>();
 
   private constructor(private readonly options: LimitGossipOptions) {
     const { fleet, limits } = options;
-    this.words = FleetBroadcast.create(fleet);
-    fleet.links.setHandler(LimitMessageKind.Limits, (message, peer) => this.take(message, peer));
+    this.broadcaster = FleetBroadcast.create(fleet);
+    fleet.links.setHandler(LimitMessageKind.Limits, (message, peer) => this.handleLimits(message, peer));
     fleet.links.setHandler(LimitMessageKind.PermitCall, (message, peer) =>
-      this.answer(message as PermitCall, peer),
+      this.handlePermitRequest(message as PermitCall, peer),
     );
     fleet.links.onLinkUp((peer) => this.sendToNewPeer(peer));
-    limits.onLimitChange((life) => this.words.broadcast(createMessage([limits.get(life)])));
+    limits.onLimitChange((incarnation) =>
+      this.broadcaster.broadcast(createMessage([limits.get(incarnation)])),
+    );
   }
 
   static create(options: LimitGossipOptions): LimitGossip {
@@ -53,30 +55,34 @@
 
   /** Whether a peer gives permits out. */
   isAble(name: string): boolean {
-    return this.able.has(name);
+    return this.issuerIncarnations.has(name);
   }
 
-  private take(message: PeerMessage, { name, incarnation }: PeerIdentity): void {
-    this.able.set(name, incarnation);
+  private handleLimits(message: PeerMessage, { name, incarnation }: PeerIdentity): void {
+    this.issuerIncarnations.set(name, incarnation);
     const { limits } = message as Partial<LimitsMessage>;
     if (!Array.isArray(limits)) return;
-    const told = (limits as unknown[]).slice(0, mostTold).filter(isPeerLimit);
-    const fresh = told.filter((limit) => this.options.limits.mergePeer(limit, name));
-    if (fresh.length > 0) this.words.relay(createMessage(fresh), name);
+    const reports = (limits as unknown[]).slice(0, maxReported).filter(isPeerLimit);
+    const news = reports.filter((limit) => this.options.limits.mergePeer(limit, name));
+    if (news.length > 0) this.broadcaster.relay(createMessage(news), name);
   }
 
   /** One that does not hear the whole fleet is no issuer of it. */
-  private answer(ask: PermitCall, { name }: PeerIdentity): PermitReply {
-    const isGood = this.options.fleet.isCollector && isPeerLimit(ask) && isPermitCall(ask);
-    return isGood ? this.options.decide(ask, name) : { word: PermitDecision.Unknown, permits: 0, waitMs: 0 };
+  private handlePermitRequest(request: PermitCall, { name }: PeerIdentity): PermitReply {
+    const isValid = this.options.fleet.isCollector && isPeerLimit(request) && isPermitCall(request);
+    return isValid
+      ? this.options.decide(request, name)
+      : { word: PermitDecision.Unknown, permits: 0, waitMs: 0 };
   }
 
   /** Told also where there is nothing to tell: the peer then knows that permits are given out here. */
   private sendToNewPeer({ name, incarnation }: PeerIdentity): void {
-    if (this.able.get(name) !== incarnation) this.able.delete(name);
+    if (this.issuerIncarnations.get(name) !== incarnation) this.issuerIncarnations.delete(name);
     const { limits, directory, fleet } = this.options;
-    const told = directory.availabilities.getLimited(mostTold).map((life) => limits.get(life));
-    fleet.links.send(name, createMessage(told));
+    const reports = directory.availabilities
+      .getLimited(maxReported)
+      .map((incarnation) => limits.get(incarnation));
+    fleet.links.send(name, createMessage(reports));
   }
 }
 
--- a/packages/gateway/src/peerWorkViews.ts
+++ b/packages/gateway/src/peerWorkViews.ts
@@ -8,7 +8,7 @@
 
 interface PeerView {
   readonly work: EndpointWork;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** What all peers told. */
@@ -23,12 +23,12 @@
 
   /** Takes all of a peer's work, in place of what it told before. */
   setPeer(peer: string, work: EndpointWork): void {
-    this.views.set(peer, { work, heardAt: this.clock.getTime() });
+    this.views.set(peer, { work, receivedAt: this.clock.getTime() });
   }
 
   /** Adds a prompt that a peer has just sent to an endpoint; its next report includes it. */
   addPlacement(peer: string, endpoint: string, tokens: number): void {
-    const view = this.views.get(peer) ?? { work: {}, heardAt: this.clock.getTime() };
+    const view = this.views.get(peer) ?? { work: {}, receivedAt: this.clock.getTime() };
     const [active, pendingTokens] = view.work[endpoint] ?? [0, 0];
     const work = { ...view.work, [endpoint]: [active + 1, pendingTokens + tokens] as const };
     this.views.set(peer, { ...view, work });
@@ -36,8 +36,8 @@
 
   /** Sum over the peers that were heard a moment ago; older words say nothing of a peer's work. */
   getSum(): EndpointWork {
-    const limit = this.clock.getTime() - reportLifetimeMs;
-    const heard = [...this.views.values()].filter(({ heardAt }) => heardAt >= limit);
-    return sumWork(heard.map(({ work }) => work));
+    const oldestAt = this.clock.getTime() - reportLifetimeMs;
+    const recent = [...this.views.values()].filter(({ receivedAt }) => receivedAt >= oldestAt);
+    return sumWork(recent.map(({ work }) => work));
   }
 }
--- a/packages/gateway/src/prefillRates.ts
+++ b/packages/gateway/src/prefillRates.ts
@@ -20,17 +20,17 @@
 }
 
 /** Observations kept of a service: 64 make 2,016 pairs, some 0.3 ms of sorting. */
-const keptObservations = 64;
+const maxObservations = 64;
 /** Observations between two estimates. */
-const estimateEvery = 8;
+const observationsPerEstimate = 8;
 /** Words of a peer that has said nothing since are forgotten. */
 const peerLifetimeMs = 30_000;
 /** Time for which a merged rate is used: it is asked for at every candidate of every request. */
 const mergedLifetimeMs = 1_000;
 /** A rate that has changed by this share is logged. */
-const loggedChange = 0.1;
+const minLoggedChange = 0.1;
 
-interface Learned {
+interface LearnedRate {
   readonly observations: PrefillObservation[];
   sinceEstimate: number;
   rate: number | undefined;
@@ -39,12 +39,12 @@
 
 interface PeerRates {
   readonly rates: RateReport;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** Learns and merges rates. */
 export class PrefillRates {
-  private readonly learned = new Map<string, Learned>();
+  private readonly learned = new Map<string, LearnedRate>();
   private readonly peers = new Map<string, PeerRates>();
   /** Rates in use by service; undefined where none has been learned. */
   private readonly merged = new Map<string, number | undefined>();
@@ -70,9 +70,9 @@
   note(service: string, observation: PrefillObservation): void {
     const learned = this.learned.get(service) ?? this.add(service);
     learned.observations.push(observation);
-    if (learned.observations.length > keptObservations) learned.observations.shift();
+    if (learned.observations.length > maxObservations) learned.observations.shift();
     learned.sinceEstimate += 1;
-    if (learned.sinceEstimate < estimateEvery) return;
+    if (learned.sinceEstimate < observationsPerEstimate) return;
     learned.sinceEstimate = 0;
     learned.rate = estimatePrefillRate(learned.observations) ?? learned.rate;
     this.merged.clear();
@@ -103,7 +103,7 @@
   mergePeer(peer: string, rates: RateReport): void {
     // The first word of a peer counts at once; later ones change little.
     if (!this.peers.has(peer)) this.merged.clear();
-    this.peers.set(peer, { rates, heardAt: this.options.clock.getTime() });
+    this.peers.set(peer, { rates, receivedAt: this.options.clock.getTime() });
   }
 
   private find(service: string): number | undefined {
@@ -120,17 +120,17 @@
     const rates: number[] = [];
     const own = this.learned.get(service)?.rate;
     if (own !== undefined) rates.push(own);
-    const limit = this.options.clock.getTime() - peerLifetimeMs;
-    for (const [peer, told] of this.peers) {
-      if (told.heardAt < limit) this.peers.delete(peer);
-      else if (told.rates[service] !== undefined) rates.push(told.rates[service]);
+    const oldestAt = this.options.clock.getTime() - peerLifetimeMs;
+    for (const [peer, report] of this.peers) {
+      if (report.receivedAt < oldestAt) this.peers.delete(peer);
+      else if (report.rates[service] !== undefined) rates.push(report.rates[service]);
     }
     return rates.length > 0 ? getMedian(rates) : undefined;
   }
 
-  private add(service: string): Learned {
+  private add(service: string): LearnedRate {
     const { initialRate: startRate } = this.options;
-    const learned: Learned = {
+    const learned: LearnedRate = {
       observations: [],
       sinceEstimate: 0,
       rate: undefined,
@@ -140,9 +140,9 @@
     return learned;
   }
 
-  private logChange(service: string, learned: Learned): void {
+  private logChange(service: string, learned: LearnedRate): void {
     const { rate, loggedRate, observations } = learned;
-    if (rate === undefined || Math.abs(rate - loggedRate) < loggedRate * loggedChange) return;
+    if (rate === undefined || Math.abs(rate - loggedRate) < loggedRate * minLoggedChange) return;
     learned.loggedRate = rate;
     const fields = { service, rate: Math.round(rate * 10) / 10, observations: observations.length };
     this.options.logger.info("rate.learned", { ...fields, inUse: Math.round(this.get(service) * 10) / 10 });
--- a/packages/gateway/src/prefixIndex.ts
+++ b/packages/gateway/src/prefixIndex.ts
@@ -5,14 +5,14 @@
  */
 import type { PromptPart } from "./types.js";
 
-const keptParts = 4_000;
+const maxParts = 4_000;
 /** Parts that save less reading than this are not told: 256 tokens are 2 to 8 ms. */
-const leastToldTokens = 256;
+const minReportedTokens = 256;
 /** Most parts kept for one report: what is beyond it is only not known elsewhere. */
-const mostTold = 64;
+const maxReportedParts = 64;
 
 /** Ended endpoints that are remembered, so that a peer's late word does not bring one back. */
-const keptEnded = 256;
+const maxRemoved = 256;
 
 /** Parts of prompts that an instance's requests made endpoints read, by endpoint. */
 export type PrefixReport = Readonly<Record<string, readonly string[]>>;
@@ -22,10 +22,10 @@
   /** Lives of endpoints by part, the part used last at the end. */
   private readonly holders = new Map<string, Set<string>>();
   /** What peers have not been told yet. */
-  private untold: Record<string, string[]> = {};
-  private untoldCount = 0;
+  private unreported: Record<string, string[]> = {};
+  private unreportedCount = 0;
   /** Lives of endpoints that have ended, the latest at the end. */
-  private readonly ended = new Set<string>();
+  private readonly removed = new Set<string>();
 
   private constructor() {}
 
@@ -42,9 +42,10 @@
   noteSent(parts: readonly PromptPart[], endpoint: string): void {
     // The last part is the request's own: no other will bring it, but for its session's next one, which comes here.
     for (const { id, tokens } of parts.slice(0, -1)) {
-      if (tokens < leastToldTokens || this.holds(id, endpoint) || this.untoldCount >= mostTold) continue;
-      (this.untold[endpoint] ??= []).push(id);
-      this.untoldCount += 1;
+      if (tokens < minReportedTokens || this.holds(id, endpoint) || this.unreportedCount >= maxReportedParts)
+        continue;
+      (this.unreported[endpoint] ??= []).push(id);
+      this.unreportedCount += 1;
     }
     this.add(
       parts.map(({ id }) => id),
@@ -54,10 +55,10 @@
 
   /** Returns what peers have not been told yet; they count as told from then on. */
   takeUnreported(): PrefixReport {
-    const { untold } = this;
-    this.untold = {};
-    this.untoldCount = 0;
-    return untold;
+    const { unreported } = this;
+    this.unreported = {};
+    this.unreportedCount = 0;
+    return unreported;
   }
 
   /** Takes what a peer tells. */
@@ -66,14 +67,14 @@
   }
 
   private add(parts: readonly string[], endpoint: string): void {
-    if (this.ended.has(endpoint)) return;
+    if (this.removed.has(endpoint)) return;
     for (const id of parts) {
       const holders = this.holders.get(id) ?? new Set<string>();
       this.holders.delete(id);
       this.holders.set(id, holders);
       holders.add(endpoint);
     }
-    while (this.holders.size > keptParts) {
+    while (this.holders.size > maxParts) {
       const oldest = this.holders.keys().next().value;
       if (oldest === undefined) return;
       this.holders.delete(oldest);
@@ -83,8 +84,8 @@
   /** Forgets an endpoint that has ended. */
   removeEndpoint(endpoint: string): void {
     for (const holders of this.holders.values()) holders.delete(endpoint);
-    this.ended.add(endpoint);
-    const [oldest] = this.ended;
-    if (this.ended.size > keptEnded && oldest !== undefined) this.ended.delete(oldest);
+    this.removed.add(endpoint);
+    const [oldest] = this.removed;
+    if (this.removed.size > maxRemoved && oldest !== undefined) this.removed.delete(oldest);
   }
 }
--- a/packages/gateway/src/removedIncarnations.ts
+++ b/packages/gateway/src/removedIncarnations.ts
@@ -5,14 +5,14 @@
 import type { Clock } from "@gladewall/kernel";
 
 /** Copies are some seconds old. */
-const keptMs = 60_000;
+const retentionMs = 60_000;
 /** Lives that are kept, some 100 bytes each. */
-const keptLives = 2_048;
+const maxIncarnations = 2_048;
 
 /** Lives that have ended. */
 export class RemovedIncarnations {
   /** When a record went, by life; the latest at the end. */
-  private readonly endedAt = new Map<string, number>();
+  private readonly removedAt = new Map<string, number>();
 
   private constructor(private readonly clock: Clock) {}
 
@@ -20,18 +20,18 @@
     return new RemovedIncarnations(clock);
   }
 
-  has(life: string): boolean {
-    const at = this.endedAt.get(life);
-    return at !== undefined && this.clock.getTime() - at < keptMs;
+  has(incarnation: string): boolean {
+    const at = this.removedAt.get(incarnation);
+    return at !== undefined && this.clock.getTime() - at < retentionMs;
   }
 
-  add(life: string): void {
-    this.endedAt.delete(life);
-    this.endedAt.set(life, this.clock.getTime());
-    const limit = this.clock.getTime() - keptMs;
-    for (const [oldest, at] of this.endedAt) {
-      if (this.endedAt.size <= keptLives && at >= limit) return;
-      this.endedAt.delete(oldest);
+  add(incarnation: string): void {
+    this.removedAt.delete(incarnation);
+    this.removedAt.set(incarnation, this.clock.getTime());
+    const limit = this.clock.getTime() - retentionMs;
+    for (const [oldest, at] of this.removedAt) {
+      if (this.removedAt.size <= maxIncarnations && at >= limit) return;
+      this.removedAt.delete(oldest);
     }
   }
 }
--- a/packages/gateway/src/requestFingerprint.ts
+++ b/packages/gateway/src/requestFingerprint.ts
@@ -17,11 +17,11 @@
 }
 
 /** Bytes kept of the digest: two of a million requests are alike by chance once in 10^26. */
-const keptBytes = 16;
+const digestBytes = 16;
 
 /** Returns a digest of what a request asks, the same on all instances; 22 characters. */
 export function createFingerprint({ workspace, method, host, target, body }: FingerprintSource): string {
   const head = JSON.stringify([workspace ?? "", method, host.toLowerCase(), target]);
   const digest = createHash("sha256").update(head).update(body).digest();
-  return digest.subarray(0, keptBytes).toString("base64url");
+  return digest.subarray(0, digestBytes).toString("base64url");
 }
--- a/packages/gateway/src/slidingWindow.ts
+++ b/packages/gateway/src/slidingWindow.ts
@@ -3,17 +3,17 @@
  * @module
  */
 
-const slices = 40;
+const sliceCount = 40;
 
 /** A sum over a window that slides. */
 export class SlidingWindow {
-  private readonly amounts = new Float64Array(slices + 1);
+  private readonly amounts = new Float64Array(sliceCount + 1);
   private readonly sliceMs: number;
   private current = 0;
   private total = 0;
 
   private constructor(readonly windowMs: number) {
-    this.sliceMs = windowMs / slices;
+    this.sliceMs = windowMs / sliceCount;
   }
 
   static create(windowMs: number): SlidingWindow {
@@ -31,8 +31,9 @@
   set(time: number, amount: number): void {
     this.advance(time);
     this.amounts.fill(0);
-    for (let index = 0; index < slices; index++) {
-      this.amounts[(this.current - index + this.amounts.length * 2) % this.amounts.length] = amount / slices;
+    for (let index = 0; index < sliceCount; index++) {
+      this.amounts[(this.current - index + this.amounts.length * 2) % this.amounts.length] =
+        amount / sliceCount;
     }
     this.total = amount;
   }
@@ -47,10 +48,10 @@
   getTimeUntilFreed(time: number, amount: number): number {
     this.advance(time);
     let freed = 0;
-    for (let age = slices; age >= 0; age--) {
+    for (let age = sliceCount; age >= 0; age--) {
       const slice = this.current - age;
       if (slice >= 0) freed += this.amounts[slice % this.amounts.length]!;
-      if (freed >= amount) return Math.max(this.sliceMs, (slice + slices + 1) * this.sliceMs - time);
+      if (freed >= amount) return Math.max(this.sliceMs, (slice + sliceCount + 1) * this.sliceMs - time);
     }
     return this.windowMs;
   }
@@ -58,7 +59,7 @@
   private advance(time: number): void {
     const slice = Math.floor(time / this.sliceMs);
     if (slice <= this.current) return;
-    if (slice - this.current > slices) {
+    if (slice - this.current > sliceCount) {
       this.amounts.fill(0);
       this.total = 0;
       this.current = slice;
--- a/packages/gateway/src/suspectGate.ts
+++ b/packages/gateway/src/suspectGate.ts
@@ -24,11 +24,11 @@
   readonly records: CrashRecords;
   readonly detector: CrashDetector;
   readonly metrics: GatewayMetrics;
-  readonly broadcast: (words: CrashUpdate) => void;
+  readonly broadcast: (update: CrashUpdate) => void;
   readonly callArbiter: (question: TrialCallArguments) => Promise<TrialReply>;
-  readonly endTrial: (service: string, life: string, fingerprint: string) => void;
+  readonly endTrial: (service: string, incarnation: string, fingerprint: string) => void;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
-  readonly findEndpoint: (life: string) => Endpoint | undefined;
+  readonly findEndpoint: (incarnation: string) => Endpoint | undefined;
 }
 
 /** A request that may be a suspect. */
@@ -50,13 +50,13 @@
 }
 
 /** Time after an end until peers' words on others at the same moment are there: one or two hops of a few milliseconds. */
-const wordsMs = 50;
+const peerReportDelayMs = 50;
 /** Longest wait for an endpoint: a run that began at once lets the next begin after 0.2 to 0.5 s. */
-const mostWaitMs = 600;
+const maxTrialWaitMs = 600;
 /** Of the time that a request has left, it waits this share at most. */
-const waitedShare = 0.3;
+const trialWaitShare = 0.3;
 /** Part of a service's endpoints that may have ended while suspects of one end still run like others. */
-const shortShare = 0.75;
+const maxDownShare = 0.75;
 /** When a suspect for which no endpoint was free may come back. */
 const busyRetryMs = 500;
 
@@ -84,86 +84,86 @@
    * for a time.
    */
   async findTrial(request: SuspectRequest): Promise<Result<Trial | undefined, Failure>> {
-    const { records, callArbiter: ask } = this.options;
+    const { records, callArbiter } = this.options;
     const { subject, service, leftMs } = request;
-    await this.awaitWords(subject);
-    const verdict = records.getQuarantineState(subject);
-    if (verdict === QuarantineState.Clear) return Ok(undefined);
-    if (verdict === QuarantineState.Suspect && !this.isShort(service)) return Ok(undefined);
-    if (verdict !== QuarantineState.Isolated) return Err(this.refuse(request, verdict));
-    const waitMs = Math.min(mostWaitMs, leftMs * waitedShare);
-    const answer = await ask({ service, subject, excluded: this.getBarred(request), waitMs });
-    this.log(request, "suspect.asked", { word: TrialDecision[answer.word], life: answer.life });
+    await this.awaitPeerReports(subject);
+    const state = records.getQuarantineState(subject);
+    if (state === QuarantineState.Clear) return Ok(undefined);
+    if (state === QuarantineState.Suspect && !this.hasFewEndpoints(service)) return Ok(undefined);
+    if (state !== QuarantineState.Isolated) return Err(this.refuse(request, state));
+    const waitMs = Math.min(maxTrialWaitMs, leftMs * trialWaitShare);
+    const reply = await callArbiter({ service, subject, excluded: this.getExcluded(request), waitMs });
+    this.log(request, "suspect.asked", { word: TrialDecision[reply.word], life: reply.life });
     // It may have been cleared, or convicted, while it waited.
     const current = records.getQuarantineState(subject);
-    if (answer.word === TrialDecision.Granted && answer.life !== undefined) {
-      return this.begin(request, answer.life, current);
+    if (reply.word === TrialDecision.Granted && reply.life !== undefined) {
+      return this.beginTrial(request, reply.life, current);
     }
     if (current === QuarantineState.Clear) return Ok(undefined);
     return Err(this.refuse(request, current));
   }
 
   /** Endpoints that this request, or this instance, must not be sent to: the arbiter knows of no hold-off here. */
-  private getBarred({ service, excluded }: SuspectRequest): readonly string[] {
+  private getExcluded({ service, excluded }: SuspectRequest): readonly string[] {
     const { clock, getEndpoints } = this.options;
     const time = clock.getTime();
-    const heldOff = getEndpoints(service).filter(({ availability: words }) => !words.acceptsRequest(time));
-    return [...excluded, ...heldOff.map(({ incarnation: life }) => life)];
+    const heldOff = getEndpoints(service).filter(({ availability }) => !availability.acceptsRequest(time));
+    return [...excluded, ...heldOff.map(({ incarnation }) => incarnation)];
   }
 
   /** Leaves peers time to tell of ends at the same moment. */
-  private async awaitWords({ fingerprint }: CrashSubject): Promise<void> {
+  private async awaitPeerReports({ fingerprint }: CrashSubject): Promise<void> {
     const { clock, records } = this.options;
-    const leftMs = wordsMs - records.getTimeSinceCrash(fingerprint);
+    const leftMs = peerReportDelayMs - records.getTimeSinceCrash(fingerprint);
     if (leftMs > 0) await waitFor(clock, leftMs);
   }
 
   /** Whether so many endpoints have ended that no suspect may cost another one. */
-  private isShort(service: string): boolean {
+  private hasFewEndpoints(service: string): boolean {
     const { clock, records, getEndpoints } = this.options;
     const time = clock.getTime();
     const usable = getEndpoints(service).filter((endpoint) => endpoint.isUsable());
-    const lost = usable.filter((endpoint) => isDown(endpoint, records, time));
-    return lost.length > usable.length * shortShare;
+    const down = usable.filter((endpoint) => isDown(endpoint, records, time));
+    return down.length > usable.length * maxDownShare;
   }
 
   /** Takes note that a request was answered whole. */
   clear({ workspace, fingerprint }: CrashSubject): void {
-    const { records, broadcast: tell, logger } = this.options;
-    const lives = records.getUncleared(fingerprint);
-    if (lives.length === 0) return;
-    const words = { acquittals: [{ fingerprint, lives }] };
-    records.apply(words);
-    tell(words);
-    logger.info("suspect.cleared", { workspace, fingerprint, lives: lives.length });
+    const { records, broadcast, logger } = this.options;
+    const incarnations = records.getUncleared(fingerprint);
+    if (incarnations.length === 0) return;
+    const update = { acquittals: [{ fingerprint, lives: incarnations }] };
+    records.apply(update);
+    broadcast(update);
+    logger.info("suspect.cleared", { workspace, fingerprint, lives: incarnations.length });
   }
 
-  private begin(
+  private beginTrial(
     { subject, service }: SuspectRequest,
-    life: string,
-    verdict: QuarantineState,
+    incarnation: string,
+    state: QuarantineState,
   ): Result<Trial | undefined, Failure> {
     const { clock, endTrial, findEndpoint } = this.options;
-    const endpoint = findEndpoint(life);
-    let isOver = false;
+    const endpoint = findEndpoint(incarnation);
+    let hasEnded = false;
     const end = (): void => {
-      if (!isOver) endTrial(service, life, subject.fingerprint);
-      isOver = true;
+      if (!hasEnded) endTrial(service, incarnation, subject.fingerprint);
+      hasEnded = true;
     };
     // Its endpoint may have said meanwhile that it leaves, or that it wants nothing.
-    if (endpoint?.acceptsRequest(clock.getTime()) && isRunnable(verdict)) return Ok({ endpoint, end });
+    if (endpoint?.acceptsRequest(clock.getTime()) && isRunnable(state)) return Ok({ endpoint, end });
     end();
     return Err(createBusyRefusal(service));
   }
 
-  private refuse(request: SuspectRequest, verdict: QuarantineState): Failure {
+  private refuse(request: SuspectRequest, state: QuarantineState): Failure {
     const { records, metrics } = this.options;
     const { subject, service } = request;
-    const lives = records.getUncleared(subject.fingerprint);
-    this.log(request, "suspect.refused", { verdict: QuarantineState[verdict], lives: lives.join() });
-    metrics.countSuspectRefusal(service, QuarantineState[verdict]);
-    if (isRunnable(verdict)) return createBusyRefusal(service);
-    return Failure.create(FailureCode.CrashesEndpoints, { service, count: lives.length }, cooldownMs);
+    const incarnations = records.getUncleared(subject.fingerprint);
+    this.log(request, "suspect.refused", { verdict: QuarantineState[state], lives: incarnations.join() });
+    metrics.countSuspectRefusal(service, QuarantineState[state]);
+    if (isRunnable(state)) return createBusyRefusal(service);
+    return Failure.create(FailureCode.CrashesEndpoints, { service, count: incarnations.length }, cooldownMs);
   }
 
   private log(
@@ -178,8 +178,8 @@
 }
 
 /** Whether a request may run, now or as soon as an endpoint is free for it. */
-function isRunnable(verdict: QuarantineState): boolean {
-  return verdict < QuarantineState.Resting;
+function isRunnable(state: QuarantineState): boolean {
+  return state < QuarantineState.Resting;
 }
 
 function createBusyRefusal(service: string): Failure {
--- a/packages/gateway/src/trialScheduler.ts
+++ b/packages/gateway/src/trialScheduler.ts
@@ -41,7 +41,7 @@
   readonly clock: Clock;
   readonly records: CrashRecords;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
-  readonly getPeerWork: (life: string) => PeerWork;
+  readonly getPeerWork: (incarnation: string) => PeerWork;
 }
 
 interface Grant {
@@ -50,17 +50,17 @@
 }
 
 interface Waiter {
-  readonly question: TrialCallArguments;
-  readonly answer: (answer: TrialReply) => void;
+  readonly request: TrialCallArguments;
+  readonly resolve: (reply: TrialReply) => void;
   readonly timer: Timer;
 }
 
 /** A grant whose end nobody tells is over after this long; a request that ended endpoints did so within 0.3 s. */
-const grantMs = 1_500;
+const maxTrialMs = 1_500;
 /** Part of a service that may be ended or under trial at the same time. */
-const spentShare = 0.5;
+const maxUnavailableShare = 0.5;
 /** Requests that wait for an endpoint; more are told at once that none is free. */
-const mostWaiting = 256;
+const maxWaiting = 256;
 
 const busy: TrialReply = { word: TrialDecision.Busy };
 
@@ -78,78 +78,78 @@
   }
 
   /** Resolves with an endpoint once one is free, or when the request can't wait any more. */
-  decideOrWait(question: TrialCallArguments): Promise<TrialReply> {
-    const answer = this.decide(question);
-    const isFinal = answer.word !== TrialDecision.Busy || question.waitMs <= 0;
-    if (isFinal || this.waiters.length >= mostWaiting) return Promise.resolve(answer);
+  decideOrWait(request: TrialCallArguments): Promise<TrialReply> {
+    const reply = this.decide(request);
+    const isFinal = reply.word !== TrialDecision.Busy || request.waitMs <= 0;
+    if (isFinal || this.waiters.length >= maxWaiting) return Promise.resolve(reply);
     return new Promise((resolve) => {
-      const timer = this.options.clock.startTimer(question.waitMs, () => {
+      const timer = this.options.clock.startTimer(request.waitMs, () => {
         this.waiters = this.waiters.filter((waiter) => waiter.timer !== timer);
         resolve(busy);
       });
-      this.waiters.push({ question, answer: resolve, timer });
+      this.waiters.push({ request, resolve, timer });
     });
   }
 
   /** Takes note that a run is over, or has lasted long enough. */
-  end(life: string, fingerprint: string): void {
-    if (this.grants.get(life)?.fingerprint === fingerprint) this.release(life);
+  end(incarnation: string, fingerprint: string): void {
+    if (this.grants.get(incarnation)?.fingerprint === fingerprint) this.release(incarnation);
   }
 
   close(): void {
     for (const { timer } of this.grants.values()) timer.cancel();
-    for (const { timer, answer } of this.waiters.splice(0)) {
+    for (const { timer, resolve: reply } of this.waiters.splice(0)) {
       timer.cancel();
-      answer(busy);
+      reply(busy);
     }
   }
 
-  private release(life: string): void {
-    this.grants.get(life)?.timer.cancel();
-    this.grants.delete(life);
+  private release(incarnation: string): void {
+    this.grants.get(incarnation)?.timer.cancel();
+    this.grants.delete(incarnation);
     for (const waiter of [...this.waiters]) this.retry(waiter);
   }
 
   private retry(waiter: Waiter): void {
-    const answer = this.decide(waiter.question);
-    if (answer.word === TrialDecision.Busy) return;
+    const reply = this.decide(waiter.request);
+    if (reply.word === TrialDecision.Busy) return;
     waiter.timer.cancel();
     this.waiters = this.waiters.filter((other) => other !== waiter);
-    waiter.answer(answer);
+    waiter.resolve(reply);
   }
 
   private decide({ service, subject, excluded }: TrialCallArguments): TrialReply {
     const { clock, records } = this.options;
-    const verdict = records.getQuarantineState(subject);
-    if (verdict === QuarantineState.Resting || verdict === QuarantineState.Convicted)
+    const state = records.getQuarantineState(subject);
+    if (state === QuarantineState.Resting || state === QuarantineState.Convicted)
       return { word: TrialDecision.Refused };
     const endpoint = this.choose(service, excluded);
     if (!endpoint) return busy;
-    const { incarnation: life } = endpoint;
-    const timer = clock.startTimer(grantMs, () => this.release(life));
-    this.grants.set(life, { fingerprint: subject.fingerprint, timer });
-    return { word: TrialDecision.Granted, life };
+    const { incarnation } = endpoint;
+    const timer = clock.startTimer(maxTrialMs, () => this.release(incarnation));
+    this.grants.set(incarnation, { fingerprint: subject.fingerprint, timer });
+    return { word: TrialDecision.Granted, life: incarnation };
   }
 
   /** The endpoint with the least work, as that is what ends with it. */
   private choose(service: string, excluded: readonly string[]): Endpoint | undefined {
     const time = this.options.clock.getTime();
     const usable = this.options.getEndpoints(service).filter((endpoint) => endpoint.isUsable());
-    const isSpent = (endpoint: Endpoint): boolean =>
+    const isUnavailable = (endpoint: Endpoint): boolean =>
       isDown(endpoint, this.options.records, time) || this.grants.has(endpoint.incarnation);
-    const left = usable.filter((endpoint) => !isSpent(endpoint));
-    const spent = usable.length - left.length;
-    if (spent + 1 > Math.max(1, usable.length * spentShare)) return undefined;
-    const free = left.filter(({ incarnation: life }) => !excluded.includes(life));
+    const available = usable.filter((endpoint) => !isUnavailable(endpoint));
+    const unavailable = usable.length - available.length;
+    if (unavailable + 1 > Math.max(1, usable.length * maxUnavailableShare)) return undefined;
+    const candidates = available.filter(({ incarnation }) => !excluded.includes(incarnation));
     let best: Endpoint | undefined;
-    for (const endpoint of free) {
+    for (const endpoint of candidates) {
       if (!best || this.getActive(endpoint) < this.getActive(best)) best = endpoint;
     }
     return best;
   }
 
-  private getActive({ active, incarnation: life }: Endpoint): number {
-    return active + this.options.getPeerWork(life).active;
+  private getActive({ active, incarnation }: Endpoint): number {
+    return active + this.options.getPeerWork(incarnation).active;
   }
 }
 
