--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -338,7 +338,7 @@
     if (notice) directory.handleNotice(endpoint, notice, source);
     // A refusal or failure without a limit does not mean that the limit has ended: the endpoint may still be overloaded.
     const isServed = executionStatus === ExecutionStatus.Ran && source.status < minServerErrorStatus;
-    if (limit !== undefined || isServed) limits.handleAnswer(endpoint, limit, source);
+    if (limit !== undefined || isServed) limits.handleResponse(endpoint, limit, source);
   }
 
   private async handleNoResponse(
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -98,10 +98,10 @@
    */
   private mayBePlannedStop({ state, availability, servedAt }: Endpoint): boolean {
     if (state === EndpointState.Ready) return false;
-    const isAnnouncedInAnswers =
+    const isAnnouncedInResponses =
       availability.leavingSource === LeavingSource.Answer ||
       availability.leavingSource === LeavingSource.Peer;
-    if (!isAnnouncedInAnswers) return true;
+    if (!isAnnouncedInResponses) return true;
     const { clock, drainMs } = this.options;
     return clock.getTime() - servedAt >= drainMs * plannedStopShare;
   }
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -73,9 +73,9 @@
 
   static create(
     record: EndpointRecord,
-    words: EndpointAvailability = EndpointAvailability.create(),
+    availability: EndpointAvailability = EndpointAvailability.create(),
   ): Endpoint {
-    return new Endpoint(record, words);
+    return new Endpoint(record, availability);
   }
 
   get id(): string {
@@ -153,7 +153,7 @@
 }
 
 /** Returns the id that a life goes by. */
-export function getIncarnationId(incarnation: string): string {
+export function getEndpointId(incarnation: string): string {
   const end = incarnation.lastIndexOf(incarnationSeparator);
   return end < 0 ? incarnation : incarnation.slice(0, end);
 }
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import { type Clock, type Closeable, type Logger } from "@gladewall/kernel";
-import { Endpoint, EndpointState, getIncarnation, getIncarnationId } from "./endpoint.js";
+import { Endpoint, EndpointState, getIncarnation, getEndpointId } from "./endpoint.js";
 import { EndpointAvailability, AvailabilityCache, LeavingSource } from "./endpointAvailability.js";
 import { RemovedIncarnations } from "./removedIncarnations.js";
 import { PrefixFollower, type Removal, RemovalCause } from "./prefixFollower.js";
@@ -29,7 +29,7 @@
 }
 
 /** The answer that brought a word. */
-export interface AnswerReference {
+export interface ResponseReference {
   readonly requestId: string;
   readonly status: number;
 }
@@ -128,7 +128,7 @@
 
   /** Returns an endpoint by its life. */
   find(incarnation: string): Endpoint | undefined {
-    const endpoint = this.endpoints.get(getIncarnationId(incarnation)) ?? this.endpoints.get(incarnation);
+    const endpoint = this.endpoints.get(getEndpointId(incarnation)) ?? this.endpoints.get(incarnation);
     return endpoint?.incarnation === incarnation ? endpoint : undefined;
   }
 
@@ -160,29 +160,29 @@
   handleNotice(
     { incarnation }: Endpoint,
     notice: EndpointNotice,
-    { requestId, status }: AnswerReference,
+    { requestId, status }: ResponseReference,
   ): void {
     const { isLeaving, holdOffMs, unreadableTime } = notice;
-    const answer = { request: requestId, status };
+    const response = { request: requestId, status };
     if (unreadableTime !== undefined) {
       this.options.logger.warn("endpoint.time-unreadable", {
         life: incarnation,
-        ...answer,
+        ...response,
         text: unreadableTime,
       });
     }
-    if (holdOffMs !== undefined) this.startHoldOff(incarnation, holdOffMs, answer);
-    if (!isLeaving || !this.markLeaving(incarnation, LeavingSource.Answer, answer)) return;
+    if (holdOffMs !== undefined) this.startHoldOff(incarnation, holdOffMs, response);
+    if (!isLeaving || !this.markLeaving(incarnation, LeavingSource.Answer, response)) return;
     for (const listener of this.leavingListeners) listener(incarnation);
   }
 
   /** Binds this instance alone: told to peers, it would take away what the endpoint still gives them. */
-  private startHoldOff(incarnation: string, holdOffMs: number, answer: LogFields): void {
+  private startHoldOff(incarnation: string, holdOffMs: number, response: LogFields): void {
     const { clock, logger } = this.options;
     const availability = this.getAvailability(incarnation);
     availability.noteHoldOff(holdOffMs, clock.getTime());
     this.availabilities.touch(incarnation, availability);
-    logger.info("endpoint.held-off", { life: incarnation, ...answer, forMs: Math.round(holdOffMs) });
+    logger.info("endpoint.held-off", { life: incarnation, ...response, forMs: Math.round(holdOffMs) });
   }
 
   /** Returns the words of a life; they are kept from the first one on. */
--- a/packages/gateway/src/endpointLimits.ts
+++ b/packages/gateway/src/endpointLimits.ts
@@ -4,13 +4,13 @@
  */
 import type { Clock, Logger } from "@gladewall/kernel";
 import type { Endpoint } from "./endpoint.js";
-import type { EndpointDirectory, LogFields, AnswerReference } from "./endpointDirectory.js";
+import type { EndpointDirectory, LogFields, ResponseReference } from "./endpointDirectory.js";
 import { type ResponseTimes, LimitChange } from "./endpointLimit.js";
 import type { PeerLimit } from "./limitMessages.js";
 import type { AdvertisedLimit } from "./types.js";
 
 /** An answer, and when its request was sent; monotonic. */
-export interface LimitSource extends AnswerReference {
+export interface LimitSource extends ResponseReference {
   readonly sentAt: number;
 }
 
@@ -37,7 +37,7 @@
   }
 
   /** Takes an answer of an endpoint; `limit` is undefined where it names none. */
-  handleAnswer(
+  handleResponse(
     { incarnation, availability }: Endpoint,
     limit: AdvertisedLimit | undefined,
     source: LimitSource,
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -226,9 +226,9 @@
     const { clock, directory, limits } = createLimits(lines);
     const source = { requestId: "r", status: 200 };
     const endpoint = createKnownEndpoint({ id: "e", born: 1 });
-    limits.handleAnswer(endpoint, { perSecond: 2 }, { ...source, sentAt: clock.getTime() });
+    limits.handleResponse(endpoint, { perSecond: 2 }, { ...source, sentAt: clock.getTime() });
     await clock.advance(10);
-    limits.handleAnswer(
+    limits.handleResponse(
       endpoint,
       { perSecond: undefined, unreadable: "soon" },
       { ...source, sentAt: clock.getTime() },
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -401,7 +401,7 @@
         if (this.members.get(member.name) !== member) return;
         endpoint.availability.endAttempt(round, true);
         const limit = perSecond === undefined ? undefined : { perSecond };
-        member.limits.handleAnswer(endpoint, limit, { requestId: request.id, status: 200, sentAt });
+        member.limits.handleResponse(endpoint, limit, { requestId: request.id, status: 200, sentAt });
       });
     });
   }
