--- a/packages/gateway/src/advertisedLimit.ts
+++ b/packages/gateway/src/advertisedLimit.ts
@@ -1,5 +1,5 @@
 /**
- * Reads how many requests a second an endpoint in need takes: a decimal number.
+ * Parses the rate limit that an overloaded endpoint advertises: a decimal number of requests a second.
  * @module
  */
 
@@ -7,8 +7,8 @@
 const separator = ",";
 
 /**
- * Returns the requests a second that a text names; of a header that is repeated, the lowest. Undefined where a value can't be
- * read, is negative or has no end.
+ * Returns the requests a second in a header's text; the lowest if the header is repeated. Returns undefined if a value can't be
+ * parsed, is negative or is not finite.
  */
 export function parseAdvertisedLimit(text: string): number | undefined {
   const values = text.split(separator).map(parseDecimal);
--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -1,24 +1,25 @@
 /**
- * Who decides for the fleet on a subject that all instances share: one of the readers for each, the same for all. What it
- * grants is counted before the next question, so that instances which ask at the same moment do not all take the same room.
+ * Chooses and calls the arbiter of a subject that all instances share, such as a limit. The arbiter is one of the readers, and
+ * all instances choose the same one by rendezvous hashing. It counts what it grants before it handles the next call, so that
+ * instances which call at the same moment are not granted the same capacity.
  * @module
  */
 import type { PeerMessage } from "@gladewall/coordination";
 import { type Clock, Failure, FailureCode, type Logger, sortByRendezvous, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** A question that is decided for the whole fleet. */
+/** A call on which an arbiter decides for the whole fleet. */
 export interface ArbiterCall<Answer> {
-  /** What it is about; each subject has an arbiter of its own. */
+  /** What the call is about; each subject has its own arbiter. */
   readonly subject: string;
   readonly message: PeerMessage;
-  /** Whether an answer says that its giver does not know enough. */
+  /** Whether a reply says that the arbiter does not know enough to decide. */
   readonly isUndecided: (reply: Answer) => boolean;
-  /** Whether an instance knows this kind of question; where it is left out, all do. */
+  /** Whether an instance supports this kind of call; if left out, all do. */
   readonly supportsCall?: (name: string) => boolean;
 }
 
-/** Options of the choice. */
+/** Options of the arbiters. */
 export interface ArbitersOptions {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -29,37 +30,37 @@
   readonly call: (name: string, message: PeerMessage, timeoutMs: number) => Promise<Result<unknown, Failure>>;
 }
 
-/** Time for an answer of an arbiter that has not answered yet; in calm it comes within 5 ms. */
+/** Timeout for an arbiter that has not replied yet; without load a reply comes within 5 ms. */
 const initialTimeoutMs = 300;
-/** A tenth of the shortest usual objective: a caller is to notice nothing of an arbiter that is slow. */
+/** Shortest timeout: a tenth of the shortest usual latency objective, so that callers do not notice a slow arbiter. */
 const minTimeoutMs = 60;
-/** A caller waits no longer for an arbiter; its links may be so slow that a shorter time has no answer at all. */
+/** Longest timeout. It is this long because over slow links no reply would arrive within a shorter time. */
 const maxTimeoutMs = 1_000;
-/** An answer may take this many times as long as the last one, and `patienceMarginMs` more. */
+/** The timeout is this many times the duration of the last call, and `timeoutMarginMs` more. */
 const timeoutFactor = 4;
 const timeoutMarginMs = 40;
-/** Time for which an arbiter that did not answer is passed over: pauses of processes last about as long. */
+/** Time for which an arbiter that did not reply is skipped; pauses of a process last about as long. */
 const initialBackoffMs = 1_000;
-/** One that is slower than another each time is asked again after so long: slow machines stay slow for some seconds. */
+/** Longest such time, for an arbiter that is repeatedly slower than the next one; slow machines stay slow for some seconds. */
 const maxBackoffMs = 8_000;
 /**
- * Time for a link to an arbiter to come up: an instance that has just started has some within 0.2 s. Refused, a caller would
- * be back later than that.
+ * Time to wait for a link to an arbiter: an instance that has just started has some within 0.2 s. A caller that is refused
+ * instead would retry later than that.
  */
 const linkTimeoutMs = 250;
 const linkPollMs = 10;
-/** Arbiters that are asked for one request. */
+/** Arbiters called for one request. */
 const maxAttempts = 2;
 
-/** How an arbiter has answered. */
+/** Timeout and backoff of one arbiter, from its previous replies. */
 interface ArbiterState {
   timeoutMs: number;
-  /** Time for which it is passed over when it does not answer. */
+  /** Time for which it is skipped when it does not reply. */
   backoffMs: number;
   skippedUntil: number;
 }
 
-/** Chooses arbiters and asks them. */
+/** Chooses arbiters and calls them. */
 export class Arbiters {
   private readonly states = new Map<string, ArbiterState>();
 
@@ -75,8 +76,8 @@
   }
 
   /**
-   * Asks the subject's arbiter, and the next where it does not answer; fails with `PeerUnreachable` where none gives a
-   * clear answer within `waitMs`. Both may have counted what was asked for.
+   * Calls the subject's arbiter, and the next one if it does not reply. Fails with `PeerUnreachable` if none decides within
+   * `waitMs`; the arbiters may then still have counted what was requested.
    */
   async call<Answer>(arbiterCall: ArbiterCall<Answer>, waitMs: number): Promise<Result<Answer, Failure>> {
     const { clock, own } = this.options;
@@ -95,12 +96,12 @@
       if (reply === undefined) unanswered.push(this.getState(arbiter));
       this.skip(arbiter, subject, reply !== undefined);
     }
-    // Where all are slow, their links are: only more time brings an answer.
+    // If all arbiters are slow, the links are slow, and only a longer timeout brings a reply.
     for (const state of unanswered) state.timeoutMs = Math.min(maxTimeoutMs, state.timeoutMs * 2);
     return Err(Failure.create(FailureCode.PeerUnreachable, { peer: subject }));
   }
 
-  /** Resolves with the arbiter once it can be asked; with undefined where none can be for a while. */
+  /** Resolves with the arbiter once it can be called, or with undefined if there is none within the time for links. */
   private async waitForArbiter(
     { subject, supportsCall: isAble }: Pick<ArbiterCall<unknown>, "subject" | "supportsCall">,
     latestAt: number,
@@ -115,7 +116,7 @@
     return arbiter;
   }
 
-  /** Returns the first reader that can decide, this instance among them; undefined where none can be reached. */
+  /** Returns the first reader that can decide, which may be this instance; undefined if none can be reached. */
   find(subject: string, isAble: (name: string) => boolean = () => true): string | undefined {
     const { clock, own, getReaders, isLinked } = this.options;
     const time = clock.getTime();
@@ -127,8 +128,8 @@
   }
 
   /**
-   * Readers before this instance that may be deciding too, also for others that it can't reach itself; 0 where it is the first
-   * choice of all.
+   * Counts the readers that precede this instance for a subject and may also be deciding on it, including readers that only other
+   * instances can reach; 0 if this instance is the first choice of all.
    */
   countBefore(subject: string, isAble: (name: string) => boolean): number {
     const { own, getReaders, isLinked } = this.options;
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -1,8 +1,8 @@
 /**
- * Finds out which endpoints have ended with requests on them. A cut connection alone says little: answers are broken
- * off, connections reset and callers leave while an endpoint is sound. Its end shows by two signs that come about
- * apart: a request was cut, and its address refuses connections. A record that is still there some time later takes the
- * word back.
+ * Detects endpoints that crashed with requests in flight. An interrupted connection alone is not enough: responses are broken
+ * off, connections are reset and callers disconnect while an endpoint is healthy. A crash needs two independent signs: a request
+ * was interrupted, and the endpoint's address refuses connections. If the endpoint's record is still there some time later, the
+ * detection is refuted.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -11,51 +11,54 @@
 import { LeavingSource } from "./endpointAvailability.js";
 import { ProbeResult } from "./endpointProbe.js";
 
-/** A request that is at an endpoint. */
+/** A request in flight at an endpoint. */
 export interface InFlightRequest {
-  /** Costs a digest where it was not needed before. */
+  /** Reading it computes a digest if none was needed before. */
   readonly subject: CrashSubject;
 }
 
-/** Options of the watch. */
+/** Options of the detector. */
 export interface CrashDetectorOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly records: CrashRecords;
-  /** Asks an address whether anybody listens there. */
+  /** Checks whether an address accepts connections. */
   readonly probe: (address: string) => Promise<ProbeResult>;
-  /** Returns an endpoint by its life; undefined once it is forgotten. */
+  /** Returns an endpoint by its incarnation; undefined once it is removed from the directory. */
   readonly findEndpoint: (incarnation: string) => Endpoint | undefined;
-  /** Time for which an endpoint serves on after its word that it leaves; milliseconds. */
+  /** Time for which an endpoint serves on after it announced that it is leaving; milliseconds. */
   readonly drainMs: number;
-  /** Milliseconds since the store was last in trouble: until then, records say nothing of their endpoints. */
+  /** Milliseconds since a call to the store last failed; shortly after that, records say nothing about their endpoints. */
   readonly getTimeSinceTrouble: () => number;
-  /** Tells peers at once: the time until they know decides how many endpoints end. */
+  /** Sends an update to peers at once, because the delay until they know determines how many endpoints crash. */
   readonly broadcast: (update: CrashUpdate) => void;
   readonly countCrash: (service: string) => void;
 }
 
-/** Part of the drain time after which an end may be the planned one: the word may be as old as the answer before it. */
+/** Share of the drain time after which a stop may be the planned one: the notice may be as old as the response before it. */
 const plannedStopShare = 0.75;
-/** Connections that an endpoint takes right after a cut tell for as long that it lives. */
+/** Time for which an accepted connection after an interruption shows that the endpoint is running. */
 const aliveMs = 100;
-/** Most requests of one instance that are reported of one end: those that run there and wait there, 60 bytes each. */
+/** Most requests of one instance in the report of one crash: those running and those queued at the endpoint, 60 bytes each. */
 const maxReported = 256;
-/** A record vanishes after three heartbeats without a write, 3.6 s; one that is there after this long is a live one's. */
+/**
+ * A record expires after three missed heartbeats, 3.6 s; a record that is still there after this time belongs to a running
+ * endpoint.
+ */
 const refuteAfterMs = 6_000;
 /** Fingerprints of suspects in a log line. */
 const maxLoggedFingerprints = 4;
 
-/** An attempt to find out whether an endpoint has ended, and who was cut there meanwhile. */
+/** A check whether an endpoint has crashed, and the requests interrupted there meanwhile. */
 interface CrashCheck {
   readonly interrupted: InFlightRequest[];
   readonly hasCrashed: Promise<boolean>;
 }
 
-/** Watches endpoints for their end. */
+/** Detects crashes of endpoints. */
 export class CrashDetector {
   private readonly checks = new Map<Endpoint, CrashCheck>();
-  /** When an endpoint last showed that it lives, though a request was cut there. */
+  /** When an endpoint last accepted a connection after a request was interrupted there. */
   private readonly aliveAt = new WeakMap<Endpoint, number>();
 
   private constructor(private readonly options: CrashDetectorOptions) {}
@@ -64,7 +67,7 @@
     return new CrashDetector(options);
   }
 
-  /** Takes note that a request was cut at an endpoint; resolves with whether the endpoint has ended. */
+  /** Records that a request was interrupted at an endpoint; resolves with whether the endpoint has crashed. */
   async noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
     const { clock, records } = this.options;
     if (this.mayBePlannedStop(endpoint)) return false;
@@ -79,7 +82,7 @@
     return check.hasCrashed;
   }
 
-  /** Takes back what a record shows to be wrong; called several times a second. */
+  /** Refutes crashes of endpoints that still have a record; called several times a second. */
   review(): void {
     const { records, findEndpoint, getTimeSinceTrouble, logger, broadcast } = this.options;
     if (getTimeSinceTrouble() < refuteAfterMs) return;
@@ -93,8 +96,9 @@
   }
 
   /**
-   * Whether an end now would be one that was announced, so that no request is to blame. One that leaves ends as planned, and one
-   * whose record is gone may; but one that has only just begun to say so in answers does not end before its drain time.
+   * Whether the endpoint may be stopping as announced, so that no request is responsible. A leaving endpoint stops as planned,
+   * and one whose record is gone may. An endpoint that announced it only in responses does not stop before its drain time has
+   * passed.
    */
   private mayBePlannedStop({ state, availability, servedAt }: Endpoint): boolean {
     if (state === EndpointState.Ready) return false;
--- a/packages/gateway/src/crashGossip.ts
+++ b/packages/gateway/src/crashGossip.ts
@@ -1,6 +1,6 @@
 /**
- * What instances tell each other of endpoints that ended, and whom they ask where a suspect may run. Words are told at once;
- * in a large fleet the readers hand on to all what is new to them.
+ * Exchanges crash updates among instances, and asks the arbiter of a service where a suspect may run. Updates are sent at once;
+ * in a large fleet the readers relay to all instances what is new to them.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
@@ -13,7 +13,7 @@
   TrialDecision,
 } from "./trialScheduler.js";
 
-/** Numbers of the messages; after that of vouching. */
+/** Numbers of the messages; they follow that of vouching. */
 enum CrashMessageKind {
   Updates = 41,
   TrialCall = 42,
@@ -34,26 +34,26 @@
   readonly fingerprint: string;
 }
 
-/** The fleet, as far as words and questions need it. */
+/** The fleet as the exchange needs it. */
 export interface CrashFleet extends FleetTopology {
-  /** Name of the reader that decides on a service, this instance perhaps; undefined where none can be asked. */
+  /** Name of the reader that decides on a service, which may be this instance; undefined if none can be reached. */
   findArbiter(subject: string): string | undefined;
 }
 
-/** Options of the links. */
+/** Options of the exchange. */
 export interface CrashGossipOptions {
   readonly own: string;
   readonly fleet: CrashFleet;
   readonly records: CrashRecords;
   readonly scheduler: TrialScheduler;
-  /** Called with each word that told something new. */
+  /** Called with each update that contained something new. */
   readonly onUpdate: (update: CrashUpdate) => void;
 }
 
-/** Time beyond the wait that was asked for: the way to the arbiter and back. */
+/** Added to the wait that a request asks for, for the way to the arbiter and back. */
 const answerMarginMs = 150;
 
-/** Tells and asks. */
+/** Exchanges crash updates and requests trials. */
 export class CrashGossip {
   private readonly broadcaster: FleetBroadcast;
 
@@ -73,12 +73,15 @@
     return new CrashGossip(options);
   }
 
-  /** Tells all peers, or in a large fleet the readers. */
+  /** Sends an update to all peers, or in a large fleet to the readers. */
   broadcast(update: CrashUpdate): void {
     this.broadcaster.broadcast(createMessage(update));
   }
 
-  /** Asks the arbiter of the service; where none answers, nobody knows where other suspects run. */
+  /**
+   * Requests a trial from the arbiter of the service. The reply is `Unknown` if none answers, because it is not known then where
+   * other suspects run.
+   */
   async callArbiter(request: TrialCallArguments): Promise<TrialReply> {
     const { own, fleet, scheduler } = this.options;
     const arbiter = fleet.findArbiter(request.service);
@@ -89,7 +92,7 @@
     return reply.isOk() ? (reply.value as TrialReply) : { word: TrialDecision.Unknown };
   }
 
-  /** Tells the arbiter that a suspect's run is over, or has lasted long enough. */
+  /** Tells the arbiter that a trial is over, or has lasted long enough. */
   endTrial(service: string, incarnation: string, fingerprint: string): void {
     const { own, fleet, scheduler } = this.options;
     const arbiter = fleet.findArbiter(service);
@@ -111,7 +114,7 @@
     this.broadcaster.relay(createMessage(update), name);
   }
 
-  /** One that does not hear the whole fleet knows too little to decide. */
+  /** An instance that does not receive the reports of the whole fleet knows too little to decide. */
   private handleTrialRequest({
     service,
     subject,
--- a/packages/gateway/src/crashProtection.ts
+++ b/packages/gateway/src/crashProtection.ts
@@ -1,6 +1,6 @@
 /**
- * Puts together what an instance knows of endpoints that ended and of the requests they had, and keeps it in step with peers
- * and the store.
+ * Assembles the protection against requests that crash endpoints: detection, records, gossip with peers, the store, and the gate
+ * that requests pass.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -17,7 +17,7 @@
 import { TrialScheduler } from "./trialScheduler.js";
 import type { MetadataStore, StoreItem } from "./types.js";
 
-/** What the parts stand on. */
+/** Options of the crash protection. */
 export interface CrashProtectionOptions {
   /** Name of this instance. */
   readonly own: string;
@@ -27,17 +27,17 @@
   readonly directory: EndpointDirectory;
   readonly members: Members;
   readonly metrics: GatewayMetrics;
-  /** Longest time to open a connection to an endpoint. */
+  /** Longest time to open a connection to an endpoint; milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Time for which an endpoint serves on after its word that it leaves; milliseconds. */
+  /** Time for which an endpoint serves on after it announced that it is leaving; milliseconds. */
   readonly drainMs: number;
   readonly getTimeSinceTrouble: () => number;
 }
 
-/** All that an instance knows of endpoints that ended. */
+/** Crash protection of one instance. */
 export class CrashProtection {
   readonly records: CrashRecords;
-  /** What requests are asked about. */
+  /** The gate that requests pass before they are sent. */
   readonly suspects: SuspectGate;
   private readonly detector: CrashDetector;
   private readonly scheduler: TrialScheduler;
@@ -106,12 +106,12 @@
     return new CrashProtection(options);
   }
 
-  /** Takes an item of the store, or that it is gone and how. */
+  /** Handles an item of the store that was written or removed. */
   handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     this.crashStore.handleItem(key, item, removal);
   }
 
-  /** Looks again at what was held to have ended, and at what the store should hold. */
+  /** Refutes crashes that records disprove, and brings the store up to date; called several times a second. */
   review(): void {
     this.detector.review();
     this.crashStore.review();
@@ -121,7 +121,10 @@
     this.scheduler.close();
   }
 
-  /** A peer found that an endpoint has ended: this instance need not find it out by requests of its own. */
+  /**
+   * Marks endpoints that a peer reported as crashed as unreachable, so that this instance sends no requests to find it out
+   * itself.
+   */
   private markUnreachable({ reports = [] }: CrashUpdate): void {
     const { clock, directory } = this.options;
     for (const { life: incarnation } of reports) {
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -1,92 +1,99 @@
 /**
- * Which requests were at endpoints that ended, and what follows for each of them: state on a clock, merged from this
- * instance's own words and its peers', which may come late, twice and in any order.
+ * Records which requests were in flight at endpoints that crashed, and derives each request's quarantine state. The state is
+ * merged from this instance's own reports and its peers', which may arrive late, twice and in any order.
  *
- * Whoever was at an endpoint that ended is a suspect, as nothing tells which request it was; most are innocent, and run on.
- * Where the next endpoint ends as well, only the suspects there are to blame. From then on each of them runs apart from the
- * others, until one is answered whole, which clears it, or is the only one to blame.
+ * Every request in flight at a crash is a suspect, because nothing shows which one caused it; most are harmless and continue to
+ * run. If the next endpoint crashes too, only the suspects in flight there are held responsible. From then on each of them runs
+ * isolated from the others, until it is answered completely, which clears it, or is the only one left that can have caused the
+ * crashes.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 
-/** One request, known again by what it asks. */
+/** Identifies a request by its content, so that it is recognized when it is sent again. */
 export interface CrashSubject {
   /** Name of the workspace; empty on public routes. */
   readonly workspace: string;
-  /** Digest of what is asked; the workspace is part of it. */
+  /** Digest of the content, including the workspace. */
   readonly fingerprint: string;
 }
 
-/** What an instance had sent to an endpoint that ended, and that had not been answered whole. */
+/** Requests of one instance that were in flight at an endpoint when it crashed. */
 export interface CrashReport {
-  /** Life of the endpoint. */
+  /** Incarnation of the endpoint. */
   readonly life: string;
-  /** Those that were suspects before. */
+  /** Requests that were suspects before this crash. */
   readonly suspects: readonly CrashSubject[];
   readonly others: readonly CrashSubject[];
 }
 
-/** A request was answered whole: it did not end these endpoints. */
+/** A request was answered completely, so it did not cause the crashes of these incarnations. */
 export interface Clearance {
   readonly fingerprint: string;
   readonly lives: readonly string[];
 }
 
-/** Lives of endpoints that ended while they had a request. */
+/** Incarnations that crashed while a request was in flight there. */
 export interface CrashEvidence {
-  /** It was no suspect before them. */
+  /** Crashes before which the request was not a suspect. */
   readonly first: readonly string[];
   readonly repeated: readonly string[];
 }
 
-/** What instances tell each other. */
+/** Crash reports, clearances and refutations as instances send them to each other. */
 export interface CrashUpdate {
   readonly reports?: readonly CrashReport[];
   readonly acquittals?: readonly Clearance[];
-  /** Lives that turned out not to have ended. */
+  /** Incarnations that turned out not to have crashed. */
   readonly refuted?: readonly string[];
 }
 
-/** What may be done with a request. */
+/** Whether and how a request may run. Members are written to logs and metrics. */
 export enum QuarantineState {
-  /** It is like any other. */
+  /** No restriction. */
   Clear = 1,
-  /** It was at one endpoint that ended; it runs while enough of the service is left. */
+  /** It was in flight at one crash; it runs while enough endpoints of the service are left. */
   Suspect = 2,
-  /** It was at two; it runs only where no other such request does. */
+  /** It was in flight at two crashes; it runs only at an endpoint without another isolated request. */
   Isolated = 3,
-  /** It alone is to blame for two ends; it is not run for a time, then apart once more. */
+  /** It is the only suspect of two crashes; it does not run during a cooldown, then isolated once more. */
   Resting = 4,
-  /** It is not run any more. */
+  /** It is blocked for good. */
   Convicted = 5,
 }
 
-/** Blame for one end: of one suspect alone; several share it. */
+/** Suspicion score for one crash: the whole of it for a single suspect; several suspects share it. */
 const fullScore = 1;
 /**
- * Blame up to which a request runs like others, at which it rests, and above which it is not run any more. One that
- * ends each endpoint it runs at comes to the last with its third end, or with its fourth where two of its runs began
- * before anybody could know. The platform bears three ends, and three more runs after them.
+ * Score up to which a request runs like others. A request with `cooldownScore` is in cooldown, and one above that is blocked. A
+ * request that crashes each endpoint it runs at is blocked by its third crash, or by its fourth if two of its runs began before
+ * any instance could know. The platform tolerates three crashes, and three more runs after them.
  */
 const suspectScore = 1;
 /**
- * Most blame for ends before anybody knew of an earlier one. A request that is at two such at once is asked for often, or
- * sent again at once: enough to run it apart, but the ends may have another cause.
+ * Highest score for crashes before which the request was not known as a suspect. A request in flight at two such crashes at once
+ * is sent often, or was resent at once: that suffices to isolate it, but the crashes may have another cause.
  */
 const maxFirstScore = 1.5;
 const cooldownScore = 2;
-/** Time without a run: two ends may still be chance, and a caller that asks again after a minute is served by then. */
+/**
+ * Time for which a request in cooldown does not run: two crashes may still be a coincidence, and a caller that retries after a
+ * minute is then served.
+ */
 export const cooldownMs = 60_000;
-/** A suspect that never came back is forgotten: endpoints end by themselves, and most suspects are innocent. */
+/**
+ * Time after which a suspect that was not sent again is forgotten: endpoints also crash by themselves, and most suspects are
+ * harmless.
+ */
 const suspectLifetimeMs = 600_000;
 /**
- * Ended endpoints that are remembered, about 100 bytes for each request that was there: three for each verdict in the
- * store.
+ * Crashes that are remembered, about 100 bytes for each request in flight: three for each item in the store, up to its bound of
+ * items, and some more.
  */
 const maxCrashes = 1_024;
-/** Requests of one workspace that are watched: one that makes endpoints end on purpose pushes out only its own. */
+/** Suspects kept for one workspace, so that a workspace that crashes endpoints on purpose displaces only its own suspects. */
 const maxSuspectsPerWorkspace = 256;
-/** Requests in one snapshot for a peer; 60 bytes each, a tenth of a link's outbox. */
+/** Requests in one snapshot for a peer: 60 bytes each, a tenth of a link's outbox. */
 const maxSnapshotRequests = 400;
 
 interface InFlightState {
@@ -95,22 +102,22 @@
   isCleared: boolean;
 }
 
-/** The end of one life of an endpoint. */
+/** The crash of one incarnation of an endpoint. */
 interface EndpointCrash {
   readonly life: string;
-  /** Monotonic time at which it was heard of. */
+  /** Monotonic time at which this instance learned of it. */
   readonly recordedAt: number;
-  /** Requests that were there, by fingerprint. */
+  /** Requests that were in flight, by fingerprint. */
   readonly inFlight: Map<string, InFlightState>;
   isRefuted: boolean;
 }
 
-/** All that is known of ended endpoints and of the requests there. */
+/** Known crashes of endpoints and the requests that were in flight. */
 export class CrashRecords {
-  /** Ends by life, the latest at the end. */
+  /** Crashes by incarnation, the latest last. */
   private readonly crashes = new Map<string, EndpointCrash>();
   private readonly crashesByFingerprint = new Map<string, Set<EndpointCrash>>();
-  /** Fingerprints to blame for something, by workspace, the latest at the end. */
+  /** Fingerprints of suspects by workspace, the latest last. */
   private readonly suspectsByWorkspace = new Map<string, Set<string>>();
 
   private constructor(private readonly clock: Clock) {}
@@ -119,18 +126,18 @@
     return new CrashRecords(clock);
   }
 
-  /** Whether some request of a workspace is watched: only then a request's fingerprint is needed. */
+  /** Whether a workspace has suspects; only then the fingerprints of its requests are needed. */
   hasSuspects(workspace: string): boolean {
     return this.suspectsByWorkspace.has(workspace);
   }
 
-  /** Whether an endpoint's life is held to have ended. */
+  /** Whether an incarnation is reported as crashed and that is not refuted. */
   hasCrashed(incarnation: string): boolean {
     const crash = this.crashes.get(incarnation);
     return crash !== undefined && !crash.isRefuted;
   }
 
-  /** Returns what may be done with a request. */
+  /** Returns whether and how a request may run. */
   getQuarantineState({ fingerprint }: CrashSubject): QuarantineState {
     const score = this.getScore(fingerprint);
     if (score === 0) return QuarantineState.Clear;
@@ -141,7 +148,7 @@
     return score > suspectScore ? QuarantineState.Isolated : QuarantineState.Suspect;
   }
 
-  /** Milliseconds since an endpoint last ended under a request, as heard here. */
+  /** Milliseconds since this instance learned of the last crash under a request. */
   getTimeSinceCrash(fingerprint: string): number {
     let recordedAt = -Infinity;
     for (const crash of this.crashesByFingerprint.get(fingerprint) ?? []) {
@@ -150,7 +157,7 @@
     return this.clock.getTime() - recordedAt;
   }
 
-  /** Lives of endpoints that ended while a request was there, and that it is not cleared of. */
+  /** Incarnations that crashed with a request in flight, and that it is not cleared of. */
   getUncleared(fingerprint: string): readonly string[] {
     const crashes = [...(this.crashesByFingerprint.get(fingerprint) ?? [])];
     return crashes
@@ -158,7 +165,9 @@
       .map(({ life: incarnation }) => incarnation);
   }
 
-  /** The ends that a verdict rests on: those before which a request was no suspect, and those before which it was. */
+  /**
+   * Crashes that a quarantine state is based on: those before which the request was not a suspect, and those before which it was.
+   */
   getEvidence(fingerprint: string): CrashEvidence {
     const incarnations = this.getUncleared(fingerprint);
     const wasSuspect = (incarnation: string): boolean =>
@@ -169,7 +178,7 @@
     };
   }
 
-  /** Requests whose verdict must outlast this instance. */
+  /** Requests whose quarantine state must outlast this instance. */
   getDurable(): readonly CrashSubject[] {
     const durable: CrashSubject[] = [];
     for (const [workspace, fingerprints] of this.suspectsByWorkspace) {
@@ -180,7 +189,7 @@
     return durable;
   }
 
-  /** Requests that are watched, and of these such as are not run any more. */
+  /** Counts suspects, and those of them that are blocked. */
   count(): { readonly watched: number; readonly convicted: number } {
     let watched = 0;
     let convicted = 0;
@@ -193,7 +202,10 @@
     return { watched, convicted };
   }
 
-  /** Sorts those that were at an endpoint by whether they were suspects before it ended; of these, the most to blame. */
+  /**
+   * Creates a report of a crash: splits the requests in flight into suspects and others. If some were isolated, only these count
+   * as suspects.
+   */
   createReport(incarnation: string, inFlight: readonly CrashSubject[]): CrashReport {
     const getPreviousScore = ({ fingerprint }: CrashSubject): number =>
       this.getScore(fingerprint, incarnation);
@@ -207,7 +219,7 @@
     };
   }
 
-  /** What is known, for a peer that may know less: the latest ends. */
+  /** Returns the latest crashes, for a peer that has just connected. */
   createSnapshot(): CrashUpdate {
     const reports: CrashReport[] = [];
     let count = 0;
@@ -220,7 +232,7 @@
     return { reports: reports.reverse() };
   }
 
-  /** Takes words; returns whether they told anything new. */
+  /** Applies an update; returns whether it contained anything new. */
   apply({ reports = [], acquittals = [], refuted = [] }: CrashUpdate): boolean {
     let isNew = false;
     for (const report of reports) isNew = this.applyReport(report) || isNew;
@@ -229,7 +241,7 @@
     return isNew;
   }
 
-  /** Lives that were noted longer ago than a time and are held to have ended. */
+  /** Incarnations reported as crashed longer ago than the given time, and not refuted. */
   getCrashedBefore(ageMs: number): readonly string[] {
     const latest = this.clock.getTime() - ageMs;
     return [...this.crashes.values()]
@@ -237,7 +249,7 @@
       .map(({ life: incarnation }) => incarnation);
   }
 
-  /** The blame of a request, without the end of one life where that is given. */
+  /** Suspicion score of a request; the crash of one incarnation can be left out. */
   private getScore(fingerprint: string, excluded?: string): number {
     let firstCrashes = 0;
     let repeated = 0;
@@ -258,7 +270,7 @@
     for (const subject of suspects) isNew = this.addInFlight(crash, subject, true) || isNew;
     for (const subject of others) isNew = this.addInFlight(crash, subject, false) || isNew;
     if (isNew) this.updateSuspects(crash);
-    // Before its requests are noted a new end is needed by nobody, and would be the one to go.
+    // Evicts only now, because a new crash without its requests supports no quarantine state and would itself be evicted.
     this.forgetOldest();
     return isNew;
   }
@@ -311,7 +323,7 @@
     return true;
   }
 
-  /** Watches those at an endpoint that are to blame, and no others. */
+  /** Updates the suspects among the requests of a crash. */
   private updateSuspects(crash: EndpointCrash): void {
     for (const [fingerprint, { workspace }] of crash.inFlight) {
       if (this.getScore(fingerprint) > 0) this.addSuspect(workspace, fingerprint);
@@ -340,7 +352,7 @@
     this.crashesByFingerprint.delete(fingerprint);
   }
 
-  /** Forgets the oldest end that no verdict which must last rests on. */
+  /** Evicts the oldest crash that no durable quarantine state is based on. */
   private forgetOldest(): void {
     if (this.crashes.size <= maxCrashes) return;
     const isDurable = ({ inFlight }: EndpointCrash): boolean =>
@@ -358,7 +370,7 @@
   }
 }
 
-/** Whether an end still speaks against a request. */
+/** Whether a crash still counts against a request. */
 function countsAgainst({ isRefuted, inFlight }: EndpointCrash, fingerprint: string): boolean {
   return !isRefuted && inFlight.get(fingerprint)?.isCleared === false;
 }
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -1,7 +1,7 @@
 /**
- * Verdicts that must outlast all instances, as items of the platform's store: written once a request rests and once it is
- * convicted, removed when it is cleared, and read with the gateway's other items. An operator who removes one clears it; one
- * that the store lost as it came back from a copy is written again.
+ * Keeps the quarantine of requests as items of the platform's store, so that it outlasts all instances. An item is written when a
+ * request enters the cooldown and when it is blocked, and removed when the request is cleared. An operator who removes an item
+ * clears the request; an item that the store lost because it was restored from a snapshot is written again.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -18,30 +18,30 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly records: CrashRecords;
-  /** Whether this instance writes for a request: one does for all. */
+  /** Whether this instance writes the item of a request; one instance does so for all. */
   readonly isWriter: (fingerprint: string) => boolean;
 }
 
 const crashPrefix = `${gatewayPrefix}crashes/`;
-/** Items in all, 200 bytes each: every instance reads them when it starts. */
+/** Most items in all, 200 bytes each, because every instance reads them when it starts. */
 const maxItems = 256;
-/** Items of one workspace: one that makes endpoints end on purpose takes no room from others. */
+/** Most items of one workspace, so that a workspace that crashes endpoints on purpose takes no space from others. */
 const maxItemsOfWorkspace = 64;
-/** Time between two attempts of a write that failed. */
+/** Time between a failed write and the next attempt. */
 const retryMs = 1_000;
 
 const crashSchema = v.object({
   workspace: v.string(),
-  /** Lives of endpoints that ended with the request there, before it was a suspect and after. */
+  /** Incarnations that crashed with the request in flight, before it was a suspect and after. */
   first: v.array(v.string()),
   repeated: v.array(v.string()),
 });
 
 type CrashItem = v.InferOutput<typeof crashSchema>;
 
-/** Writes verdicts and reads them. */
+/** Writes and reads the items. */
 export class CrashStore {
-  /** Items as last heard of, by fingerprint. */
+  /** Items as last read, by fingerprint. */
   private readonly items = new Map<string, CrashItem>();
   private isWriting = false;
   private failedAt = -Infinity;
@@ -52,7 +52,7 @@
     return new CrashStore(options);
   }
 
-  /** Takes an item of the store, or that it is gone and how; passes over those of others. */
+  /** Handles an item that was written or removed; ignores keys outside its prefix. */
   handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     if (!key.startsWith(crashPrefix)) return;
     const fingerprint = key.slice(crashPrefix.length);
@@ -67,7 +67,7 @@
     this.options.records.apply({ reports: createReports(fingerprint, decoded) });
   }
 
-  /** Writes what is not in the store yet and removes what no longer belongs there; called several times a second. */
+  /** Writes missing items and removes those of cleared requests; called several times a second. */
   review(): void {
     const { clock } = this.options;
     if (this.isWriting || clock.getTime() - this.failedAt < retryMs) return;
@@ -96,7 +96,10 @@
     return items.length < maxItems && own.length < maxItemsOfWorkspace;
   }
 
-  /** A removal clears a request on all instances: one that is only blamed for less must stay. */
+  /**
+   * Only a request without uncleared crashes counts, because a removal clears it on all instances; one with a lower score must
+   * stay.
+   */
   private isCleared(fingerprint: string): boolean {
     const { records, isWriter } = this.options;
     return records.getUncleared(fingerprint).length === 0 && isWriter(fingerprint);
@@ -131,7 +134,7 @@
     return written.isOk();
   }
 
-  /** The verdict stands; whoever writes for the request finds its item missing. */
+  /** The quarantine remains; the writer of the request finds its item missing and writes it again. */
   private handleLost(fingerprint: string): void {
     if (!this.items.delete(fingerprint)) return;
     this.options.logger.info("crash.item-lost", { fingerprint });
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * One endpoint as this instance knows it: its record, whether it takes work, and how it has answered lately.
+ * One endpoint as this instance knows it: its record, whether it accepts requests, and how its latest attempts ended.
  * @module
  */
 import { hashText } from "@gladewall/kernel";
@@ -8,16 +8,16 @@
 import { EndpointAvailability } from "./endpointAvailability.js";
 import type { EndpointLoad, EndpointRecord } from "./types.js";
 
-/** Whether an endpoint takes work. */
+/** Whether an endpoint accepts new requests, from its record and its notices. */
 export enum EndpointState {
   Ready = 1,
-  /** Its record vanished while the store was in trouble; it is used as long as it answers, for a short time. */
+  /** Its record vanished while the store was failing; it stays in use for a short time, as long as it answers. */
   Unlisted = 2,
-  /** It says that it leaves, or is gone. */
+  /** It has announced that it stops, or its record is gone; it gets no new requests. */
   Leaving = 3,
 }
 
-/** Work of other instances at an endpoint. */
+/** Load that other instances have put on an endpoint: open requests, and prompt tokens not yet processed. */
 export interface PeerWork {
   readonly active: number;
   readonly pendingTokens: number;
@@ -28,26 +28,26 @@
 const latencyWeight = 0.2;
 const firstUnreachableMs = 400;
 const maxUnreachableMs = 3_000;
-/** Share of failures below which an endpoint counts as sound. */
+/** Failure share below which an endpoint counts as healthy. */
 const healthyFailureShare = 0.02;
 
-/** An endpoint and this instance's own view of it. */
+/** An endpoint and this instance's own view of it. One object stands for one incarnation. */
 export class Endpoint {
   state = EndpointState.Ready;
-  /** Monotonic time at which the record was read last. */
+  /** Monotonic time at which the record was last read. */
   recordAt = -Infinity;
-  /** Requests of this instance that it has and that have not ended. */
+  /** Open requests of this instance at the endpoint. */
   active = 0;
-  /** Prompt tokens of this instance's requests that have not given a first event. */
+  /** Prompt tokens of those open requests that have not returned a first event yet. */
   pendingTokens = 0;
-  /** These requests, to tell which it had when it ends. */
+  /** The open requests themselves, so that a crash can be attributed to them. */
   readonly inFlight = new Set<InFlightRequest>();
-  /** Load it last told. */
+  /** Load that the endpoint last reported. */
   load: EndpointLoad | undefined;
   loadAt = -Infinity;
-  /** Usual milliseconds of an answer; undefined before the first. */
+  /** Moving average of the response time in milliseconds; undefined before the first response. */
   latencyMs: number | undefined;
-  /** Monotonic time of its last answer, while it counted as ready, that did not say that it leaves. */
+  /** Monotonic time of the last response without a leaving notice that came while the endpoint was ready. */
   servedAt = -Infinity;
   private unreachableUntil = -Infinity;
   private unreachableCount = 0;
@@ -55,16 +55,16 @@
   private failureShareAt = 0;
 
   /**
-   * Names this life, the same on all instances. What is known by id would be held against, or counted for, the next life
-   * that has it: a name once told to be leaving was never used again.
+   * Name of this incarnation (one start of the endpoint under its id), the same on all instances. State is keyed by it and
+   * not by the id, because otherwise the next incarnation would inherit it: an id once marked as leaving was never used again.
    */
   readonly incarnation: string;
-  /** Hash of the life, the same on all instances. */
+  /** Hash of the incarnation, the same on all instances. */
   readonly hash: number;
 
   private constructor(
     public record: EndpointRecord,
-    /** What this life has said of itself. */
+    /** Leaving state, hold-off and rate limit that this incarnation has announced. */
     readonly availability: EndpointAvailability,
   ) {
     this.incarnation = getIncarnation(record);
@@ -82,27 +82,27 @@
     return this.record.id;
   }
 
-  /** Whether new work may go there, of whichever instance. */
+  /** Whether any instance may send it new requests. */
   isUsable(): boolean {
     return this.state !== EndpointState.Leaving;
   }
 
-  /** Whether this instance may send it a request of a rank now. */
+  /** Whether this instance may send it a request of the given rank now. */
   acceptsRequest(time: number, rank = leastUrgentRank): boolean {
     return this.isUsable() && this.availability.acceptsRequest(time, rank);
   }
 
-  /** The same for a request that has a permit. */
+  /** The same for a request that holds a permit, so that the rate limit does not count. */
   acceptsPermitted(time: number): boolean {
     return this.isUsable() && this.availability.acceptsPermitted(time);
   }
 
-  /** Whether it could not be reached a moment ago. */
+  /** Whether the backoff after the last failed connection is still running. */
   isUnreachable(time: number): boolean {
     return time < this.unreachableUntil;
   }
 
-  /** Takes note that it could not be reached. */
+  /** Records a failed connection and starts a backoff that doubles with each failure in a row. */
   noteUnreachable(time: number): void {
     this.unreachableCount += 1;
     const durationMs = Math.min(maxUnreachableMs, firstUnreachableMs * 2 ** (this.unreachableCount - 1));
@@ -110,14 +110,17 @@
     this.noteOutcome(false, time);
   }
 
-  /** Share of late attempts that failed, 0 to 1; fades, or an endpoint that failed would never be tried again. */
+  /**
+   * Share of recent attempts that failed, 0 to 1. It decays with time, because otherwise an endpoint that failed would never be
+   * tried again.
+   */
   getFailureShare(time: number): number {
     if (this.failureShare === 0) return 0;
     const age = Math.max(0, time - this.failureShareAt);
     return this.failureShare * 0.5 ** (age / failureHalfLifeMs);
   }
 
-  /** Takes note of how an attempt ended; after one that ends well it counts as reachable. */
+  /** Records whether an attempt succeeded; a success ends the backoff. */
   noteOutcome(isSuccess: boolean, time: number): void {
     const share = this.getFailureShare(time);
     this.failureShare = share + ((isSuccess ? 0 : 1) - share) * failureWeight;
@@ -128,7 +131,10 @@
     this.unreachableUntil = -Infinity;
   }
 
-  /** Takes note of an answer that did not say that it leaves; from a word on, whatever brought it, none counts any more. */
+  /**
+   * Records a response without a leaving notice. Once the endpoint is known to be leaving, from whatever source, responses no
+   * longer count.
+   */
   noteServed(time: number): void {
     if (this.state === EndpointState.Ready) this.servedAt = time;
   }
@@ -144,15 +150,15 @@
   }
 }
 
-/** Stands between an endpoint's id and the start of its life. */
+/** Separates the endpoint's id from the time of its start. */
 const incarnationSeparator = "@";
 
-/** Returns the name of a life; the id alone where its record does not say when it began. */
+/** Returns the name of an incarnation, `id@born`; the id alone if the record has no start time. */
 export function getIncarnation({ id, born }: Pick<EndpointRecord, "id" | "born">): string {
   return born === undefined ? id : `${id}${incarnationSeparator}${born}`;
 }
 
-/** Returns the id that a life goes by. */
+/** Returns the endpoint id of an incarnation. */
 export function getEndpointId(incarnation: string): string {
   const end = incarnation.lastIndexOf(incarnationSeparator);
   return end < 0 ? incarnation : incarnation.slice(0, end);
--- a/packages/gateway/src/endpointAvailability.ts
+++ b/packages/gateway/src/endpointAvailability.ts
@@ -1,46 +1,49 @@
 /**
- * What endpoints have said of themselves, by their lives: kept beyond their records, as an endpoint serves on for seconds after
- * its word, and may be listed again meanwhile.
+ * Whether and how each incarnation of an endpoint accepts requests, from its own notices: leaving, hold-off, rate limit, and a
+ * slow start after either. It is kept beyond the endpoint's record, because an endpoint serves on for seconds after a notice and
+ * may be listed again meanwhile.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 import { type ResponseTimes, EndpointLimit, leastUrgentRank, LimitChange } from "./endpointLimit.js";
 
-/** From whom it is known that an endpoint leaves. */
+/** Source from which it is known that an endpoint is leaving. */
 export enum LeavingSource {
   /** Its record. */
   Record = 1,
-  /** An answer that it gave this instance. */
+  /** A response that this instance received. */
   Answer = 2,
-  /** A peer that had such an answer. */
+  /** A peer that received such a response. */
   Peer = 3,
-  /** Whoever has its address now: it has ended. */
+  /** The endpoint that now has its address, which shows that it has stopped. */
   Successor = 4,
 }
 
-/** Lives of which words are kept, some 200 bytes each: all endpoints of a fleet replaced within a few minutes. */
+/** Incarnations kept, some 200 bytes each: enough when all endpoints of a fleet are replaced within a few minutes. */
 const maxIncarnations = 2_048;
-/** Time that a word is kept for; an endpoint that leaves ends within a minute. */
+/** Time for which an entry is kept; a leaving endpoint stops within a minute. */
 const maxAgeMs = 600_000;
 
-/** Requests that may wait for an answer right after a hold-off. */
+/** Requests that may wait for a response right after a hold-off. */
 const firstConcurrency = 1;
-/** Room at which it is given up: the rounds before, of one, two and four requests, were all taken. */
+/** Concurrency at which the slow start ends: the rounds before, of one, two and four requests, were all accepted. */
 const fullConcurrency = 8;
 
-/** Words of one life. */
+/** Availability of one incarnation. */
 export class EndpointAvailability {
   private firstSource: LeavingSource | undefined;
   /** Monotonic time until which it wants no request of this instance. */
   private heldOffUntil = -Infinity;
-  /** Requests that may wait for an answer there; bounded from a hold-off on, until it takes what is sent. */
+  /**
+   * Requests that may wait for a response at once; bounded from a hold-off or the end of a limit on, until enough were accepted.
+   */
   private concurrency = Infinity;
   private pending = 0;
-  /** Grows with each hold-off: what was sent before one neither counts after it nor shows that it is over. */
+  /** Grows with each slow start: a request sent before one neither counts in it nor shows that the endpoint accepts again. */
   private round = 0;
-  /** Monotonic time of the last word. */
+  /** Monotonic time of the last notice. */
   updatedAt = -Infinity;
-  /** How many requests it takes of all instances together. */
+  /** Rate limit over all instances together. */
   readonly limit = EndpointLimit.create();
 
   private constructor() {}
@@ -49,12 +52,12 @@
     return new EndpointAvailability();
   }
 
-  /** From whom it was first known that it leaves; undefined where it does not. Nothing takes it back within a life. */
+  /** The first source that reported it as leaving; undefined if it is not. An incarnation never reverts from leaving. */
   get leavingSource(): LeavingSource | undefined {
     return this.firstSource;
   }
 
-  /** Takes note that it leaves; returns whether that is new. */
+  /** Marks it as leaving; returns whether that is new. */
   noteLeaving(source: LeavingSource, time: number): boolean {
     this.updatedAt = time;
     if (this.firstSource !== undefined) return false;
@@ -62,20 +65,23 @@
     return true;
   }
 
-  /** Takes note that it wants no request of this instance for a time; the later end holds. */
+  /** Starts a hold-off: the endpoint wants no request of this instance for some time. Of two, the later end counts. */
   noteHoldOff(milliseconds: number, time: number): void {
     this.updatedAt = time;
     this.heldOffUntil = Math.max(this.heldOffUntil, time + milliseconds);
     this.beginSlowStart();
   }
 
-  /** Takes note of an answer that names a limit. */
+  /** Applies a response that advertises a limit. */
   noteLimit(perSecond: number, times: ResponseTimes, time: number): LimitChange {
     this.updatedAt = time;
     return this.limit.noteAdvertised(perSecond, times);
   }
 
-  /** Takes note of an answer that names no limit; what waited for the end comes back as after a hold-off. */
+  /**
+   * Applies a response that advertises no limit. The requests that waited for its end return by a slow start, as after a
+   * hold-off.
+   */
   clearLimit(sentAt: number): LimitChange {
     const change = this.limit.noteOmitted(sentAt);
     if (change === LimitChange.Ended) this.beginSlowStart();
@@ -88,36 +94,37 @@
     this.round += 1;
   }
 
-  /** Milliseconds until it may be sent a request of this instance. */
+  /** Milliseconds until this instance may send it a request. */
   getWaitMs(time: number): number {
     return Math.max(this.getHoldOffMs(time), this.limit.getWaitMs(time));
   }
 
-  /** Milliseconds for which it wants no request of this instance; 0 where it names no time. */
+  /** Milliseconds left of the hold-off; 0 if there is none. */
   getHoldOffMs(time: number): number {
     return Math.max(0, this.heldOffUntil - time);
   }
 
   /**
-   * Whether it may be sent a request of a rank, with a permit where it has named a limit. After a hold-off one goes first, then
-   * twice as many each time that all were taken, so that the crowd does not meet an endpoint that has taken none yet.
+   * Whether it may be sent a request of a rank, with a permit if it has advertised a limit. After a hold-off one request goes
+   * first, then twice as many each time that all were accepted, so that the requests that waited do not all arrive at an endpoint
+   * that has not accepted any yet.
    */
   acceptsRequest(time: number, rank = leastUrgentRank): boolean {
     return this.acceptsPermitted(time) && this.limit.mayRequestPermits(time, rank);
   }
 
-  /** The same where a permit is at hand. */
+  /** The same for a request that holds a permit. */
   acceptsPermitted(time: number): boolean {
     return time >= this.heldOffUntil && this.pending < this.concurrency;
   }
 
-  /** Takes note that a request is sent there; returns what its end is told with. */
+  /** Counts a request that is sent; returns the round to pass to `endAttempt`. */
   beginAttempt(): number {
     this.pending += 1;
     return this.round;
   }
 
-  /** Takes note of what came of a request that was sent there. */
+  /** Records whether the endpoint accepted a request of a round. */
   endAttempt(round: number, isAccepted: boolean): void {
     if (round !== this.round) return;
     this.pending -= 1;
@@ -126,9 +133,9 @@
   }
 }
 
-/** Words of all lives, also of those whose records are gone or not there yet. */
+/** Availability of all incarnations, including those whose records are gone or not yet read. */
 export class AvailabilityCache {
-  /** Words by life, the latest at the end. */
+  /** Availability by incarnation, the most recently updated last. */
   private readonly entries = new Map<string, EndpointAvailability>();
 
   private constructor(private readonly clock: Clock) {}
@@ -141,7 +148,7 @@
     return this.entries.get(incarnation);
   }
 
-  /** Keeps the words of a life, to which one was just added. */
+  /** Keeps the availability of an incarnation that was just updated, and drops entries beyond the bounds of number and age. */
   touch(incarnation: string, availability: EndpointAvailability): void {
     this.entries.delete(incarnation);
     this.entries.set(incarnation, availability);
@@ -152,7 +159,7 @@
     }
   }
 
-  /** Lives that are known to leave by an answer, the latest first, so many at most. */
+  /** Incarnations known from a response, here or at a peer, to be leaving; the latest first, at most the given number. */
   getLeaving(maxCount: number): readonly string[] {
     return this.select(
       maxCount,
@@ -160,7 +167,7 @@
     );
   }
 
-  /** Lives that name a limit, the latest first, so many at most. */
+  /** Incarnations that advertise a limit; the latest first, at most the given number. */
   getLimited(maxCount: number): readonly string[] {
     return this.select(maxCount, ({ limit }) => limit.perSecond !== undefined);
   }
--- a/packages/gateway/src/endpointConnections.ts
+++ b/packages/gateway/src/endpointConnections.ts
@@ -1,6 +1,6 @@
 /**
- * Kept connections to endpoints, one pool an endpoint. A connection on which bytes come while no request is under way
- * is closed: whatever they are, they belong to nobody.
+ * Pools of keep-alive connections to endpoints, one for each incarnation. An idle connection that receives bytes is closed,
+ * because they belong to no request.
  * @module
  */
 import { Agent, type ClientRequest, type ClientRequestArgs } from "node:http";
@@ -11,7 +11,7 @@
 import { trackConnectionEnd } from "./connectionEnds.js";
 
 const maxIdle = 32;
-/** Idle connections are closed after this long, unless the endpoint names a shorter time. */
+/** Idle connections are closed after this time, unless the endpoint names a shorter one. */
 const idleMs = 8_000;
 
 class PoolAgent extends Agent {
@@ -46,16 +46,16 @@
   }
 }
 
-/** Where and over what an endpoint is reached. */
+/** Address and connection pool of an endpoint. */
 export interface EndpointPool {
   readonly host: string;
   readonly port: number;
   readonly agent: Agent;
 }
 
-/** Pools of all endpoints. */
+/** Connection pools of all endpoints. */
 export class EndpointConnections {
-  /** Pools by the endpoint's life. */
+  /** Pools by the endpoint's incarnation. */
   private readonly pools = new Map<string, EndpointPool>();
 
   private constructor() {}
@@ -73,7 +73,7 @@
     return pool;
   }
 
-  /** Closes the idle connections of an endpoint that has ended; those in use end with their requests. */
+  /** Closes the idle connections of an endpoint that was removed; connections in use close with their requests. */
   remove(endpoint: Endpoint): void {
     const pool = this.pools.get(endpoint.incarnation);
     if (!pool) return;
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -1,9 +1,10 @@
 /**
- * The one view of endpoints, merged from their own records, their answers, peers' words, and attempts to reach them.
+ * This instance's single view of all endpoints, merged from their records, their responses, peers' reports and connection
+ * attempts.
  *
- * A life's word that it leaves, wherever it comes from, is never undone, by no record or listing either; the next life of the
- * same id begins with nothing. A record that vanishes means that the endpoint leaves, unless the store was in trouble, or came
- * back from a copy without it: then records vanish by themselves, and the endpoint is used on.
+ * Once an incarnation is known to be leaving, from whatever source, no record or listing reverts that; the next incarnation under
+ * the same id starts with a clean state. A removed record means that the endpoint is leaving, unless the store was failing or was
+ * restored from a snapshot without the record: records then disappear by themselves, so the endpoint stays in use.
  * @module
  */
 import { type Clock, type Closeable, type Logger } from "@gladewall/kernel";
@@ -18,55 +19,55 @@
   readonly platform: PlatformAdapter;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Milliseconds since the store was last in trouble. */
+  /** Milliseconds since a call to the store last failed. */
   readonly getTimeSinceTrouble: () => number;
-  /** Longest time of a watch of the records; milliseconds. */
+  /** Longest time that one watch call on the records stays open; milliseconds. */
   readonly watchWaitMs: number;
-  /** Time between the first listing and the first watch; milliseconds. */
+  /** Delay between the first listing and the first watch; milliseconds. */
   readonly firstWatchPauseMs?: number;
-  /** Time for which an endpoint is used on whose record vanished in the store's trouble; milliseconds. */
+  /** Time for which an endpoint stays in use after its record vanished while the store was failing; milliseconds. */
   readonly unlistedMs: number;
 }
 
-/** The answer that brought a word. */
+/** Identifies the response that carried a notice, for the log. */
 export interface ResponseReference {
   readonly requestId: string;
   readonly status: number;
 }
 
-/** Trouble of the store within this time explains that a record vanished. */
+/** A failure of the store within this time explains that a record vanished. */
 const troubleWindowMs = 3_000;
 /**
- * Records that lapsed while the store was in trouble are written again within two seconds of its return, by those
- * endpoints that live; one that is still missing after this long is gone.
+ * Running endpoints rewrite records that expired during a store failure within two seconds of its recovery; an endpoint whose
+ * record is still missing after this time is gone.
  */
 const relistWithinMs = 2_200;
-/** Longest time that endpoints are used on whose records vanished together, however long the trouble lasts. */
+/** Longest time for which endpoints stay in use after their records vanished together, however long the store fails. */
 const maxUnlistedMs = 5_000;
 /**
- * Share of all endpoints that vanish together only by the store's own trouble. Of one service alone it would say too much: a
- * service of four loses half with two, and those would be used beyond the drain time.
+ * Share of all endpoints that only a store failure removes together. It is not applied to each service alone, because a service
+ * of four endpoints loses half with two, and those would stay in use beyond the drain time.
  */
 const massRemovalShare = 0.5;
 
-/** Fields of a line of the log. */
+/** Fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | undefined>>;
 
 const leavingCauses: Readonly<Record<LeavingSource, string>> = {
   [LeavingSource.Record]: "record",
-  [LeavingSource.Answer]: "said so in an answer",
-  [LeavingSource.Peer]: "said so to a peer",
+  [LeavingSource.Answer]: "announced in a response",
+  [LeavingSource.Peer]: "announced to a peer",
   [LeavingSource.Successor]: "replaced",
 };
 
-/** All endpoints. */
+/** All endpoints, by id and by service. */
 export class EndpointDirectory implements Closeable {
   private readonly endpoints = new Map<string, Endpoint>();
   private readonly byService = new Map<string, Endpoint[]>();
   readonly follower: PrefixFollower;
-  /** What endpoints have said of themselves. */
+  /** Availability of incarnations, kept also while they have no record. */
   readonly availabilities: AvailabilityCache;
-  /** Lives whose records went. */
+  /** Incarnations whose records were removed. */
   private readonly removed: RemovedIncarnations;
   private readonly removalListeners: ((endpoint: Endpoint) => void)[] = [];
   private readonly leavingListeners: ((incarnation: string) => void)[] = [];
@@ -98,22 +99,22 @@
     this.follower.start();
   }
 
-  /** Whether the list has ever been read. */
+  /** Whether the records have been listed at least once. */
   get isListed(): boolean {
     return this.follower.isListed;
   }
 
-  /** Lists anew; for when the store comes back. */
+  /** Lists the records again; called when the store becomes reachable. */
   restart(): void {
     this.follower.restart();
   }
 
-  /** Endpoints of a service, those that leave too. */
+  /** Endpoints of a service, including those that are leaving. */
   getOfService(service: string): readonly Endpoint[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** Milliseconds until some usable endpoint of a service wants requests of this instance; 0 where there is none. */
+  /** Milliseconds until the first usable endpoint of a service accepts requests of this instance; 0 if the service has none. */
   getShortestWaitMs(service: string): number {
     const time = this.options.clock.getTime();
     const usable = this.getOfService(service).filter((endpoint) => endpoint.isUsable());
@@ -126,7 +127,7 @@
     return this.endpoints.get(id);
   }
 
-  /** Returns an endpoint by its life. */
+  /** Returns an endpoint by its incarnation. */
   find(incarnation: string): Endpoint | undefined {
     const endpoint = this.endpoints.get(getEndpointId(incarnation)) ?? this.endpoints.get(incarnation);
     return endpoint?.incarnation === incarnation ? endpoint : undefined;
@@ -136,27 +137,27 @@
     return this.endpoints.values();
   }
 
-  /** Calls back when an endpoint is forgotten. */
+  /** Calls back when an endpoint is removed from the directory. */
   onRemoved(listener: (endpoint: Endpoint) => void): void {
     this.removalListeners.push(listener);
   }
 
-  /** Calls back with a life that has said in an answer to this instance that it leaves, once. */
+  /** Calls back once with each incarnation that has announced in a response to this instance that it is leaving. */
   onLeavingAnnounced(listener: (incarnation: string) => void): void {
     this.leavingListeners.push(listener);
   }
 
-  /** Takes an answer's word that the endpoint has ended and another has its address. */
+  /** Handles a response which shows that another endpoint has this one's address, so that this one has stopped. */
   handleReplaced({ incarnation }: Endpoint): void {
     this.markLeaving(incarnation, LeavingSource.Successor);
   }
 
-  /** Takes a peer's word that a life leaves; returns whether it is new. */
+  /** Handles a peer's report that an incarnation is leaving; returns whether that is new. */
   handlePeerLeaving(incarnation: string, peer: string): boolean {
     return this.markLeaving(incarnation, LeavingSource.Peer, { peer });
   }
 
-  /** Takes what an endpoint says of itself with an answer. */
+  /** Applies the notice of a response: the endpoint is leaving, or names a hold-off. */
   handleNotice(
     { incarnation }: Endpoint,
     notice: EndpointNotice,
@@ -176,7 +177,7 @@
     for (const listener of this.leavingListeners) listener(incarnation);
   }
 
-  /** Binds this instance alone: told to peers, it would take away what the endpoint still gives them. */
+  /** A hold-off applies to this instance alone: sent to peers, it would keep them from an endpoint that still serves them. */
   private startHoldOff(incarnation: string, holdOffMs: number, response: LogFields): void {
     const { clock, logger } = this.options;
     const availability = this.getAvailability(incarnation);
@@ -185,14 +186,14 @@
     logger.info("endpoint.held-off", { life: incarnation, ...response, forMs: Math.round(holdOffMs) });
   }
 
-  /** Returns the words of a life; they are kept from the first one on. */
+  /** Returns the availability of an incarnation; it is kept from the first notice on. */
   getAvailability(key: string): EndpointAvailability {
     return this.find(key)?.availability ?? this.availabilities.find(key) ?? EndpointAvailability.create();
   }
 
   /**
-   * Takes the word that a life leaves; returns whether it is new. Read for the one request only, it would let
-   * requests reach an endpoint long after its word, while it can't write to the store.
+   * Marks an incarnation as leaving; returns whether that is new. The mark outlasts the request that brought it, because
+   * otherwise requests would reach the endpoint long after its notice, while it can't write its record to the store.
    */
   private markLeaving(incarnation: string, source: LeavingSource, fields: LogFields = {}): boolean {
     const { clock, logger } = this.options;
@@ -230,11 +231,11 @@
     if (isRestored && this.removed.has(getIncarnation(record))) return this.deferRecord(item);
     const known = this.endpoints.get(record.id);
     if (known && isEarlierIncarnation(record, known.record)) {
-      logger.info("endpoint.refused", { key, text: "the record is of an earlier life" });
+      logger.info("endpoint.refused", { key, text: "the record belongs to an earlier incarnation" });
       return;
     }
     if (known && getIncarnation(record) !== known.incarnation) {
-      this.setState(known, EndpointState.Leaving, "started again");
+      this.setState(known, EndpointState.Leaving, "restarted");
       this.forget(known);
     }
     const endpoint = this.endpoints.get(record.id) ?? this.add(record);
@@ -255,15 +256,15 @@
   }
 
   /**
-   * Leaves a record aside that is of a life whose record went before, as a copy may have it still: the store drops it unless
-   * that endpoint lives and goes on writing it.
+   * Defers a record of an incarnation whose record was removed before, because a restored snapshot may still hold it. The store
+   * expires such a record unless the endpoint is running and renews it, so it is applied only if it is still there later.
    */
   private deferRecord(item: StoreItem): void {
     const { clock, logger } = this.options;
     logger.info("endpoint.passed-over", {
       key: item.key,
       revision: item.revision,
-      text: "its record went before",
+      text: "its record was removed before",
     });
     clock.startTimer(maxUnlistedMs, () => {
       const present = this.follower.getItem(item.key);
@@ -288,8 +289,8 @@
     const { clock, getTimeSinceTrouble } = this.options;
     const troubleAgeMs = reportedAgeMs ?? getTimeSinceTrouble();
     const isLost = cause === RemovalCause.Lost;
-    // Only trouble of whoever brings the word explains it: another reader that the store turned away says nothing of
-    // the store, and by its trouble endpoints that left would be used beyond the drain time.
+    // Only a store failure seen by the reporter of the removal explains it. A failure that another reader saw says nothing
+    // about the store, and would keep endpoints that left in use beyond the drain time.
     const isExplained =
       (isLost || troubleAgeMs < troubleWindowMs) && endpoint.availability.leavingSource === undefined;
     if (!isExplained) {
@@ -304,13 +305,13 @@
       troubleAgeMs,
     );
     clock.startTimer(this.options.unlistedMs, () => {
-      // This instance's own path may have been the trouble: then the record tells of an endpoint that leaves.
+      // Only this instance's connection to the store may have failed; the removal then means that the endpoint left.
       if (!isLost && !this.haveManyVanished()) this.giveUpUnlisted(endpoint);
     });
     this.awaitRelisting(endpoint, clock.getTime() + maxUnlistedMs);
   }
 
-  /** Gives a vanished record up once the store has been well for as long as living endpoints need to come back. */
+  /** Gives up on a vanished record once the store has worked for as long as running endpoints need to rewrite their records. */
   private awaitRelisting(endpoint: Endpoint, endsAt: number): void {
     const { clock, getTimeSinceTrouble } = this.options;
     const remaining = Math.min(relistWithinMs, endsAt - clock.getTime());
@@ -363,7 +364,7 @@
   }
 }
 
-/** Whether a record is of a life that ended before a known one began; one that does not say when it began can't be later. */
+/** Whether a record belongs to an earlier incarnation than a known one; a record without a start time can't be later. */
 function isEarlierIncarnation({ born }: EndpointRecord, known: EndpointRecord): boolean {
   return known.born !== undefined && (born === undefined || born < known.born);
 }
--- a/packages/gateway/src/endpointLimit.ts
+++ b/packages/gateway/src/endpointLimit.ts
@@ -1,52 +1,55 @@
 /**
- * The limit that one endpoint's life has named, as this instance knows it, and the permits that this instance has for it.
+ * The rate limit that one incarnation of an endpoint has advertised, as this instance knows it, and the permits that this
+ * instance holds for it. A permit allows one request.
  * @module
  */
 
-/** What a word on a limit changed. */
+/** What a response or a report changed about a limit. */
 export enum LimitChange {
   None = 1,
   Begun = 2,
-  /** It takes more or fewer requests a second than before. */
+  /** The endpoint accepts more or fewer requests a second than before. */
   Changed = 3,
   Ended = 4,
 }
 
-/** When what an answer says was true: after its request was sent, and before the answer came. Monotonic times. */
+/**
+ * Interval in which the content of a response was true: after its request was sent and before it was received. Monotonic times.
+ */
 export interface ResponseTimes {
   readonly sentAt: number;
   readonly receivedAt: number;
 }
 
-/** What an issuer says to this instance. */
+/** An issuer's grant: permits, or the time until the next one. */
 export interface PermitGrant {
   readonly permits: number;
-  /** Time after which another is likely to be there; milliseconds. */
+  /** Time after which another permit is likely to be available; milliseconds. */
   readonly waitMs: number;
 }
 
-/** Rank of whoever gives way to all others; lower ranks are more urgent. */
+/** Rank that gives way to all others; lower ranks are more urgent. */
 export const leastUrgentRank = Infinity;
 
-/** Time for which a permit may be used: what is sent later than that is not what the issuer counts with. */
+/** Time for which a permit is valid: the issuer does not account for requests that are sent later. */
 const permitValidMs = 250;
-/** Of a high limit, questions under way and permits at hand are as many as come in this time. */
+/** For a high limit, as many permits may be requested ahead as become available in this time. */
 const aheadMs = 50;
 const millisecondsPerSecond = 1_000;
 
-/** A limit of one life. */
+/** Rate limit of one incarnation. */
 export class EndpointLimit {
   private advertised: number | undefined;
-  /** Monotonic time of the last answer that named it, to whomever. */
+  /** Monotonic time of the last response, to any instance, that advertised the limit. */
   private receivedAt = -Infinity;
-  /** When the request was sent whose answer named none: an answer that came before says nothing any more. */
+  /** When the request was sent whose response advertised no limit; responses received before that are outdated. */
   private endedAt = -Infinity;
   private heldPermits = 0;
   private permitsValidUntil = -Infinity;
-  /** Permits to be asked for at once. */
+  /** Permits to request at once. */
   private batch = 1;
   private openCalls = 0;
-  /** Until when only requests more urgent than `refusedRank` ask for a permit. */
+  /** Until when only requests more urgent than `refusedRank` may ask for a permit. */
   private refusedUntil = -Infinity;
   private refusedRank = -Infinity;
 
@@ -56,19 +59,23 @@
     return new EndpointLimit();
   }
 
-  /** Requests a second that it takes of all instances together; undefined where it names none. */
+  /** Requests a second that the endpoint accepts of all instances together; undefined if it advertises no limit. */
   get perSecond(): number | undefined {
     return this.advertised;
   }
 
-  /** Milliseconds since it was last known to be as it is: named by an answer, or not named by one to a request sent then. */
+  /**
+   * Milliseconds since the present value was last confirmed: advertised by a response, or left out of the response to a request
+   * sent then.
+   */
   getAge(time: number): number {
     return time - (this.advertised === undefined ? this.endedAt : this.receivedAt);
   }
 
   /**
-   * Takes an answer that names it. Answers on different connections pass each other: one whose request was sent before the last
-   * answer came does not raise it, and one that came before the end does not bring it back.
+   * Applies a response that advertises the limit. Responses on different connections overtake each other, so a response whose
+   * request was sent before the last response came does not raise the limit, and one that came before the limit's end does not
+   * restore it.
    */
   noteAdvertised(perSecond: number, { sentAt, receivedAt }: ResponseTimes): LimitChange {
     if (receivedAt <= this.endedAt) return LimitChange.None;
@@ -80,7 +87,9 @@
     return this.advertised === previous ? LimitChange.None : LimitChange.Changed;
   }
 
-  /** Takes an answer that does not name it; it ends it where its request was sent after the last answer that did. */
+  /**
+   * Applies a response without a limit; it ends the limit if its request was sent after the last response that advertised one.
+   */
   noteOmitted(sentAt: number): LimitChange {
     if (this.advertised === undefined || sentAt <= this.receivedAt) return LimitChange.None;
     this.advertised = undefined;
@@ -90,27 +99,29 @@
     return LimitChange.Ended;
   }
 
-  /** Whether a request of a rank may be sent, or a permit be asked for it. */
+  /** Whether a request of a rank may be sent, or a permit may be requested for it. */
   mayRequestPermits(time: number, rank: number): boolean {
     if (this.advertised === undefined || this.holdsPermit(time)) return true;
     if (this.openCalls >= this.maxAhead) return false;
     return time >= this.refusedUntil || rank < this.refusedRank;
   }
 
-  /** Milliseconds until a permit is likely to be had; 0 where there is one, or none is needed. */
+  /** Milliseconds until a permit is likely to be available; 0 if one is held or none is needed. */
   getWaitMs(time: number): number {
     if (this.advertised === undefined || this.holdsPermit(time)) return 0;
     return Math.max(0, this.refusedUntil - time);
   }
 
-  /** Uses a permit that is held; false where there is none. */
+  /** Uses a held permit; returns false if there is none. */
   tryUsePermit(time: number): boolean {
     if (!this.holdsPermit(time)) return false;
     this.heldPermits -= 1;
     return true;
   }
 
-  /** Takes note that an issuer is asked; returns for how many permits: twice as many while all are used, half once some lapse. */
+  /**
+   * Starts a request to the issuer; returns how many permits to ask for: twice as many while all are used, half once some expire.
+   */
   beginPermitCall(): number {
     this.openCalls += 1;
     this.batch = this.heldPermits > 0 ? this.batch / 2 : this.batch * 2;
@@ -119,7 +130,7 @@
     return this.batch;
   }
 
-  /** Takes the answer to a question for a request of a rank. */
+  /** Applies the issuer's reply to a request of a rank. */
   endPermitCall({ permits, waitMs }: PermitGrant, rank: number, time: number): void {
     this.openCalls -= 1;
     if (permits > 0) {
--- a/packages/gateway/src/endpointLimits.ts
+++ b/packages/gateway/src/endpointLimits.ts
@@ -1,5 +1,6 @@
 /**
- * What endpoints in need name as their limits: heard in answers, told by peers, ended by answers without the word.
+ * Keeps the rate limits that overloaded endpoints advertise: read from responses, merged from peers' reports, and ended by
+ * responses that advertise none.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -9,7 +10,7 @@
 import type { PeerLimit } from "./limitMessages.js";
 import type { AdvertisedLimit } from "./types.js";
 
-/** An answer, and when its request was sent; monotonic. */
+/** A response, and the monotonic time at which its request was sent. */
 export interface LimitSource extends ResponseReference {
   readonly sentAt: number;
 }
@@ -31,18 +32,18 @@
     return new EndpointLimits(options);
   }
 
-  /** Calls back with a life whose limit an answer to this instance began or ended. */
+  /** Calls back with an incarnation whose limit began or ended by a response to this instance. */
   onLimitChange(listener: (incarnation: string) => void): void {
     this.listeners.push(listener);
   }
 
-  /** Takes an answer of an endpoint; `limit` is undefined where it names none. */
+  /** Applies a response of an endpoint; `limit` is undefined if it advertises none. */
   handleResponse(
     { incarnation, availability }: Endpoint,
     limit: AdvertisedLimit | undefined,
     source: LimitSource,
   ): void {
-    // Nearly all answers end here.
+    // The common case: neither the response nor the endpoint has a limit.
     if (limit === undefined && availability.limit.perSecond === undefined) return;
     const { requestId: request, status, sentAt } = source;
     const response = { request, status };
@@ -53,7 +54,7 @@
         text: limit.unreadable,
       });
     }
-    // A word that can't be read is a word all the same: it does not end the limit.
+    // A limit that can't be parsed is still advertised, so it does not end the known limit.
     if (limit !== undefined && limit.perSecond === undefined) return;
     const receivedAt = this.options.clock.getTime();
     const change = this.applyLimit(incarnation, limit?.perSecond, { sentAt, receivedAt }, response);
@@ -61,14 +62,14 @@
     for (const listener of this.listeners) listener(incarnation);
   }
 
-  /** Takes a peer's word; returns whether it began or ended a limit here. */
+  /** Merges a peer's report; returns whether a limit began or ended here by it. */
   mergePeer({ life: incarnation, perSecond, ageMs }: PeerLimit, peer: string): boolean {
     const at = this.options.clock.getTime() - Math.max(0, ageMs);
     const change = this.applyLimit(incarnation, perSecond, { sentAt: at, receivedAt: at }, { peer });
     return change === LimitChange.Begun || change === LimitChange.Ended;
   }
 
-  /** Returns what is known here of a life's limit. */
+  /** Returns the limit of an incarnation as known here, for a peer. */
   get(incarnation: string): PeerLimit {
     const { limit } = this.options.directory.getAvailability(incarnation);
     return {
--- a/packages/gateway/src/endpointProbe.ts
+++ b/packages/gateway/src/endpointProbe.ts
@@ -1,23 +1,23 @@
 /**
- * Asks an endpoint's address whether anybody listens there.
+ * Probes whether an endpoint's address accepts connections.
  * @module
  */
 import { connect } from "node:net";
 import { parseAddress } from "@gladewall/kernel";
 
-/** What an attempt to connect shows. */
+/** Result of a connection attempt. */
 export enum ProbeResult {
-  /** The address takes connections. */
+  /** The address accepts connections. */
   Listening = 1,
-  /** Its machine answers that nobody listens: the process has ended. */
+  /** The machine refuses the connection, so no process listens there. */
   Refused = 2,
-  /** No answer, or one that says neither: the way there may be cut. */
+  /** No response, or another error: the network may be interrupted. */
   Unknown = 3,
 }
 
 const refusedCode = "ECONNREFUSED";
 
-/** Opens one connection and closes it again. Never rejects. */
+/** Opens one connection and closes it again. The promise never rejects. */
 export function probeEndpoint(address: string, timeoutMs: number): Promise<ProbeResult> {
   return new Promise((resolve) => {
     const socket = connect(parseAddress(address));
--- a/packages/gateway/src/endpointWork.ts
+++ b/packages/gateway/src/endpointWork.ts
@@ -1,9 +1,9 @@
 /**
- * Work at endpoints, as instances tell each other.
+ * Sums of open requests and pending prompt tokens at endpoints, as instances report them to each other.
  * @module
  */
 
-/** Active requests and pending prompt tokens by endpoint. */
+/** Open requests and pending prompt tokens by endpoint incarnation. */
 export type EndpointWork = Readonly<Record<string, readonly [active: number, pendingTokens: number]>>;
 
 /** Adds work up, endpoint by endpoint. */
@@ -19,7 +19,7 @@
   return sum;
 }
 
-/** Returns what is left of a sum without a part of it; the part may be newer than the sum. */
+/** Subtracts a part from a sum. No value falls below 0, because the part may be newer than the sum. */
 export function subtractWork(sum: EndpointWork, part: EndpointWork): EndpointWork {
   const left: Record<string, readonly [number, number]> = { ...sum };
   for (const [endpoint, [active, pendingTokens]] of Object.entries(part)) {
--- a/packages/gateway/src/leakyBucket.ts
+++ b/packages/gateway/src/leakyBucket.ts
@@ -1,27 +1,30 @@
 /**
- * A level that falls steadily: what was added over any time t is at most the level allowed plus the rate times t.
+ * Leaky bucket: a level that falls at a constant rate. If additions keep it within a depth, at most the depth plus the rate times
+ * t is added over any time t.
  * @module
  */
 
 const millisecondsPerSecond = 1_000;
-/** Longest time told until room is there; where the rate is zero, there never is. */
+/** Longest wait that is returned; also returned for a rate of zero, with which the level never falls. */
 const maxWaitMs = 60_000;
 
-/** A low of the level: it was no lower later, up to the next one. */
+/** A minimum of the level: from then until the next minimum the level was not lower. */
 interface LevelMinimum {
   readonly at: number;
   readonly level: number;
 }
 
-/** Lows that are kept; with more, the oldest are told as one, which only makes what is given back less. */
+/**
+ * Minima kept; of more, the two oldest are merged, which can only lower the result of `getLowestSince`, so that less is refunded.
+ */
 const maxMinima = 64;
 
-/** A level that falls at a rate. */
+/** A level that falls at a constant rate. */
 export class LeakyBucket {
   private level = 0;
   private at = 0;
   private ratePerMs = 0;
-  /** Lows before each rise, each higher than the one before it. */
+  /** Minima before each rise, in ascending order. */
   private readonly minima: LevelMinimum[] = [];
 
   private constructor() {}
@@ -30,7 +33,7 @@
     return new LeakyBucket();
   }
 
-  /** Sets how much the level falls in a second, from a time on. */
+  /** Sets by how much the level falls in a second, from the given time on. */
   setRate(time: number, perSecond: number): void {
     this.advance(time);
     this.ratePerMs = perSecond / millisecondsPerSecond;
@@ -42,14 +45,14 @@
     this.level = Math.max(0, this.level + amount);
   }
 
-  /** Sets the level to one that another instance knows. */
+  /** Sets the level, such as to one that another instance reports. */
   set(time: number, level: number): void {
     this.advance(time);
     this.recordMinimum(Math.min(this.level, level));
     this.level = level;
   }
 
-  /** Returns the lowest that the level has been after a time. */
+  /** Returns the lowest level after a time. */
   getLowestSince(time: number, since: number): number {
     this.advance(time);
     const minimum = this.minima.find(({ at }) => at > since);
@@ -62,7 +65,7 @@
     return this.level;
   }
 
-  /** Milliseconds until the level will have fallen by an amount. */
+  /** Returns the milliseconds until the level will have fallen by an amount. */
   getTimeUntilFreed(_time: number, amount: number): number {
     return this.ratePerMs > 0 ? Math.min(maxWaitMs, amount / this.ratePerMs) : maxWaitMs;
   }
--- a/packages/gateway/src/leavingGossip.ts
+++ b/packages/gateway/src/leavingGossip.ts
@@ -1,13 +1,13 @@
 /**
- * Tells peers which endpoints have said in answers that they leave. While the store is away nobody else knows; peers need not
- * know, but what they send there is cut when the endpoint ends.
+ * Broadcasts which endpoints have announced in responses that they are leaving. While the store is unreachable no other instance
+ * learns of it otherwise; a peer that does not know keeps sending requests there, which are interrupted when the endpoint stops.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
 import type { EndpointDirectory } from "./endpointDirectory.js";
 import { FleetBroadcast, type FleetTopology } from "./fleetBroadcast.js";
 
-/** Number of the message; after those of endpoints that ended. */
+/** Number of the message; follows those of crashed endpoints. */
 const leavingKind = 44;
 
 interface LeavingMessage extends PeerMessage {
@@ -15,10 +15,10 @@
   readonly lives: readonly string[];
 }
 
-/** Lives in one message: 40 bytes each, a tenth of a link's outbox at most; of more, the latest are told. */
+/** Incarnations in one message: 40 bytes each, at most a tenth of a link's outbox; of more, only the latest are sent. */
 const maxReported = 400;
 
-/** Tells and takes. */
+/** Sends and receives the incarnations of leaving endpoints. */
 export class LeavingGossip {
   private readonly broadcaster: FleetBroadcast;
 
--- a/packages/gateway/src/limitGossip.ts
+++ b/packages/gateway/src/limitGossip.ts
@@ -1,6 +1,6 @@
 /**
- * What instances tell each other of limits that endpoints have named, and how permits are asked for. Builds that do not know
- * these messages pass over them: only who has told of limits is asked.
+ * Exchanges advertised limits among instances and answers requests for permits. Older builds ignore these messages, so permits
+ * are requested only from instances that have sent limits themselves.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
@@ -18,22 +18,22 @@
   type PeerLimit,
 } from "./limitMessages.js";
 
-/** Limits in one message: 60 bytes each, a tenth of a link's outbox at most; of more, the latest are told. */
+/** Limits in one message: 60 bytes each, at most a tenth of a link's outbox; of more, only the latest are sent. */
 const maxReported = 400;
 
-/** Options of the links. */
+/** Options of the exchange. */
 export interface LimitGossipOptions {
   readonly fleet: FleetTopology;
   readonly directory: EndpointDirectory;
   readonly limits: EndpointLimits;
-  /** Decides as the issuer. */
+  /** Decides on a request for permits as the issuer. */
   readonly decide: (request: PermitCall, asker: string) => PermitReply;
 }
 
-/** Tells and answers. */
+/** Sends and receives limits, and answers requests for permits. */
 export class LimitGossip {
   private readonly broadcaster: FleetBroadcast;
-  /** Lives of peers that give permits out. */
+  /** Incarnations of peers that can issue permits, by name. */
   private readonly issuerIncarnations = new Map<string, number>();
 
   private constructor(private readonly options: LimitGossipOptions) {
@@ -53,7 +53,7 @@
     return new LimitGossip(options);
   }
 
-  /** Whether a peer gives permits out. */
+  /** Whether a peer can issue permits. */
   isAble(name: string): boolean {
     return this.issuerIncarnations.has(name);
   }
@@ -67,7 +67,7 @@
     if (news.length > 0) this.broadcaster.relay(createMessage(news), name);
   }
 
-  /** One that does not hear the whole fleet is no issuer of it. */
+  /** Only an instance that receives the reports of the whole fleet may issue permits. */
   private handlePermitRequest(request: PermitCall, { name }: PeerIdentity): PermitReply {
     const isValid = this.options.fleet.isCollector && isPeerLimit(request) && isPermitCall(request);
     return isValid
@@ -75,7 +75,7 @@
       : { word: PermitDecision.Unknown, permits: 0, waitMs: 0 };
   }
 
-  /** Told also where there is nothing to tell: the peer then knows that permits are given out here. */
+  /** Sent also when no limit is known, because it tells the peer that permits are issued here. */
   private sendToNewPeer({ name, incarnation }: PeerIdentity): void {
     if (this.issuerIncarnations.get(name) !== incarnation) this.issuerIncarnations.delete(name);
     const { limits, directory, fleet } = this.options;
--- a/packages/gateway/src/limitMessages.ts
+++ b/packages/gateway/src/limitMessages.ts
@@ -1,59 +1,59 @@
 /**
- * Shapes of what instances tell each other of limits that endpoints have named.
+ * Messages among instances about the rate limits that endpoints advertise, and about permits.
  * @module
  */
 import type { PeerMessage } from "@gladewall/coordination";
 
-/** A life's limit as one instance tells it to another. */
+/** The limit of one incarnation (`life`) as one instance reports it to another. */
 export interface PeerLimit {
   readonly life: string;
-  /** Requests a second; left out where it names none any more. */
+  /** Requests a second; left out if the endpoint no longer advertises a limit. */
   readonly perSecond?: number | undefined;
-  /** Milliseconds since an answer named it, or since a request was sent whose answer did not. */
+  /** Milliseconds since a response advertised it, or since a request was sent whose response advertised none. */
   readonly ageMs: number;
 }
 
-/** Numbers of the messages; after that of endpoints that leave. */
+/** Numbers of the messages; they follow that of leaving endpoints. */
 export enum LimitMessageKind {
   Limits = 45,
   PermitCall = 46,
 }
 
-/** Limits that began or ended, or all that are known. */
+/** Limits that began or ended, or all known limits for a peer that has just connected. */
 export interface LimitsMessage extends PeerMessage {
   readonly kind: LimitMessageKind.Limits;
   readonly limits: readonly PeerLimit[];
 }
 
-/** A call: may this instance send so many requests to an endpoint? */
+/** A call to the issuer: requests permits for an endpoint, and reports the sender's view of its limit. */
 export interface PermitCall extends PeerMessage, PeerLimit {
   /** Urgency of the request, 0 first. */
   readonly rank: number;
-  /** Permits that can be used at once. */
+  /** Number of permits that can be used at once. */
   readonly wanted: number;
 }
 
-/** What an issuer says. */
+/** An issuer's decision on a request for permits. */
 export enum PermitDecision {
   Granted = 1,
   Refused = 2,
-  /** The endpoint names no limit any more. */
+  /** The endpoint no longer advertises a limit. */
   Free = 3,
   /** The receiver does not know enough to decide. */
   Unknown = 4,
 }
 
-/** Answer to a question. */
+/** Reply to a request for permits. */
 export interface PermitReply {
   readonly word: PermitDecision;
   readonly permits: number;
-  /** Time after which the next is likely to be there; milliseconds. */
+  /** Time after which the next permit is likely to be available; milliseconds. */
   readonly waitMs: number;
-  /** Milliseconds since a request was sent whose answer named no limit; only with `Free`. */
+  /** Milliseconds since a request was sent whose response advertised no limit; only with `Free`. */
   readonly endedMs?: number;
 }
 
-/** Whether a peer's word is one. */
+/** Whether a value received from a peer is a limit report. */
 export function isPeerLimit(value: unknown): value is PeerLimit {
   if (typeof value !== "object" || value === null) return false;
   const { life, perSecond, ageMs } = value as Partial<PeerLimit>;
@@ -61,7 +61,7 @@
   return typeof life === "string" && isFinite(ageMs) && isLimit;
 }
 
-/** Whether a peer's question, its limit aside, is one. */
+/** Whether the fields that a request for permits has beside the limit report are valid. */
 export function isPermitCall({ rank, wanted }: Partial<PermitCall>): boolean {
   return isFinite(rank) && isFinite(wanted);
 }
--- a/packages/gateway/src/peerWorkViews.ts
+++ b/packages/gateway/src/peerWorkViews.ts
@@ -1,5 +1,5 @@
 /**
- * Work at endpoints as each peer last told it, and its sum.
+ * Work at endpoints as each peer last reported it, and its sum over all peers.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
@@ -11,7 +11,7 @@
   readonly receivedAt: number;
 }
 
-/** What all peers told. */
+/** Work of all peers. */
 export class PeerWorkViews {
   private readonly views = new Map<string, PeerView>();
 
@@ -21,12 +21,12 @@
     return new PeerWorkViews(clock);
   }
 
-  /** Takes all of a peer's work, in place of what it told before. */
+  /** Replaces the known work of a peer by its new report. */
   setPeer(peer: string, work: EndpointWork): void {
     this.views.set(peer, { work, receivedAt: this.clock.getTime() });
   }
 
-  /** Adds a prompt that a peer has just sent to an endpoint; its next report includes it. */
+  /** Adds a request that a peer has just sent to an endpoint; the peer's next report includes it. */
   addPlacement(peer: string, endpoint: string, tokens: number): void {
     const view = this.views.get(peer) ?? { work: {}, receivedAt: this.clock.getTime() };
     const [active, pendingTokens] = view.work[endpoint] ?? [0, 0];
@@ -34,7 +34,7 @@
     this.views.set(peer, { ...view, work });
   }
 
-  /** Sum over the peers that were heard a moment ago; older words say nothing of a peer's work. */
+  /** Sum over the peers with a recent report; older reports say nothing about a peer's present work. */
   getSum(): EndpointWork {
     const oldestAt = this.clock.getTime() - reportLifetimeMs;
     const recent = [...this.views.values()].filter(({ receivedAt }) => receivedAt >= oldestAt);
--- a/packages/gateway/src/permitClient.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -1,6 +1,6 @@
 /**
- * Permits of this instance to send requests to endpoints that have named a limit: one issuer for each life gives them out,
- * to all instances together.
+ * Obtains permits to send requests to endpoints that advertise a rate limit. One issuer for each incarnation gives them out to
+ * all instances together; without an issuer, each instance keeps to a small share of the limit.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -19,16 +19,16 @@
   type PeerLimit,
 } from "./limitMessages.js";
 
-/** Request for which a permit is wanted. */
+/** A request for which a permit is wanted. */
 export interface PermitRequest {
   readonly id: string;
   /** Urgency, 0 first. */
   readonly rank: number;
-  /** Time until it must have its final answer. */
+  /** Milliseconds until it must have its final response. */
   readonly leftMs: number;
 }
 
-/** Options of the permits. */
+/** Options of the client. */
 export interface PermitClientOptions {
   /** Name of this instance. */
   readonly own: string;
@@ -38,46 +38,49 @@
   readonly limits: EndpointLimits;
   readonly issuer: PermitIssuer;
   readonly arbiters: Pick<Arbiters, "find" | "countBefore" | "call">;
-  /** Whether an instance gives permits out. */
+  /** Whether an instance can issue permits. */
   readonly isAble: (name: string) => boolean;
   readonly getFleetSize: () => number;
 }
 
 interface PermitBatchRequest extends PermitRequest {
-  /** Permits that can be used at once. */
+  /** Number of permits that can be used at once. */
   readonly wanted: number;
 }
 
-/** Where permits came from. */
+/** Who decided on a permit. Members are written to the log. */
 enum PermitSource {
   Own = 1,
   Issuer = 2,
-  /** Nobody gives any out; this instance keeps to its own share. */
+  /** No issuer can be reached; this instance keeps to its own share. */
   Alone = 3,
 }
 
-/** An issuer's answer, and who gave it. */
+/** An issuer's decision and its source. */
 interface SourcedReply extends PermitGrant {
   readonly source: PermitSource;
   readonly word: PermitDecision;
 }
 
-/** Of the time that a request has left, an issuer is waited for this share at most, and no longer than `longestWaitMs`. */
+/** Share of a request's remaining time that may pass while the issuer is asked, which is never longer than `maxReplyWaitMs`. */
 const replyWaitShare = 0.1;
 const maxReplyWaitMs = 100;
-/** Time for which nobody asks about an endpoint after an issuer did not answer. */
+/** Time for which this instance requests no permit for an endpoint after its issuer did not reply. */
 const silentIssuerRetryMs = 250;
-/** Share of a limit that instances use without an issuer, all together. */
+/** Share of a limit that all instances together use without an issuer. */
 const issuerlessShare = 0.5;
-/** Fleets in which each instance may have one request saved up: what is borne beside the share is so many for the limit, and five. */
+/**
+ * Largest fleets in which each instance may save up one request: the tolerated burst is this many requests for each request a
+ * second of the limit, and five more.
+ */
 const issuerlessFleetPerLimit = 4;
 const issuerlessFleetBase = 5;
-/** Lives of which such a use is remembered; a share that is forgotten begins with nothing in hand. */
+/** Incarnations whose use without an issuer is remembered; a forgotten share starts again without a saved request. */
 const maxIncarnations = 2_048;
 
-/** Permits at hand. */
+/** Obtains permits for this instance, and decides on them where this instance is the issuer. */
 export class PermitClient {
-  /** What this instance used of its own share while nobody gave permits out, by life. */
+  /** Use of this instance's own share while no issuer could be reached, by incarnation. */
   private readonly ownShares = new Map<string, LeakyBucket>();
 
   private constructor(private readonly options: PermitClientOptions) {}
@@ -86,12 +89,12 @@
     return new PermitClient(options);
   }
 
-  /** Whether an endpoint needs no permit. */
+  /** Whether an endpoint advertises no limit, so that no permit is needed. */
   isUnlimited({ availability }: Endpoint): boolean {
     return availability.limit.perSecond === undefined;
   }
 
-  /** Takes a permit for one request to an endpoint that has named a limit; false where none is to be had now. */
+  /** Obtains a permit for one request to an endpoint; returns false if none is available now. */
   async acquire({ incarnation, availability }: Endpoint, request: PermitRequest): Promise<boolean> {
     const { clock } = this.options;
     const { limit } = availability;
@@ -131,7 +134,7 @@
     return { source: PermitSource.Issuer, word, permits, waitMs: nextMs };
   }
 
-  /** Decides as the issuer. */
+  /** Decides on a request for permits as the issuer. */
   decide(
     { rank, wanted, ...report }: PeerLimit & Pick<PermitCall, "rank" | "wanted">,
     requester: string,
@@ -146,7 +149,10 @@
     return { word: grant.permits > 0 ? PermitDecision.Granted : PermitDecision.Refused, ...grant };
   }
 
-  /** The share of one instance, which adds up to half of the limit over the fleet; nothing where one saved by each is too much. */
+  /**
+   * Uses this instance's own share; the shares add up to half of the limit over the fleet. Refuses in a fleet so large that one
+   * saved request of each instance would exceed the tolerated burst.
+   */
   private useOwnShare(incarnation: string, perSecond: number): SourcedReply {
     const { clock, getFleetSize } = this.options;
     const time = clock.getTime();
--- a/packages/gateway/src/permitIssuer.ts
+++ b/packages/gateway/src/permitIssuer.ts
@@ -1,23 +1,24 @@
 /**
- * Hands out the requests that endpoints in need take: permits for single requests, out of one bucket for each endpoint's life.
+ * Issues permits for requests to overloaded endpoints: each permit allows one request, and each incarnation of an endpoint has a
+ * leaky bucket that is filled by the permits issued and drains at the advertised rate.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
 import type { PermitGrant } from "./endpointLimit.js";
 import { LeakyBucket } from "./leakyBucket.js";
 
-/** A question for permits. */
+/** A request for permits. */
 export interface PermitCallArguments {
   readonly life: string;
-  /** Requests a second that the endpoint takes of all instances together. */
+  /** Requests a second that the endpoint accepts of all instances together. */
   readonly perSecond: number;
-  /** Instance that asks. */
+  /** Instance that requests the permits. */
   readonly requester: string;
   /** Urgency of its request, 0 first. */
   readonly rank: number;
   /** Permits that it can use at once. */
   readonly wanted: number;
-  /** Issuers that come before this one as far as it knows; 0 where it is the one. */
+  /** Issuers that precede this one in the order of preference, as far as it knows; 0 if it is the first. */
   readonly place: number;
 }
 
@@ -25,52 +26,62 @@
 export interface PermitIssuerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Returns a number from 0 to 1, to spread those who ask again. */
+  /** Returns a random number from 0 to 1, to spread the repeated requests of instances. */
   readonly getRandom: () => number;
 }
 
-/** One life's permits, from the first question on. */
+/** Permits of one incarnation, from the first request on. */
 interface IssuerState {
-  /** What was given out and has not been made up for; full at the start, as a predecessor may have given out just now. */
+  /** Permits issued and not yet drained; full at the start, because a previous issuer may have issued permits just before. */
   readonly bucket: LeakyBucket;
   place: number;
   depth: number;
-  /** Until when each instance that has asked is counted with. */
+  /** Until when each instance that has requested permits counts as waiting. */
   readonly requesters: Map<string, number>;
-  /** When a request of each rank was asked for last. */
+  /** When permits were last requested for each rank. */
   readonly ranks: Map<number, number>;
   requestedAt: number;
 }
 
-/** An endpoint that takes less is sent a lone request every five seconds, as nobody would hear the end of its need. */
+/**
+ * An endpoint with a lower limit is sent one request every five seconds, because otherwise no response would show that its
+ * overload ended.
+ */
 const minPerSecond = 0.2;
-/** Permits that may be saved up, by the one issuer and by others: what is borne beside the rate is five requests. */
+/**
+ * Permits that may be saved up, by the first issuer and by each other one: the tolerated burst beside the rate is five requests.
+ */
 const firstIssuerDepth = 2;
 const otherIssuerDepth = 1;
-/** Seconds for which permits of a high limit may be saved up. */
+/** For a high limit, the permits of this many seconds may be saved up. */
 const depthSeconds = 0.05;
-/** Share of a limit that an issuer gives out which is not the first by its own view; each further one half of that. */
+/**
+ * Share of the limit that the second issuer in the order of preference gives out; each further one gives half of the one before.
+ */
 const secondIssuerShare = 0.2;
-/** Longest time until an issuer that is not the first is asked again: the first may be back. */
+/** Longest time until an issuer that is not the first is asked again, because the first may have returned. */
 const otherIssuerMaxWaitMs = 2_000;
-/** Questions a second about one life: these, and so many for each permit, up to a most. */
+/** Requests for permits a second for one incarnation: a base, and so many for each permit a second, up to a maximum. */
 const baseRequestsPerSecond = 1;
 const requestsPerPermit = 2;
 const maxRequestsPerSecond = 100;
-/** Time for which an instance is counted with after it may ask again. */
+/** Time for which an instance counts as waiting after it may ask again. */
 const requesterWindowMs = 5_000;
-/** Time for which a permit is kept for the more urgent after they asked, and the same in times between two permits. */
+/**
+ * Time for which a permit is reserved for more urgent requests after one was asked for; the longer of these milliseconds and this
+ * many intervals between permits.
+ */
 const minUrgentReserveMs = 2_000;
 const urgentReservePeriods = 2;
-/** Time after which a life that nobody asks about is forgotten. */
+/** Time without requests after which an incarnation is forgotten. */
 const idleMs = 60_000;
-/** Lives at a time: all endpoints of a fleet in need. */
+/** Incarnations at a time: enough when all endpoints of a fleet are overloaded. */
 const maxIncarnations = 2_048;
 const millisecondsPerSecond = 1_000;
 
-/** Gives permits out. */
+/** Issues permits. */
 export class PermitIssuer {
-  /** Terms by life, the one that was asked about last at the end. */
+  /** State by incarnation, the most recently requested last. */
   private readonly states = new Map<string, IssuerState>();
 
   private constructor(private readonly options: PermitIssuerOptions) {}
@@ -79,7 +90,7 @@
     return new PermitIssuer(options);
   }
 
-  /** Decides on a question. */
+  /** Decides on a request: grants permits, or returns the time until it may be repeated. */
   issue(request: PermitCallArguments): PermitGrant {
     const { wanted, rank, requester } = request;
     const time = this.options.clock.getTime();
@@ -87,7 +98,7 @@
     const state = this.getState(request, perSecond, time);
     state.ranks.set(rank, time);
     const available = state.depth - state.bucket.getSum(time);
-    // One permit is kept for the more urgent while they ask.
+    // One permit is reserved for more urgent requests while there are any.
     const reserved = this.hasMoreUrgent(state, rank, perSecond, time) ? 1 : 0;
     const permits = Math.max(0, Math.min(Math.max(1, wanted), Math.floor(available - reserved)));
     if (permits > 0) state.bucket.add(time, permits);
@@ -111,7 +122,7 @@
     state.requestedAt = time;
     state.bucket.setRate(time, perSecond * getShare(place));
     const newDepth = getDepth(perSecond, place);
-    // A depth that grows or shrinks gives nothing out by itself.
+    // A change of the bucket's depth must not make permits available by itself.
     if (newDepth !== state.depth) state.bucket.add(time, newDepth - state.depth);
     state.depth = newDepth;
     if (state.place !== place) this.log("limit.issuer-place", incarnation, perSecond, place);
@@ -146,7 +157,7 @@
     return false;
   }
 
-  /** Time until the permit is there, and no shorter than keeps all who ask within the questions that are borne. */
+  /** Milliseconds until the next permit, but long enough to keep the requests of all waiting instances within the bound. */
   private getWaitMs(
     { requesters, bucket, place }: IssuerState,
     missing: number,
@@ -170,8 +181,9 @@
 }
 
 /**
- * Where instances don't agree who issues, as some can't reach the one, all issuers together stay within one and a half times
- * the limit: the first gives it all, the others a fifth, a tenth and so on.
+ * Share of the limit that an issuer gives out. Instances may disagree on the issuer, because some can't reach the first one. All
+ * issuers together stay within one and a half times the limit: the first gives out all of it, the others a fifth, a tenth and so
+ * on.
  */
 function getShare(place: number): number {
   return place === 0 ? 1 : secondIssuerShare / 2 ** (place - 1);
--- a/packages/gateway/src/prefillRates.ts
+++ b/packages/gateway/src/prefillRates.ts
@@ -1,33 +1,33 @@
 /**
- * The reading rate of each service's engines, as this instance has learned it and as its peers tell theirs.
+ * Prefill rate of each service's engines (prompt tokens processed a millisecond), learned by this instance and reported by peers.
  *
- * An instance uses the median of what it and its peers have learned, so that a young instance has a rate at once and
- * one instance's odd observations move nobody else.
+ * An instance uses the median of its own rate and its peers', so that an instance that has just started has a rate at once and
+ * outliers of one instance do not affect the others.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
 import { estimatePrefillRate, getMedian, type PrefillObservation } from "@gladewall/policy";
 
-/** Learned rates by service, tokens a millisecond. */
+/** Learned rates by service; tokens a millisecond. */
 export type RateReport = Readonly<Record<string, number>>;
 
 /** Options of the rates. */
 export interface PrefillRatesOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Rate that is assumed until one has been learned, tokens a millisecond. */
+  /** Rate that is assumed until one has been learned; tokens a millisecond. */
   readonly initialRate: number;
 }
 
-/** Observations kept of a service: 64 make 2,016 pairs, some 0.3 ms of sorting. */
+/** Observations kept for a service: 64 give 2,016 pairs, which take some 0.3 ms to sort. */
 const maxObservations = 64;
 /** Observations between two estimates. */
 const observationsPerEstimate = 8;
-/** Words of a peer that has said nothing since are forgotten. */
+/** Time after which the rates of a peer that has sent no report since are forgotten. */
 const peerLifetimeMs = 30_000;
-/** Time for which a merged rate is used: it is asked for at every candidate of every request. */
+/** Time for which a merged rate is cached, because it is read for every candidate of every request. */
 const mergedLifetimeMs = 1_000;
-/** A rate that has changed by this share is logged. */
+/** Relative change from which a new rate is logged. */
 const minLoggedChange = 0.1;
 
 interface LearnedRate {
@@ -42,11 +42,11 @@
   readonly receivedAt: number;
 }
 
-/** Learns and merges rates. */
+/** Learns and merges prefill rates. */
 export class PrefillRates {
   private readonly learned = new Map<string, LearnedRate>();
   private readonly peers = new Map<string, PeerRates>();
-  /** Rates in use by service; undefined where none has been learned. */
+  /** Merged rates by service; undefined if none has been learned. */
   private readonly merged = new Map<string, number | undefined>();
   private mergedAt = -Infinity;
 
@@ -56,7 +56,7 @@
     return new PrefillRates(options);
   }
 
-  /** Rate of a service's engines, tokens a millisecond. */
+  /** Rate of a service's engines; tokens a millisecond. */
   get(service: string): number {
     return this.find(service) ?? this.options.initialRate;
   }
@@ -66,7 +66,7 @@
     return this.find(service) !== undefined;
   }
 
-  /** Takes note of a first event whose prompt had the engine's reading to itself, as far as this instance knows. */
+  /** Records a first event whose prompt was, as far as this instance knows, the only one in prefill at its engine. */
   note(service: string, observation: PrefillObservation): void {
     const learned = this.learned.get(service) ?? this.add(service);
     learned.observations.push(observation);
@@ -79,7 +79,7 @@
     this.logChange(service, learned);
   }
 
-  /** What this instance itself has learned, for its peers. */
+  /** Rates that this instance has learned itself, for its peers. */
   createReport(): RateReport {
     const report: Record<string, number> = {};
     for (const [service, { rate }] of this.learned) {
@@ -88,7 +88,7 @@
     return report;
   }
 
-  /** What this instance goes by, for those that hear only it. */
+  /** Rates that this instance uses, for instances that receive reports only from it. */
   createView(): RateReport {
     const view: Record<string, number> = {};
     const peers = [...this.peers.values()].flatMap(({ rates }) => Object.keys(rates));
@@ -99,9 +99,9 @@
     return view;
   }
 
-  /** Takes what a peer has learned. */
+  /** Merges the rates that a peer has learned. */
   mergePeer(peer: string, rates: RateReport): void {
-    // The first word of a peer counts at once; later ones change little.
+    // A peer's first report counts at once; later ones change little and wait for the cache to expire.
     if (!this.peers.has(peer)) this.merged.clear();
     this.peers.set(peer, { rates, receivedAt: this.options.clock.getTime() });
   }
--- a/packages/gateway/src/prefixIndex.ts
+++ b/packages/gateway/src/prefixIndex.ts
@@ -1,30 +1,30 @@
 /**
- * Which endpoints were sent which parts of prompts, by this instance and its peers, bounded by forgetting the parts
- * unused longest.
+ * Index of the prompt parts that endpoints were sent by this instance and its peers, and so may have in their prefix caches. It
+ * is bounded by evicting the least recently used parts.
  * @module
  */
 import type { PromptPart } from "./types.js";
 
 const maxParts = 4_000;
-/** Parts that save less reading than this are not told: 256 tokens are 2 to 8 ms. */
+/** Smaller parts are not reported, because they save too little prefill time: 256 tokens take 2 to 8 ms. */
 const minReportedTokens = 256;
-/** Most parts kept for one report: what is beyond it is only not known elsewhere. */
+/** Most parts in one report; further ones are only unknown to peers. */
 const maxReportedParts = 64;
 
-/** Ended endpoints that are remembered, so that a peer's late word does not bring one back. */
+/** Removed endpoints that are remembered, so that a peer's late report does not add one again. */
 const maxRemoved = 256;
 
-/** Parts of prompts that an instance's requests made endpoints read, by endpoint. */
+/** Ids of prompt parts that an instance sent, by endpoint incarnation. */
 export type PrefixReport = Readonly<Record<string, readonly string[]>>;
 
-/** Remembers parts by endpoint. */
+/** Remembers which endpoints were sent which parts. */
 export class PrefixIndex {
-  /** Lives of endpoints by part, the part used last at the end. */
+  /** Endpoint incarnations by part; the most recently used part last. */
   private readonly holders = new Map<string, Set<string>>();
-  /** What peers have not been told yet. */
+  /** Parts not reported to peers yet. */
   private unreported: Record<string, string[]> = {};
   private unreportedCount = 0;
-  /** Lives of endpoints that have ended, the latest at the end. */
+  /** Incarnations of removed endpoints, the latest last. */
   private readonly removed = new Set<string>();
 
   private constructor() {}
@@ -38,9 +38,10 @@
     return this.holders.get(part)?.has(endpoint) === true;
   }
 
-  /** Takes note that a request of this instance made an endpoint read its prompt. */
+  /** Records that a request of this instance sent its prompt to an endpoint. */
   noteSent(parts: readonly PromptPart[], endpoint: string): void {
-    // The last part is the request's own: no other will bring it, but for its session's next one, which comes here.
+    // The last part is specific to the request: only the next request of its session contains it, and that arrives at this
+    // instance.
     for (const { id, tokens } of parts.slice(0, -1)) {
       if (tokens < minReportedTokens || this.holds(id, endpoint) || this.unreportedCount >= maxReportedParts)
         continue;
@@ -53,7 +54,7 @@
     );
   }
 
-  /** Returns what peers have not been told yet; they count as told from then on. */
+  /** Returns the parts not reported to peers yet, and counts them as reported. */
   takeUnreported(): PrefixReport {
     const { unreported } = this;
     this.unreported = {};
@@ -61,7 +62,7 @@
     return unreported;
   }
 
-  /** Takes what a peer tells. */
+  /** Merges a peer's report. */
   mergePeer(report: PrefixReport): void {
     for (const [endpoint, parts] of Object.entries(report)) this.add(parts, endpoint);
   }
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Forgets an endpoint that has ended. */
+  /** Forgets an endpoint that was removed. */
   removeEndpoint(endpoint: string): void {
     for (const holders of this.holders.values()) holders.delete(endpoint);
     this.removed.add(endpoint);
--- a/packages/gateway/src/removedIncarnations.ts
+++ b/packages/gateway/src/removedIncarnations.ts
@@ -1,17 +1,18 @@
 /**
- * Lives of endpoints whose records went, kept for as long as a copy of the store may bring such a record back.
+ * Remembers incarnations of endpoints whose records were removed, for as long as a store restored from a snapshot may bring such
+ * a record back.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 
-/** Copies are some seconds old. */
+/** Snapshots of the store are some seconds old. */
 const retentionMs = 60_000;
-/** Lives that are kept, some 100 bytes each. */
+/** Incarnations kept, some 100 bytes each. */
 const maxIncarnations = 2_048;
 
-/** Lives that have ended. */
+/** Incarnations whose records were removed, bounded by number and age. */
 export class RemovedIncarnations {
-  /** When a record went, by life; the latest at the end. */
+  /** When a record was removed, by incarnation; the latest last. */
   private readonly removedAt = new Map<string, number>();
 
   private constructor(private readonly clock: Clock) {}
--- a/packages/gateway/src/requestFingerprint.ts
+++ b/packages/gateway/src/requestFingerprint.ts
@@ -1,11 +1,11 @@
 /**
- * What makes two requests the same one, sent again: who asks, and what is asked. Ids, deadlines and hints differ from try
- * to try.
+ * Fingerprint by which a request is recognized when it is sent again: its workspace and its content. Ids, deadlines and hints are
+ * left out, because they differ between attempts.
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** What a request asks. */
+/** Fields of a request that identify its content. */
 export interface FingerprintSource {
   /** Workspace that the key belongs to; undefined on public routes. */
   readonly workspace: string | undefined;
@@ -16,10 +16,10 @@
   readonly body: Uint8Array;
 }
 
-/** Bytes kept of the digest: two of a million requests are alike by chance once in 10^26. */
+/** Bytes kept of the digest: among a million requests, two collide by chance in one of 10^26 cases. */
 const digestBytes = 16;
 
-/** Returns a digest of what a request asks, the same on all instances; 22 characters. */
+/** Returns the fingerprint of a request, the same on all instances; 22 characters. */
 export function createFingerprint({ workspace, method, host, target, body }: FingerprintSource): string {
   const head = JSON.stringify([workspace ?? "", method, host.toLowerCase(), target]);
   const digest = createHash("sha256").update(head).update(body).digest();
--- a/packages/gateway/src/slidingWindow.ts
+++ b/packages/gateway/src/slidingWindow.ts
@@ -1,11 +1,11 @@
 /**
- * Sums over the last so many milliseconds, kept in slices.
+ * Sum of amounts over a sliding window of time, kept in slices.
  * @module
  */
 
 const sliceCount = 40;
 
-/** A sum over a window that slides. */
+/** Sum of the amounts added within the last `windowMs` milliseconds, to the precision of a slice. */
 export class SlidingWindow {
   private readonly amounts = new Float64Array(sliceCount + 1);
   private readonly sliceMs: number;
@@ -20,14 +20,14 @@
     return new SlidingWindow(windowMs);
   }
 
-  /** Adds an amount at a time; a time before the newest slice counts into the newest. */
+  /** Adds an amount at a time; a time before the newest slice is counted in the newest slice. */
   add(time: number, amount: number): void {
     this.advance(time);
     this.amounts[this.current % this.amounts.length]! += amount;
     this.total += amount;
   }
 
-  /** Replaces the sum by an amount that is spread evenly over the window, as if it had come steadily. */
+  /** Replaces the sum by an amount that is spread evenly over the window, as if it had arrived at a constant rate. */
   set(time: number, amount: number): void {
     this.advance(time);
     this.amounts.fill(0);
@@ -44,7 +44,7 @@
     return this.total;
   }
 
-  /** Returns the milliseconds until the sum will have fallen by an amount; the window's length at most. */
+  /** Returns the milliseconds until the sum will have fallen by an amount; at most the window's length. */
   getTimeUntilFreed(time: number, amount: number): number {
     this.advance(time);
     let freed = 0;
--- a/packages/gateway/src/suspectGate.ts
+++ b/packages/gateway/src/suspectGate.ts
@@ -1,6 +1,6 @@
 /**
- * Requests under which endpoints ended, as the requests' own path sees them: what may be done with one, where a suspect
- * runs, and when it is cleared.
+ * Decides, for a request about to be sent, whether it may be responsible for crashes of endpoints (a suspect), whether and where
+ * it may run, and when it is cleared.
  * @module
  */
 import { type Clock, Failure, FailureCode, type Logger, waitFor } from "@gladewall/kernel";
@@ -17,7 +17,7 @@
 import type { GatewayMetrics } from "./gatewayMetrics.js";
 import { isDown, type TrialReply, type TrialCallArguments, TrialDecision } from "./trialScheduler.js";
 
-/** Options of the suspects. */
+/** Options of the gate. */
 export interface SuspectGateOptions {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -36,31 +36,31 @@
   readonly id: string;
   readonly subject: CrashSubject;
   readonly service: string;
-  /** Lives of endpoints that it was sent to before. */
+  /** Incarnations of endpoints that it was sent to before. */
   readonly excluded: ReadonlySet<string>;
-  /** Time until it must have its final answer. */
+  /** Milliseconds until it must have its final response. */
   readonly leftMs: number;
 }
 
-/** A run at an endpoint where no other isolated request runs. */
+/** A run at an endpoint that no other isolated request uses meanwhile. */
 export interface Trial {
   readonly endpoint: Endpoint;
-  /** Lets the next one run there; called again, it changes nothing. */
+  /** Releases the endpoint for the next trial; further calls have no effect. */
   end(): void;
 }
 
-/** Time after an end until peers' words on others at the same moment are there: one or two hops of a few milliseconds. */
+/** Time after a crash until peers' reports of crashes at the same moment arrive: one or two hops of a few milliseconds. */
 const peerReportDelayMs = 50;
-/** Longest wait for an endpoint: a run that began at once lets the next begin after 0.2 to 0.5 s. */
+/** Longest wait for an endpoint: a trial that starts at once lets the next one start after 0.2 to 0.5 s. */
 const maxTrialWaitMs = 600;
-/** Of the time that a request has left, it waits this share at most. */
+/** Largest share of its remaining time that a request waits for an endpoint. */
 const trialWaitShare = 0.3;
-/** Part of a service's endpoints that may have ended while suspects of one end still run like others. */
+/** Share of a service's endpoints that may be down while suspects of a single crash still run like other requests. */
 const maxDownShare = 0.75;
-/** When a suspect for which no endpoint was free may come back. */
+/** Time after which a suspect for which no endpoint was free may be retried. */
 const busyRetryMs = 500;
 
-/** Decides about requests under which endpoints ended. */
+/** Decides on suspects. */
 export class SuspectGate {
   private constructor(private readonly options: SuspectGateOptions) {}
 
@@ -68,20 +68,19 @@
     return new SuspectGate(options);
   }
 
-  /** Whether a request of a workspace may be a suspect at all; without any, no request is looked at. */
+  /** Whether a workspace has suspects at all; if not, its requests need no fingerprint. */
   hasSuspects(workspace: string): boolean {
     return this.options.records.hasSuspects(workspace);
   }
 
-  /** Takes note that a request was cut at an endpoint; resolves with whether the endpoint has ended. */
+  /** Records that a request was interrupted at an endpoint; resolves with whether the endpoint has crashed. */
   noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
     return this.options.detector.noteInterruption(endpoint, request);
   }
 
   /**
-   * Finds an endpoint for a request that must run apart; `undefined` where it may run like others. Fails with
-   * `CrashSuspect` where no endpoint is free for it, and with `CrashesEndpoints` where it is not run any more, or not
-   * for a time.
+   * Finds an endpoint for a request that must run isolated; returns `undefined` if it may run like others. Fails with
+   * `CrashSuspect` if no endpoint is free for it, and with `CrashesEndpoints` if it is blocked for good or for the cooldown.
    */
   async findTrial(request: SuspectRequest): Promise<Result<Trial | undefined, Failure>> {
     const { records, callArbiter } = this.options;
@@ -94,7 +93,7 @@
     const waitMs = Math.min(maxTrialWaitMs, leftMs * trialWaitShare);
     const reply = await callArbiter({ service, subject, excluded: this.getExcluded(request), waitMs });
     this.log(request, "suspect.asked", { word: TrialDecision[reply.word], life: reply.life });
-    // It may have been cleared, or convicted, while it waited.
+    // It may have been cleared or blocked while it waited.
     const current = records.getQuarantineState(subject);
     if (reply.word === TrialDecision.Granted && reply.life !== undefined) {
       return this.beginTrial(request, reply.life, current);
@@ -103,7 +102,9 @@
     return Err(this.refuse(request, current));
   }
 
-  /** Endpoints that this request, or this instance, must not be sent to: the arbiter knows of no hold-off here. */
+  /**
+   * Endpoints that this request must not be sent to. Includes this instance's hold-offs, because the arbiter does not know them.
+   */
   private getExcluded({ service, excluded }: SuspectRequest): readonly string[] {
     const { clock, getEndpoints } = this.options;
     const time = clock.getTime();
@@ -111,14 +112,14 @@
     return [...excluded, ...heldOff.map(({ incarnation }) => incarnation)];
   }
 
-  /** Leaves peers time to tell of ends at the same moment. */
+  /** Waits until peers' reports of crashes at the same moment have had time to arrive. */
   private async awaitPeerReports({ fingerprint }: CrashSubject): Promise<void> {
     const { clock, records } = this.options;
     const leftMs = peerReportDelayMs - records.getTimeSinceCrash(fingerprint);
     if (leftMs > 0) await waitFor(clock, leftMs);
   }
 
-  /** Whether so many endpoints have ended that no suspect may cost another one. */
+  /** Whether so many endpoints of a service are down that no suspect may crash another one. */
   private hasFewEndpoints(service: string): boolean {
     const { clock, records, getEndpoints } = this.options;
     const time = clock.getTime();
@@ -127,7 +128,7 @@
     return down.length > usable.length * maxDownShare;
   }
 
-  /** Takes note that a request was answered whole. */
+  /** Clears a request that was answered completely. */
   clear({ workspace, fingerprint }: CrashSubject): void {
     const { records, broadcast, logger } = this.options;
     const incarnations = records.getUncleared(fingerprint);
@@ -150,7 +151,7 @@
       if (!hasEnded) endTrial(service, incarnation, subject.fingerprint);
       hasEnded = true;
     };
-    // Its endpoint may have said meanwhile that it leaves, or that it wants nothing.
+    // The endpoint may have announced meanwhile that it is leaving, or a hold-off.
     if (endpoint?.acceptsRequest(clock.getTime()) && isRunnable(state)) return Ok({ endpoint, end });
     end();
     return Err(createBusyRefusal(service));
--- a/packages/gateway/src/trialScheduler.ts
+++ b/packages/gateway/src/trialScheduler.ts
@@ -1,42 +1,42 @@
 /**
- * Decides, for the whole fleet, at which endpoint an isolated request runs next: one where no other such request does, while
- * half of the service is left to everybody else.
+ * Decides for the whole fleet at which endpoint an isolated request runs next: one that no other isolated request uses, while
+ * half of the service's endpoints stay free for all other requests.
  * @module
  */
 import type { Clock, Timer } from "@gladewall/kernel";
 import { type CrashRecords, type CrashSubject, QuarantineState } from "./crashRecords.js";
 import type { Endpoint, PeerWork } from "./endpoint.js";
 
-/** An isolated request that is to run. */
+/** An isolated request that is waiting to run. */
 export interface TrialCallArguments {
   readonly service: string;
   readonly subject: CrashSubject;
-  /** Lives of endpoints that it was sent to before. */
+  /** Incarnations of endpoints that it was sent to before. */
   readonly excluded: readonly string[];
-  /** Time for which it can wait for an endpoint. */
+  /** Milliseconds for which it can wait for an endpoint. */
   readonly waitMs: number;
 }
 
-/** What becomes of it. */
+/** Decision on a trial. Members are written to the log. */
 export enum TrialDecision {
-  /** It may run at an endpoint. */
+  /** It may run at the named endpoint. */
   Granted = 1,
-  /** Others run wherever it could, or too few endpoints are left. */
+  /** Other trials use every suitable endpoint, or too few endpoints are left. */
   Busy = 2,
-  /** It is not to be run now. */
+  /** It may not run now. */
   Refused = 3,
   /** The receiver does not know enough to decide. */
   Unknown = 4,
 }
 
-/** Answer to a question. */
+/** Reply to a request for a trial. */
 export interface TrialReply {
   readonly word: TrialDecision;
-  /** Life of the endpoint, where the word is that it may run. */
+  /** Incarnation of the endpoint, if the trial is granted. */
   readonly life?: string;
 }
 
-/** Options of the grants. */
+/** Options of the scheduler. */
 export interface TrialSchedulerOptions {
   readonly clock: Clock;
   readonly records: CrashRecords;
@@ -55,20 +55,20 @@
   readonly timer: Timer;
 }
 
-/** A grant whose end nobody tells is over after this long; a request that ended endpoints did so within 0.3 s. */
+/** A trial whose end is not reported expires after this time; requests that crashed endpoints did so within 0.3 s. */
 const maxTrialMs = 1_500;
-/** Part of a service that may be ended or under trial at the same time. */
+/** Share of a service's endpoints that may be down or used by trials at the same time. */
 const maxUnavailableShare = 0.5;
-/** Requests that wait for an endpoint; more are told at once that none is free. */
+/** Requests that may wait for an endpoint; further ones are answered `Busy` at once. */
 const maxWaiting = 256;
 
 const busy: TrialReply = { word: TrialDecision.Busy };
 
-/** Endpoints that isolated requests run at. */
+/** Grants trials, and queues requests for which no endpoint is free. */
 export class TrialScheduler {
-  /** Grants by the endpoint's life. */
+  /** Granted trials by the endpoint's incarnation. */
   private readonly grants = new Map<string, Grant>();
-  /** In the order in which they came. */
+  /** Waiting requests in order of arrival. */
   private waiters: Waiter[] = [];
 
   private constructor(private readonly options: TrialSchedulerOptions) {}
@@ -77,7 +77,7 @@
     return new TrialScheduler(options);
   }
 
-  /** Resolves with an endpoint once one is free, or when the request can't wait any more. */
+  /** Resolves with a grant once an endpoint is free, or with `Busy` when the request can't wait any longer. */
   decideOrWait(request: TrialCallArguments): Promise<TrialReply> {
     const reply = this.decide(request);
     const isFinal = reply.word !== TrialDecision.Busy || request.waitMs <= 0;
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Takes note that a run is over, or has lasted long enough. */
+  /** Ends a trial that is over, or has lasted long enough. */
   end(incarnation: string, fingerprint: string): void {
     if (this.grants.get(incarnation)?.fingerprint === fingerprint) this.release(incarnation);
   }
@@ -131,7 +131,7 @@
     return { word: TrialDecision.Granted, life: incarnation };
   }
 
-  /** The endpoint with the least work, as that is what ends with it. */
+  /** Chooses the endpoint with the fewest open requests, because these are lost if it crashes. */
   private choose(service: string, excluded: readonly string[]): Endpoint | undefined {
     const time = this.options.clock.getTime();
     const usable = this.options.getEndpoints(service).filter((endpoint) => endpoint.isUsable());
@@ -153,7 +153,7 @@
   }
 }
 
-/** Whether an endpoint serves nobody now, though its record may still say that it does. */
+/** Whether an endpoint is unreachable or reported as crashed, even if its record still says that it is ready. */
 export function isDown(endpoint: Endpoint, records: CrashRecords, time: number): boolean {
   return endpoint.isUnreachable(time) || records.hasCrashed(endpoint.incarnation);
 }
