--- a/packages/gateway/test/arbiters.test.ts
+++ b/packages/gateway/test/arbiters.test.ts
@@ -1,13 +1,14 @@
 /*
- * What happened: while two of five instances ran six times slower, the arbiters of limits among them did too, and every
- * request of their workspaces waited for them: of 2,368 requests in two seconds 510 came in time, 767 without arbiters.
+ * Guards against slow arbiters that delay all requests of their workspaces. With two of five instances six times slower, the
+ * arbiters of limits among them were slow too, and of 2,368 requests in two seconds 510 were answered in time, instead of 767
+ * without arbiters.
  */
 import t from "tap";
 import { Arbiters, createQuotaCall, type QuotaReply, QuotaUse, GrantDecision } from "@gladewall/gateway";
 import { Failure, FailureCode, Logger, VirtualClock, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** Asks over and over; each arbiter answers after a time of its own. Returns how long each question took. */
+/** Asks repeatedly; each arbiter answers after its own delay. Returns the duration of each question in milliseconds. */
 async function askOften(
   answerMs: Readonly<Record<string, number>>,
   count: number,
@@ -42,7 +43,7 @@
   return times;
 }
 
-t.test("an arbiter that is slow holds few requests up, whichever it is", async (t) => {
+t.test("a slow arbiter delays only a few requests, whichever it is", async (t) => {
   for (const slow of ["a", "b", "c"]) {
     const times = await askOften({ a: 5, b: 5, c: 5, [slow]: 700 }, 100);
     const late = times.filter((time) => time > 60);
@@ -51,7 +52,7 @@
   }
 });
 
-t.test("where all links are slow, answers are waited for", async (t) => {
+t.test("if all links are slow, the timeouts grow until replies arrive", async (t) => {
   const times = await askOften({ a: 800, b: 800, c: 800 }, 60);
   const answered = times.slice(20).filter((time) => Math.round(time) === 800);
   t.ok(answered.length >= 30, times.join());
--- a/packages/gateway/test/crashDetector.test.ts
+++ b/packages/gateway/test/crashDetector.test.ts
@@ -44,35 +44,42 @@
   return { clock, records, endpoint, told, watch, state };
 }
 
-t.test("a cut request and a refused connection together show that an endpoint has ended", async (t) => {
-  const { records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
-  const beside = { subject: { workspace: "w", fingerprint: "beside" } };
-  endpoint.inFlight.add(beside);
-  const ends = await Promise.all([
-    watch.noteInterruption(endpoint, request),
-    watch.noteInterruption(endpoint, request),
-  ]);
-  t.same(ends, [true, true]);
-  t.equal(state.probes, 1, "both cuts are settled by one connection");
-  t.same(told, [{ reports: [{ life: "e", suspects: [], others: [subject, beside.subject] }] }]);
-  t.ok(await watch.noteInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
-  t.equal(state.probes, 1);
-  t.equal(records.getQuarantineState({ workspace: "w", fingerprint: "late" }), QuarantineState.Suspect);
-});
+t.test(
+  "an interrupted request and a refused connection together show that an endpoint has crashed",
+  async (t) => {
+    const { records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
+    const beside = { subject: { workspace: "w", fingerprint: "beside" } };
+    endpoint.inFlight.add(beside);
+    const ends = await Promise.all([
+      watch.noteInterruption(endpoint, request),
+      watch.noteInterruption(endpoint, request),
+    ]);
+    t.same(ends, [true, true]);
+    t.equal(state.probes, 1, "one probe serves both interruptions");
+    t.same(told, [{ reports: [{ life: "e", suspects: [], others: [subject, beside.subject] }] }]);
+    t.ok(await watch.noteInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
+    t.equal(state.probes, 1);
+    t.equal(records.getQuarantineState({ workspace: "w", fingerprint: "late" }), QuarantineState.Suspect);
+  },
+);
 
-t.test("one of the two signs alone shows nothing", async (t) => {
+t.test("one of the two signs alone is not enough", async (t) => {
   for (const word of [ProbeResult.Listening, ProbeResult.Unknown]) {
     const { clock, records, endpoint, watch, state } = createWatch(word);
     t.notOk(await watch.noteInterruption(endpoint, request));
     t.notOk(await watch.noteInterruption(endpoint, request));
-    t.equal(state.probes, word === ProbeResult.Listening ? 1 : 2, "a live one is not asked twice in a row");
+    t.equal(
+      state.probes,
+      word === ProbeResult.Listening ? 1 : 2,
+      "an endpoint that accepts connections is not probed twice in a row",
+    );
     await clock.advance(200);
     t.notOk(await watch.noteInterruption(endpoint, request));
     t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
 
-t.test("an endpoint that leaves, or whose record is gone, ends by itself", async (t) => {
+t.test("an endpoint that is leaving, or whose record is gone, stops as planned", async (t) => {
   for (const state of [EndpointState.Leaving, EndpointState.Unlisted]) {
     const { records, endpoint, watch } = createWatch(ProbeResult.Refused);
     endpoint.state = state;
@@ -82,7 +89,7 @@
 });
 
 t.test(
-  "one that ends before its drain time has gone by since it served as usual ends unplanned",
+  "an endpoint that stops before its drain time has passed since its last usual response has crashed",
   async (t) => {
     const { clock, records, watch } = createWatch(ProbeResult.Refused);
     for (const id of ["e1", "e2", "e3"]) {
@@ -93,12 +100,16 @@
       await clock.advance(100);
       t.ok(await watch.noteInterruption(endpoint, request));
     }
-    t.equal(records.getQuarantineState(subject), QuarantineState.Convicted, "three endpoints ended under it");
+    t.equal(
+      records.getQuarantineState(subject),
+      QuarantineState.Convicted,
+      "three endpoints crashed under it",
+    );
   },
 );
 
 t.test(
-  "one that ends its drain time after its word ends as planned, as does one whose record says so",
+  "an endpoint that stops a drain time after its notice does so as planned, as does one whose record is leaving",
   async (t) => {
     for (const source of [
       LeavingSource.Answer,
@@ -118,7 +129,7 @@
   },
 );
 
-t.test("a record that is still there takes an end back, unless the store is in trouble", async (t) => {
+t.test("a record that is still there refutes a crash, unless the store is failing", async (t) => {
   const { clock, records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
   await watch.noteInterruption(endpoint, request);
   await clock.advance(5_000);
@@ -135,7 +146,11 @@
   state.troubleMs = Infinity;
   state.isListed = false;
   watch.review();
-  t.equal(records.getQuarantineState(subject), QuarantineState.Suspect, "its record is gone: it has ended");
+  t.equal(
+    records.getQuarantineState(subject),
+    QuarantineState.Suspect,
+    "its record is gone, so the crash is not refuted",
+  );
   state.isListed = true;
   watch.review();
   t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
@@ -158,7 +173,7 @@
 }
 
 t.test(
-  "no two isolated requests run at one endpoint, and half of the service is left to others",
+  "no two isolated requests run at one endpoint, and half of the service stays free for others",
   async (t) => {
     const { clock, endpoints, grants, ask } = createGrants(6);
     endpoints[3]!.active = 5;
@@ -171,7 +186,7 @@
     t.same(
       first.map(({ life }) => life),
       ["e1", "e2", "e4", undefined],
-      "those with the least work",
+      "the endpoints with the fewest open requests",
     );
     const waiting = ask("d", 600);
     grants.end("e2", "x");
@@ -181,23 +196,26 @@
     await clock.advance(600);
     t.equal((await late).word, TrialDecision.Busy);
     await clock.advance(2_000);
-    t.equal((await ask("f")).word, TrialDecision.Granted, "a grant whose end nobody told is over");
+    t.equal((await ask("f")).word, TrialDecision.Granted, "a trial whose end is not reported expires");
     grants.close();
   },
 );
 
-t.test("endpoints that have ended count as spent; the only one of a service may be tried", async (t) => {
-  const { records, ask, grants } = createGrants(4);
-  records.apply({ reports: [{ life: "e0", suspects: [], others: [] }] });
-  t.equal((await ask("a")).word, TrialDecision.Granted);
-  t.equal((await ask("b")).word, TrialDecision.Busy);
-  grants.close();
-  const single = createGrants(1);
-  t.match(await single.ask("a"), { word: TrialDecision.Granted, life: "e0" });
-  t.equal((await single.ask("b")).word, TrialDecision.Busy);
-  t.equal((await single.ask("b", 0, ["e0"])).word, TrialDecision.Busy);
-  single.grants.close();
-});
+t.test(
+  "crashed endpoints count as unavailable; the only endpoint of a service may be used for a trial",
+  async (t) => {
+    const { records, ask, grants } = createGrants(4);
+    records.apply({ reports: [{ life: "e0", suspects: [], others: [] }] });
+    t.equal((await ask("a")).word, TrialDecision.Granted);
+    t.equal((await ask("b")).word, TrialDecision.Busy);
+    grants.close();
+    const single = createGrants(1);
+    t.match(await single.ask("a"), { word: TrialDecision.Granted, life: "e0" });
+    t.equal((await single.ask("b")).word, TrialDecision.Busy);
+    t.equal((await single.ask("b", 0, ["e0"])).word, TrialDecision.Busy);
+    single.grants.close();
+  },
+);
 
 function createKept() {
   const clock = VirtualClock.create();
@@ -218,54 +236,52 @@
 
 const key = "gladewall/crashes/f";
 
-t.test(
-  "what rests or is not run any more lies in the store, and is removed once it is cleared",
-  async (t) => {
-    const { clock, shared, records, store, endTwice } = createKept();
-    records.apply({
-      reports: [{ life: "e0", suspects: [], others: [{ workspace: "w", fingerprint: "other" }] }],
-    });
-    endTwice();
-    store.review();
-    await clock.advance(100);
-    store.review();
-    await clock.advance(100);
-    t.same([...shared.entries.keys()], [key], "one at a single endpoint that ended is not kept");
-    records.apply({ acquittals: [{ fingerprint: "f", lives: ["e1", "e2"] }] });
-    store.review();
-    await clock.advance(100);
-    t.same([...shared.entries.keys()], []);
-  },
-);
+t.test("requests in cooldown or blocked are stored, and removed once they are cleared", async (t) => {
+  const { clock, shared, records, store, endTwice } = createKept();
+  records.apply({
+    reports: [{ life: "e0", suspects: [], others: [{ workspace: "w", fingerprint: "other" }] }],
+  });
+  endTwice();
+  store.review();
+  await clock.advance(100);
+  store.review();
+  await clock.advance(100);
+  t.same([...shared.entries.keys()], [key], "a suspect of a single crash is not stored");
+  records.apply({ acquittals: [{ fingerprint: "f", lives: ["e1", "e2"] }] });
+  store.review();
+  await clock.advance(100);
+  t.same([...shared.entries.keys()], []);
+});
 
-t.test(
-  "a verdict that the store lost stands and is written again; one that an operator removed is not",
-  async (t) => {
-    const { clock, shared, records, store, endTwice } = createKept();
-    endTwice();
-    store.review();
-    await clock.advance(100);
-    const item = shared.entries.get(key)!;
-    store.handleItem(key, item);
-    shared.remove(key);
-    store.handleItem(key, undefined, { cause: RemovalCause.Lost, troubleAgeMs: undefined });
-    t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
-    store.review();
-    await clock.advance(100);
-    t.ok(shared.entries.has(key));
-    shared.remove(key);
-    store.handleItem(key, undefined, { cause: RemovalCause.Removed, troubleAgeMs: undefined });
-    t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
-    shared.put(key, item.value);
-    store.handleItem(key, item);
-    t.equal(records.getQuarantineState(subject), QuarantineState.Clear, "nor by a copy that has it still");
-    store.review();
-    await clock.advance(100);
-    t.notOk(shared.entries.has(key));
-  },
-);
+t.test("an item that the store lost is written again; one that an operator removed is not", async (t) => {
+  const { clock, shared, records, store, endTwice } = createKept();
+  endTwice();
+  store.review();
+  await clock.advance(100);
+  const item = shared.entries.get(key)!;
+  store.handleItem(key, item);
+  shared.remove(key);
+  store.handleItem(key, undefined, { cause: RemovalCause.Lost, troubleAgeMs: undefined });
+  t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
+  store.review();
+  await clock.advance(100);
+  t.ok(shared.entries.has(key));
+  shared.remove(key);
+  store.handleItem(key, undefined, { cause: RemovalCause.Removed, troubleAgeMs: undefined });
+  t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
+  shared.put(key, item.value);
+  store.handleItem(key, item);
+  t.equal(
+    records.getQuarantineState(subject),
+    QuarantineState.Clear,
+    "nor by a snapshot that still has the item",
+  );
+  store.review();
+  await clock.advance(100);
+  t.notOk(shared.entries.has(key));
+});
 
-t.test("an item read from the store makes the verdict; one of another writer makes none", async (t) => {
+t.test("an item read from the store restores the quarantine; a malformed one has no effect", async (t) => {
   const { records, store } = createKept();
   const put = (value: string | Uint8Array): void =>
     store.handleItem(key, { key, revision: 1, value: Buffer.from(value as string) });
@@ -286,12 +302,12 @@
   t.equal(
     records.getQuarantineState(subject),
     QuarantineState.Clear,
-    "an operator who removes the item clears it",
+    "an operator who removes the item clears the request",
   );
 });
 
 t.test(
-  "a verdict read from the store is the one that was written, also where ends came at one moment",
+  "the state read from the store is the one that was written, also if crashes were reported at one moment",
   async (t) => {
     const { clock, shared, records, store } = createKept();
     const other = { workspace: "w", fingerprint: "other" };
@@ -308,7 +324,7 @@
   },
 );
 
-t.test("one workspace takes no more than its part of the store", async (t) => {
+t.test("one workspace takes no more than its share of the store", async (t) => {
   const { clock, shared, records, store } = createKept();
   for (let index = 0; index < 80; index++) {
     const subjects = [{ workspace: "flood", fingerprint: `flood${index}` }];
@@ -324,11 +340,12 @@
 });
 
 /*
- * Two instances had a suspect each at an endpoint that ended, and told of it 4 ms apart. The first word made one of them the
- * only one to blame, which was written; with the second it was one of two, and the item was removed again. A removal is an
- * operator's word that clears, so the guilty one was cleared everywhere and the other was the only one to blame.
+ * Guards against a removal from the store that clears a request by mistake. Two instances each had a suspect in flight at an
+ * endpoint that crashed, and reported it 4 ms apart. The first report made one of them the only suspect, which was stored; with
+ * the second report it was one of two, and its item was removed again. A removal clears a request, because operators clear
+ * requests that way, so the responsible request was cleared on all instances and the other one was left as the only suspect.
  */
-t.test("a verdict that a later word makes milder is not cleared by it", async (t) => {
+t.test("a request whose score a later report lowers is not cleared by it", async (t) => {
   const { clock, shared, records, store } = createKept();
   const beside = { workspace: "w", fingerprint: "beside" };
   records.apply({ reports: [{ life: "e1", suspects: [], others: [subject, beside] }] });
--- a/packages/gateway/test/crashRecords.test.ts
+++ b/packages/gateway/test/crashRecords.test.ts
@@ -20,7 +20,7 @@
 function createTestBench() {
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
-  /** Ends a life with requests there, as an instance that knows all words reports it. */
+  /** Records a crash with requests in flight, as an instance that knows all updates reports it. */
   const end = (life: string, ...aboard: readonly CrashSubject[]): CrashReport => {
     const report = records.createReport(life, aboard);
     records.apply({ reports: [report] });
@@ -29,32 +29,35 @@
   return { clock, records, end };
 }
 
-t.test("one that ends each endpoint it runs at rests after two, and is not run after three", async (t) => {
-  const { clock, records, end } = createTestBench();
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
-  end("e1", guilty, createSubject("a"), createSubject("b"));
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Suspect);
-  t.equal(records.getQuarantineState(createSubject("a")), QuarantineState.Suspect);
-  end("e2", guilty, createSubject("c"));
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Resting);
-  t.equal(
-    records.getQuarantineState(createSubject("c")),
-    QuarantineState.Clear,
-    "one beside the only suspect is not to blame",
-  );
-  await clock.advance(minute);
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Isolated);
-  end("e3", guilty);
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted);
-  await clock.advance(100 * minute);
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted, "time alone changes nothing");
-});
+t.test(
+  "a request that crashes each endpoint it runs at enters the cooldown after two crashes and is blocked after three",
+  async (t) => {
+    const { clock, records, end } = createTestBench();
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
+    end("e1", guilty, createSubject("a"), createSubject("b"));
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Suspect);
+    t.equal(records.getQuarantineState(createSubject("a")), QuarantineState.Suspect);
+    end("e2", guilty, createSubject("c"));
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Resting);
+    t.equal(
+      records.getQuarantineState(createSubject("c")),
+      QuarantineState.Clear,
+      "a request in flight beside the only suspect is not a suspect",
+    );
+    await clock.advance(minute);
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Isolated);
+    end("e3", guilty);
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted);
+    await clock.advance(100 * minute);
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Convicted, "time alone does not unblock it");
+  },
+);
 
 /*
- * Where all ends that are kept were needed, a new one was dropped before its requests were noted: its endpoint was not held to
- * have ended.
+ * Guards against the eviction of a new crash before its requests are recorded, which happened when all remembered crashes were
+ * needed: its endpoint was then not known as crashed.
  */
-t.test("an end is kept for the verdict that it makes, also where all others are needed", async (t) => {
+t.test("a crash that supports a quarantine state is kept, also if all others are needed", async (t) => {
   const { records, end } = createTestBench();
   for (let index = 0; index < 511; index++) {
     const subject = createSubject(`f${index}`, `w${index % 4}`);
@@ -66,7 +69,7 @@
   t.ok(records.hasCrashed("g3"));
 });
 
-t.test("several suspects share the blame, and run apart from then on", async (t) => {
+t.test("several suspects share the suspicion score, and run isolated from then on", async (t) => {
   const { records, end } = createTestBench();
   const innocent = createSubject("innocent");
   end("e1", guilty, innocent);
@@ -78,40 +81,43 @@
   t.equal(records.getQuarantineState(innocent), QuarantineState.Isolated);
 });
 
-t.test("ends at the same moment, before anybody knows, set a request apart and no more", async (t) => {
+t.test("crashes at the same moment, before any instance knows, only isolate a request", async (t) => {
   const { records } = createTestBench();
   const reports = ["e1", "e2", "e3", "e4"].map((life) => ({ life, suspects: [], others: [guilty] }));
   records.apply({ reports });
   t.equal(records.getQuarantineState(guilty), QuarantineState.Isolated);
 });
 
-t.test("a whole answer clears, and so does an endpoint that turns out to live", async (t) => {
-  const { records, end } = createTestBench();
-  const innocent = createSubject("innocent");
-  end("e1", guilty, innocent);
-  records.apply({ acquittals: [{ fingerprint: "innocent", lives: records.getUncleared("innocent") }] });
-  t.equal(records.getQuarantineState(innocent), QuarantineState.Clear);
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Suspect);
-  t.ok(records.hasSuspects("w"));
-  records.apply({ refuted: ["e1"] });
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
-  t.notOk(records.hasSuspects("w"), "nobody's requests are looked at any more");
-  end("e1", guilty);
-  t.equal(
-    records.getQuarantineState(guilty),
-    QuarantineState.Clear,
-    "a late report of the same life changes nothing",
-  );
-});
+t.test(
+  "a complete response clears a request, and so does an endpoint that turns out to be running",
+  async (t) => {
+    const { records, end } = createTestBench();
+    const innocent = createSubject("innocent");
+    end("e1", guilty, innocent);
+    records.apply({ acquittals: [{ fingerprint: "innocent", lives: records.getUncleared("innocent") }] });
+    t.equal(records.getQuarantineState(innocent), QuarantineState.Clear);
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Suspect);
+    t.ok(records.hasSuspects("w"));
+    records.apply({ refuted: ["e1"] });
+    t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
+    t.notOk(records.hasSuspects("w"), "the workspace has no suspects any more");
+    end("e1", guilty);
+    t.equal(
+      records.getQuarantineState(guilty),
+      QuarantineState.Clear,
+      "a late report of the same incarnation changes nothing",
+    );
+  },
+);
 
-t.test("a suspect that never came back is forgotten", async (t) => {
+t.test("a suspect that is not sent again is forgotten", async (t) => {
   const { clock, records, end } = createTestBench();
   end("e1", guilty);
   await clock.advance(11 * minute);
   t.equal(records.getQuarantineState(guilty), QuarantineState.Clear);
 });
 
-t.test("a workspace that makes endpoints end on purpose pushes out nobody else's requests", async (t) => {
+t.test("a workspace that crashes endpoints on purpose displaces no other workspace's suspects", async (t) => {
   const { records, end } = createTestBench();
   const other = createSubject("other", "quiet");
   end("o1", other);
@@ -120,8 +126,12 @@
   end("g2", guilty);
   for (let index = 0; index < 3_000; index++) end(`f${index}`, createSubject(`flood${index}`));
   t.equal(records.getQuarantineState(other), QuarantineState.Resting);
-  t.equal(records.getQuarantineState(guilty), QuarantineState.Resting, "nor its own of which more is known");
-  t.ok(records.count().watched <= 300, `${records.count().watched} are watched`);
+  t.equal(
+    records.getQuarantineState(guilty),
+    QuarantineState.Resting,
+    "nor its own suspects with a higher score",
+  );
+  t.ok(records.count().watched <= 300, `${records.count().watched} suspects`);
 });
 
 const name = fc.constantFrom("a", "b", "c", "d");
@@ -135,13 +145,13 @@
 );
 
 t.test(
-  "words that come in another order, and twice, leave every instance with the same verdicts",
+  "updates in any order, and repeated, lead to the same quarantine states on every instance",
   async (t) => {
     fc.assert(
       fc.property(fc.array(words, { maxLength: 12 }), fc.infiniteStream(fc.nat()), (told, draws) => {
         const one = createTestBench().records;
         const other = createTestBench().records;
-        // Words on an end that is not known yet tell nothing; each word comes again, as peers repeat all they know.
+        // Updates on an unknown crash have no effect, so each update is applied twice, as peers resend all they know.
         for (const word of [...told, ...told]) one.apply(word);
         const keyed = told.map((word) => ({ word, key: draws.next().value as number }));
         const shuffled = keyed.sort((left, right) => left.key - right.key).map(({ word }) => word);
@@ -161,7 +171,7 @@
   },
 );
 
-t.test("what one instance knows makes another know as much", async (t) => {
+t.test("a snapshot brings another instance to the same state", async (t) => {
   const { records, end } = createTestBench();
   end("e1", guilty, createSubject("a"));
   end("e2", guilty);
@@ -169,5 +179,5 @@
   t.ok(newcomer.apply(records.createSnapshot()));
   t.equal(newcomer.getQuarantineState(guilty), QuarantineState.Resting);
   t.equal(newcomer.getQuarantineState(createSubject("a")), records.getQuarantineState(createSubject("a")));
-  t.notOk(newcomer.apply(records.createSnapshot()), "told again, it is nothing new");
+  t.notOk(newcomer.apply(records.createSnapshot()), "applied again, it contains nothing new");
 });
--- a/packages/gateway/test/crashScenarios.ts
+++ b/packages/gateway/test/crashScenarios.ts
@@ -1,39 +1,40 @@
 /**
- * Drawn plays of requests that end endpoints: copies at once, instances that end and start, endpoints that end by themselves
- * with others' requests on them, connections that are reset. The endpoints count; what instances say is not believed.
+ * Random scenarios of requests that crash endpoints: copies sent at once, instances that stop and start, endpoints that crash by
+ * themselves with other requests in flight, and connections that are reset. Results are counted at the endpoints, independent of
+ * what instances report.
  * @module
  */
 import { createRandom, type EndpointRequest, respondSuccess, waitUntil } from "@gladewall/standins";
 import type { Test } from "tap";
 import { crashBody, type CrashingEndpoints, startCrashingFleet } from "./crashingEndpoints.js";
 
-/** What a play came to. */
+/** Result of a scenario. */
 export interface CrashScenarioResult {
-  /** Most endpoints that ended under one request. */
+  /** Most endpoints that crashed under one request. */
   readonly mostEnded: number;
-  /** Most runs of one request that began after three endpoints had ended under it and its tries so far were over. */
+  /** Most runs of one request that began after three endpoints had crashed under it and its previous attempts were over. */
   readonly mostRunsAfterThird: number;
-  /** Requests that end nothing, asked for at the end of the play, and such as were not served. */
+  /** Harmless requests sent at the end of the scenario, and how many of them were not served. */
   readonly harmless: number;
   readonly unserved: number;
 }
 
 type TestBench = Awaited<ReturnType<typeof startCrashingFleet>>;
 
-/** Ends that a request may cause before it must not run any more. */
+/** Crashes that a request may cause before it must be blocked. */
 const borneEnds = 3;
 const steps = 24;
 const harmlessCount = 12;
 const mostDeadly = 3;
 const mostCopies = 4;
-/** Tries after which a harmless request counts as not served; one that is refused comes back. */
+/** Attempts after which a harmless request counts as not served; a refused one is retried until then. */
 const mostTries = 40;
 
-/** Runs of deadly requests, by body. */
+/** Counts runs of crashing requests, by body. */
 class DeadlyRuns {
   readonly ended = new Map<string, number>();
   readonly late = new Map<string, number>();
-  /** Bodies under which three endpoints had ended before the step that is played now. */
+  /** Bodies under which three endpoints had crashed before the current step. */
   private known = new Set<string>();
 
   note({ body }: EndpointRequest): void {
@@ -41,14 +42,14 @@
     if (this.known.has(body)) this.late.set(body, (this.late.get(body) ?? 0) + 1);
   }
 
-  /** Begins a step: all tries of the steps before are over. */
+  /** Begins a step; all attempts of the previous steps are over. */
   beginStep(): void {
     const bodies = [...this.ended].filter(([, ends]) => ends >= borneEnds).map(([body]) => body);
     this.known = new Set(bodies);
   }
 }
 
-/** Plays one seed. */
+/** Runs the scenario of one seed. */
 export async function runCrashScenario(
   t: Pick<Test, "teardown">,
   seed: number,
@@ -97,7 +98,7 @@
   };
 }
 
-/** Ends an endpoint that has requests which are not to blame. */
+/** Crashes an endpoint with harmless requests in flight. */
 async function endByItself(
   { endpoints }: TestBench,
   draw: () => number,
@@ -107,7 +108,7 @@
   endpoints.script = (call) => void held.push(call);
   let isOver = false;
   const answers = send().finally(() => (isOver = true));
-  // All of them may be refused at once.
+  // All of them may be refused at once, so that none is ever held.
   await waitUntil(() => held.length >= 1 || isOver);
   const alive = [...endpoints.alive];
   endpoints.end(alive[Math.floor(draw() * alive.length)]!);
@@ -116,7 +117,7 @@
   await answers;
 }
 
-/** Resets the connection of the next request at an endpoint that lives. */
+/** Resets the connection of the next request at an endpoint that keeps running. */
 async function resetOnce(endpoints: CrashingEndpoints, send: () => Promise<unknown>): Promise<void> {
   endpoints.script = (call) => {
     endpoints.script = respondSuccess;
@@ -126,7 +127,7 @@
   endpoints.script = respondSuccess;
 }
 
-/** Ends an instance and starts another in its place, which knows nothing of its own. */
+/** Stops an instance and starts another one in its place, without any state of its own. */
 async function restartOne(
   { bench, endpoints, getOverrides }: TestBench,
   index: number,
--- a/packages/gateway/test/crashingEndpoints.ts
+++ b/packages/gateway/test/crashingEndpoints.ts
@@ -1,5 +1,5 @@
 /**
- * A service whose endpoints end under certain requests and come back, as a new life at a new port.
+ * A service whose endpoints crash under certain requests and are replaced by new ones at new ports.
  * @module
  */
 import { RouteKind } from "@gladewall/gateway";
@@ -16,20 +16,20 @@
 } from "@gladewall/standins";
 import type { Test } from "tap";
 
-/** Body under which an endpoint ends. */
+/** Start of a body under which an endpoint crashes. */
 export const crashBody = "deadly";
 
-/** Endpoints of one service. */
+/** Endpoints of one service, which crash under certain requests. */
 export class CrashingEndpoints implements Closeable {
   readonly alive = new Set<ScriptedEndpoint>();
-  /** Endpoints that ended under a request. */
+  /** Number of endpoints that crashed under a request. */
   ended = 0;
   private lives = 0;
-  /** Endpoints that ended, and whose records are still there. */
+  /** Endpoints that crashed, and whose records still exist. */
   private gone: ScriptedEndpoint[] = [];
-  /** Answers what ends no endpoint. */
+  /** Answers requests that crash no endpoint. */
   script: (call: EndpointRequest) => void = respondSuccess;
-  /** Called with each request that ends its endpoint. */
+  /** Called with each request that crashes its endpoint. */
   onDeadly: (call: EndpointRequest) => void = () => undefined;
 
   private constructor(private readonly bench: GatewayTestBench) {}
@@ -54,7 +54,7 @@
     return endpoint;
   }
 
-  /** Ends an endpoint without a word: its connections are gone, new ones are refused, its record stays for a while. */
+  /** Crashes an endpoint: its connections are closed, new ones are refused, and its record stays for a while. */
   end(endpoint: ScriptedEndpoint): void {
     if (!this.alive.delete(endpoint)) return;
     this.ended += 1;
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Starts endpoints in place of those that ended, whose records go. Every instance knows first that those have gone, then of
-   * the new ones: by their number alone, as many old ones look the same.
+   * Replaces crashed endpoints and removes their records. Waits until every instance knows that the old ones are gone before the
+   * new ones start, because instances are compared by the number of endpoints, which is the same with old and with new ones.
    */
   async replace(): Promise<void> {
     while (this.gone.length > 0) {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Whether every instance knows as many endpoints as are listed; one that has ended is, until it is replaced. */
+  /** Whether every instance knows as many endpoints as are listed; a crashed one is listed until it is replaced. */
   private isKnown(): boolean {
     const listed = this.alive.size + this.gone.length;
     return this.bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === listed);
@@ -87,10 +87,10 @@
   }
 }
 
-/** Settings of an instance of a large fleet: it tells the readers alone, and they tell the others. */
+/** Settings of an instance of a large fleet: it sends reports only to the readers, and they relay them to the others. */
 export const largeFleet = ["peers.largest_mesh=3", "peers.large_fleet_interval=40"];
 
-/** Instances before endpoints that may end; `isLarge` makes them tell each other as a large fleet does. */
+/** Starts instances and endpoints that may crash; with `isLarge` the instances exchange reports as in a large fleet. */
 export async function startCrashingFleet(
   t: Pick<Test, "teardown">,
   instanceCount: number,
@@ -114,7 +114,7 @@
   return { bench, endpoints, getOverrides };
 }
 
-/** Sends the deadly request to an instance; endpoints that end under it come back before it resolves. */
+/** Sends the crashing request to an instance; endpoints that crash under it are replaced before the promise resolves. */
 export async function sendCrashRequest(
   bench: GatewayTestBench,
   endpoints: CrashingEndpoints,
--- a/packages/gateway/test/crashingRequest.test.ts
+++ b/packages/gateway/test/crashingRequest.test.ts
@@ -1,36 +1,40 @@
 /*
- * One request ended every endpoint that began to run it, and its caller sent it again and again. Each try had a new id and
- * came to any instance, and nothing told it from a new request: it walked through the whole service, three times in 13 s,
- * and between the waves everything else was refused. The endpoint's record says that 16 ended under one request, 5 of them
- * long after the third:
+ * Guards against a request that crashes every endpoint which runs it, while its caller keeps resending it. Each attempt has a new
+ * id and arrives at any instance, so without a fingerprint it looks like a new request. It crashed all endpoints of a service
+ * three times in 13 s, and between these waves all other requests were refused. 16 endpoints crashed under the one request, 5 of
+ * them long after the third:
  *
  *   event=stream.cut instance=edge-lenna-3 request=186938b5333cb5b6 endpoint=i-058f64051d
  *   event=stream.cut instance=edge-lenna-3 request=186938b5333cb5b6 endpoint=i-548a815e37
  *   event=attempt.failed request=52457a6935652311 endpoint=i-f6ce6a125a end=NotSent detail="connect ECONNREFUSED ..."
  *   event=request.failed request=52457a6935652311 status=503 failure=Overloaded candidates=3
  *
- * The first two lines are one exchange that is sent to a second endpoint by its own retry; eleven requests that had run
- * beside it were cut twice within 0.3 s, as all of them were sent on to the same endpoint as the one that ended it.
+ * The first two lines belong to one request, which the gateway itself retried at a second endpoint. Eleven requests in flight
+ * beside it were interrupted twice within 0.3 s, because all of them were retried at the same endpoint as the request that
+ * crashed it.
  */
 import t from "tap";
 import { waitUntil } from "@gladewall/standins";
 import { runCrashScenario } from "./crashScenarios.js";
 import { sendCrashRequest, startCrashingFleet } from "./crashingEndpoints.js";
 
-/** Endpoints that may end under one request. */
+/** Endpoints that may crash under one request. */
 const mostEnded = 3;
 
-t.test("a request that ends each endpoint which runs it ends three at most, whoever is asked", async (t) => {
-  const { bench, endpoints } = await startCrashingFleet(t, 3, 4);
-  for (let index = 0; index < 12; index++) {
-    await sendCrashRequest(bench, endpoints, bench.instances[index % 3]!);
-  }
-  t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
-  const answer = await bench.call(bench.instances[0]!, { method: "POST", key: "key", body: "harmless" });
-  t.equal(answer.status, 200);
-});
+t.test(
+  "a request that crashes each endpoint which runs it crashes three at most, whichever instances it is sent to",
+  async (t) => {
+    const { bench, endpoints } = await startCrashingFleet(t, 3, 4);
+    for (let index = 0; index < 12; index++) {
+      await sendCrashRequest(bench, endpoints, bench.instances[index % 3]!);
+    }
+    t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
+    const answer = await bench.call(bench.instances[0]!, { method: "POST", key: "key", body: "harmless" });
+    t.equal(answer.status, 200);
+  },
+);
 
-t.test("what is known of it outlives every instance", async (t) => {
+t.test("its quarantine outlasts all instances", async (t) => {
   const { bench, endpoints } = await startCrashingFleet(t, 2, 4);
   for (let index = 0; index < 6; index++) {
     await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
@@ -46,7 +50,7 @@
   t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
 });
 
-t.test("in a large fleet the readers' words reach every instance in time", async (t) => {
+t.test("in a large fleet the readers' updates reach every instance in time", async (t) => {
   const { bench, endpoints } = await startCrashingFleet(t, 8, 6, true);
   for (let index = 0; index < 16; index++) {
     await sendCrashRequest(bench, endpoints, bench.instances[index % 8]!);
@@ -54,7 +58,7 @@
   t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
 });
 
-t.test("an instance that starts later is told by its peers", async (t) => {
+t.test("an instance that starts later learns of it from its peers", async (t) => {
   const { bench, endpoints } = await startCrashingFleet(t, 2, 4);
   for (let index = 0; index < 4; index++)
     await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
@@ -68,7 +72,7 @@
 });
 
 t.test(
-  "several such requests at once end three endpoints each at most, and others are served between",
+  "several such requests at once crash at most three endpoints each, and other requests are served meanwhile",
   async (t) => {
     const { bench, endpoints } = await startCrashingFleet(t, 3, 6);
     const bodies = ["deadly 1", "deadly 2", "deadly 3"];
@@ -86,12 +90,12 @@
   },
 );
 
-/** Seeds of plays; 50 and more are played by hand (scripts/crashSoak.mjs). */
+/** Seeds that run here; scripts/crashSoak.mjs runs 50 and more by hand. */
 const scenarioSeeds = [1, 2, 3, 4];
 
 for (const seed of scenarioSeeds) {
   t.test(
-    `drawn play ${seed}: no request runs more than three times after the third end, all others are served`,
+    `random scenario ${seed}: no request runs more than three times after its third crash, and all others are served`,
     async (t) => {
       const { mostRunsAfterThird, unserved } = await runCrashScenario(t, seed);
       t.ok(mostRunsAfterThird <= 3, `${mostRunsAfterThird} runs`);
--- a/packages/gateway/test/endpointAvailability.test.ts
+++ b/packages/gateway/test/endpointAvailability.test.ts
@@ -1,9 +1,10 @@
 /*
- * Two requests reached an endpoint 11.7 and 2.4 seconds after it had told the same instance, in an answer that was passed on, that
- * it leaves. The store was away, so its record still said ready, and nobody read what its answers said: the instance's log
- * had request.served endpoint=i-e0eff66df2 at 8.583 s, and of its state nothing before 20.321 s, where the record went
- * (endpoint.state state=Unlisted cause="record gone in trouble"). Written into the state alone, the word would have been
- * undone by the next record, listing, or removal in the store's trouble.
+ * Guards against requests to an endpoint that has announced in a response that it is leaving. Two requests reached one 11.7 and
+ * 2.4 seconds after it had announced that to the same instance. The store was unreachable, so the record still said ready, and
+ * nothing read the notices of responses: the instance logged request.served endpoint=i-e0eff66df2 at 8.583 s, and no change of
+ * the endpoint's state before 20.321 s, when the record vanished (endpoint.state state=Unlisted cause="record gone in trouble").
+ * The notice must be kept apart from the endpoint's state, because otherwise the next record, listing, or removal during a store
+ * failure would revert it.
  */
 import * as fc from "fast-check";
 import t, { type Test } from "tap";
@@ -25,24 +26,24 @@
 const source = { requestId: "r", status: 200 };
 const address = "127.0.0.1:1";
 
-/** What befalls an endpoint and its record. */
+/** Events of an endpoint and its record. */
 enum Event {
-  /** An answer of the life that is listed says that it leaves. */
+  /** A response of the listed incarnation announces that it is leaving. */
   Word = 1,
-  /** An answer of an earlier life, which comes late, says so. */
+  /** A late response of an earlier incarnation announces that. */
   LateWord = 2,
   /** Its record is written again, still ready. */
   Record = 3,
-  /** Its record goes while the store is in trouble, and while it is not. */
+  /** Its record is removed while the store is failing, and while it is not. */
   GoneInTrouble = 4,
   Gone = 5,
-  /** Everything is listed anew. */
+  /** All records are listed again. */
   Listing = 6,
-  /** It starts again under its id. */
+  /** The endpoint starts again under its id. */
   NextLife = 7,
 }
 
-/** A directory, and the record of one endpoint. */
+/** Creates a directory and the record of one endpoint. */
 function createScenario(log: (line: string) => void = () => undefined) {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock);
@@ -117,7 +118,7 @@
   { minLength: 2, maxLength: 12 },
 );
 
-/** Plays events; returns the first after which a life that left is used, or one that did not is not. */
+/** Runs events; returns the first after which a leaving incarnation is used, or one that is not leaving is not used. */
 async function findWrongUse(events: readonly (readonly [Event, number])[]): Promise<string | undefined> {
   const { clock, directory, play, left, list, close } = createScenario();
   directory.start();
@@ -138,7 +139,7 @@
   return wrong;
 }
 
-t.test("in whatever order words and records come, a life that said that it leaves is not used", async (t) => {
+t.test("a leaving incarnation is not used, in whatever order notices and records arrive", async (t) => {
   const property = fc.asyncProperty(generatedEvents, async (events) => {
     return (await findWrongUse(events)) === undefined;
   });
@@ -176,24 +177,24 @@
   t.equal(report.failed, false, JSON.stringify(report.counterexample));
 });
 
-/** Answers of each status and kind with the word, as an endpoint gives them that leaves. */
+/** Responses of each kind and status of a leaving endpoint. */
 const leavingAnswers: Readonly<Record<string, EndpointScript>> = {
-  "an answer that is passed on": respondLeaving,
+  "a response that is passed on": respondLeaving,
   "a refusal": ({ id, response }) => {
     response.writeHead(503, { "x-id": id, "x-not-run": "1", "x-leaving": "1", "content-length": 0 });
     response.end();
   },
-  "a failure of its own": ({ id, response }) => {
+  "an endpoint failure": ({ id, response }) => {
     response.writeHead(500, { "x-id": id, "x-stamp": "s", "x-leaving": "1", "content-length": 0 });
     response.end();
   },
-  "an answer that is cut after its head": ({ id, response, socket }) => {
+  "a response that is interrupted after its head": ({ id, response, socket }) => {
     response.writeHead(200, { "x-id": id, "x-stamp": "s", "x-leaving": "1", "content-length": 10 });
     response.write("part", () => socket.destroy());
   },
 };
 
-/** An instance before two endpoints; the one that is called first answers by a script from then on, the other well. */
+/** Starts an instance and two endpoints; the one called first answers by the script from then on, the other successfully. */
 async function startPair(t: Pick<Test, "teardown">, script: EndpointScript) {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
@@ -215,9 +216,9 @@
   return { bench, instance, setTrouble, countCalls: () => leaving?.requests.length };
 }
 
-t.test("no request goes to an endpoint that said in an answer that it leaves", async (t) => {
+t.test("no request goes to an endpoint that has announced in a response that it is leaving", async (t) => {
   for (const [name, script] of Object.entries(leavingAnswers)) {
-    await t.test(`${name} says so while the store is away`, async (t) => {
+    await t.test(`${name} announces it while the store is unreachable`, async (t) => {
       const { bench, instance, setTrouble, countCalls } = await startPair(t, script);
       setTrouble(StoreFault.Down);
       await bench.call(instance);
@@ -226,10 +227,13 @@
       t.equal(countCalls(), 1);
     });
   }
-  await t.test("all of a service leaves: refused at once; the next life is used", checkWholeService);
+  await t.test(
+    "if all endpoints of a service leave, requests are refused at once; the next incarnation is used",
+    checkWholeService,
+  );
 });
 
-t.test("a word that belongs to another request, or to nobody, says nothing", async (t) => {
+t.test("a notice in a response to another request, or to none, is ignored", async (t) => {
   const scripts: readonly EndpointScript[] = [
     ({ response }) => {
       response.writeHead(200, { "x-id": "other", "x-stamp": "s", "x-leaving": "1", "content-length": 0 });
@@ -247,23 +251,26 @@
   }
 });
 
-t.test("peers are told at once, without the store; one that is linked later, too", async (t) => {
-  const { bench, instance, setTrouble, countCalls } = await startPair(t, respondLeaving);
-  const other = await bench.startReady(2);
-  await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
-  setTrouble(StoreFault.Down);
-  await bench.call(instance);
-  t.equal(instance.gateway.countEndpoints("web"), 1, "the instance that heard it");
-  if (instance.gateway.countEndpoints("web") > 1) return;
-  await waitUntil(() => other.gateway.countEndpoints("web") === 1);
-  for (let index = 0; index < 20; index++) t.equal((await bench.call(other)).status, 200);
-  t.equal(countCalls(), 1);
-  setTrouble(StoreFault.None);
-  const late = await bench.startReady(1);
-  await waitUntil(() => late.gateway.linkedPeers === 2 && late.gateway.countEndpoints("web") === 1);
-});
+t.test(
+  "peers learn of a notice at once and without the store, as does one that connects later",
+  async (t) => {
+    const { bench, instance, setTrouble, countCalls } = await startPair(t, respondLeaving);
+    const other = await bench.startReady(2);
+    await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
+    setTrouble(StoreFault.Down);
+    await bench.call(instance);
+    t.equal(instance.gateway.countEndpoints("web"), 1, "the instance that received the notice");
+    if (instance.gateway.countEndpoints("web") > 1) return;
+    await waitUntil(() => other.gateway.countEndpoints("web") === 1);
+    for (let index = 0; index < 20; index++) t.equal((await bench.call(other)).status, 200);
+    t.equal(countCalls(), 1);
+    setTrouble(StoreFault.None);
+    const late = await bench.startReady(1);
+    await waitUntil(() => late.gateway.linkedPeers === 2 && late.gateway.countEndpoints("web") === 1);
+  },
+);
 
-t.test("in a large fleet the readers hand the word on to every instance", async (t) => {
+t.test("in a large fleet the readers relay a notice to every instance", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
   const leaving = await ScriptedEndpoint.create("leaving", respondLeaving);
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -1,7 +1,7 @@
 /*
- * An endpoint that turns a request away may name a time for which it wants nothing more from that instance. Nobody read it: each
- * request of a service with one such endpoint was sent there, 21 of 21, and each was turned away. What holds for one instance
- * holds for that one alone, and when the time is over the crowd must not come back at once.
+ * Guards against ignored hold-offs. An endpoint that refuses a request may name a time for which it wants no more requests from
+ * that instance. Because nothing read it, all 21 of 21 requests of a service with one such endpoint were sent there and refused.
+ * A hold-off applies to one instance alone, and after it the waiting requests must not all arrive at once.
  */
 import t, { type Test } from "tap";
 import {
@@ -30,7 +30,7 @@
 const longMs = 60_000;
 const shortMs = 40;
 
-/** Turns a request away and names a time. */
+/** Refuses a request and names a hold-off. */
 function createRefusal(holdOffMs: number, notRun = true): EndpointScript {
   return ({ id, response }) => {
     const head = { "x-id": id, "x-hold-off": String(holdOffMs), "content-length": 0 };
@@ -39,7 +39,7 @@
   };
 }
 
-/** One instance before endpoints with scripts. */
+/** Starts one instance and endpoints with the given scripts. */
 async function startTestBench(t: Pick<Test, "teardown">, scripts: readonly EndpointScript[]) {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
@@ -52,7 +52,7 @@
   return { bench, instance, endpoints };
 }
 
-t.test("an endpoint that names a time is sent nothing by that instance until then", async (t) => {
+t.test("an endpoint that names a hold-off is sent nothing by that instance until its end", async (t) => {
   for (const isNotRun of [true, false]) {
     const { bench, instance, endpoints } = await startTestBench(t, [createRefusal(longMs, isNotRun)]);
     await bench.call(instance);
@@ -60,14 +60,14 @@
       const refused = await bench.call(instance);
       t.equal(refused.status, 503);
       const seconds = Number(refused.headers["retry-after"]);
-      t.ok(seconds > 1 && seconds <= longMs / 1_000, "says when it can be served, not earlier");
+      t.ok(seconds > 1 && seconds <= longMs / 1_000, "Retry-After names the end of the hold-off");
     }
     t.equal(endpoints[0]?.requests.length, 1);
-    t.equal(instance.gateway.countEndpoints("web"), 1, "it does not leave");
+    t.equal(instance.gateway.countEndpoints("web"), 1, "the endpoint is not leaving");
   }
 });
 
-t.test("another instance is not bound by it, and other endpoints serve meanwhile", async (t) => {
+t.test("a hold-off does not bind other instances, and other endpoints serve meanwhile", async (t) => {
   const { bench, instance, endpoints } = await startTestBench(t, [createRefusal(longMs), respondSuccess]);
   const other = await bench.startReady(2);
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
@@ -82,7 +82,7 @@
   t.equal(held!.requests.length, 2);
 });
 
-t.test("when the time is over one request goes first, and more only once it was taken", async (t) => {
+t.test("after a hold-off one request goes first, and more only once it was accepted", async (t) => {
   const { bench, instance, endpoints } = await startTestBench(t, [createRefusal(shortMs)]);
   const [endpoint] = endpoints;
   await bench.call(instance);
@@ -106,7 +106,7 @@
   t.equal((await first).status, 200);
   t.equal((await bench.call(instance)).status, 200);
 });
-/** A request that must run apart, two endpoints, and an arbiter that grants the one that is named. */
+/** An isolated request, two endpoints, and an arbiter that always grants the endpoint `open`. */
 function createSuspects() {
   const clock = VirtualClock.create(10_000);
   const records = CrashRecords.create(clock);
@@ -141,10 +141,10 @@
 }
 
 /*
- * A suspect runs where an arbiter grants it, and the arbiter knows of no hold-off of the instance that asks: its endpoint would be
- * sent a request that it had turned away.
+ * Guards against trials at an endpoint that holds the requesting instance off. The arbiter that grants trials does not know the
+ * instance's hold-offs, so without their exclusion the endpoint would be sent a request in spite of its hold-off.
  */
-t.test("a suspect is not granted a run at an endpoint that holds this instance off", async (t) => {
+t.test("a suspect gets no trial at an endpoint that holds this instance off", async (t) => {
   const { clock, seek, held, open, asked, isApart } = createSuspects();
   t.ok(isApart());
   held.availability.noteHoldOff(longMs, clock.getTime());
@@ -153,10 +153,10 @@
   t.same(asked, [[held.incarnation]]);
   open.availability.noteHoldOff(longMs, clock.getTime());
   const second = await seek();
-  t.ok(second.isErr(), "granted all the same, it is not used");
+  t.ok(second.isErr(), "a grant for it is not used either");
 });
 
-t.test("a suspect is not granted a run at an endpoint that gives this instance no permit", async (t) => {
+t.test("a suspect gets no trial at an endpoint for which this instance gets no permit", async (t) => {
   const { clock, seek, held, open, asked } = createSuspects();
   const time = clock.getTime();
   held.availability.noteLimit(1, { sentAt: time, receivedAt: time }, time);
@@ -168,22 +168,25 @@
   t.same(asked.pop(), [held.incarnation]);
 });
 
-t.test("the later end holds, and an answer to an earlier request does not shorten it", async (t) => {
-  const words = EndpointAvailability.create();
-  t.ok(words.acceptsRequest(0));
-  const earlier = words.beginAttempt();
-  words.noteHoldOff(1_000, 0);
-  words.noteHoldOff(300, 100);
-  t.notOk(words.acceptsRequest(999));
-  t.ok(words.acceptsRequest(1_000));
-  const first = words.beginAttempt();
-  words.endAttempt(earlier, true);
-  t.notOk(words.acceptsRequest(1_000), "the first one is not answered");
-  words.endAttempt(first, true);
-  t.ok(words.acceptsRequest(1_000));
-});
+t.test(
+  "of two hold-offs the later end counts, and a response to an earlier request does not shorten it",
+  async (t) => {
+    const words = EndpointAvailability.create();
+    t.ok(words.acceptsRequest(0));
+    const earlier = words.beginAttempt();
+    words.noteHoldOff(1_000, 0);
+    words.noteHoldOff(300, 100);
+    t.notOk(words.acceptsRequest(999));
+    t.ok(words.acceptsRequest(1_000));
+    const first = words.beginAttempt();
+    words.endAttempt(earlier, true);
+    t.notOk(words.acceptsRequest(1_000), "the first request is not answered yet");
+    words.endAttempt(first, true);
+    t.ok(words.acceptsRequest(1_000));
+  },
+);
 
-t.test("requests come back one, two, four at a time; a refusal begins anew", async (t) => {
+t.test("requests return one, two, four at a time; a refusal starts over", async (t) => {
   const words = EndpointAvailability.create();
   words.noteHoldOff(1_000, 0);
   const fill = (time: number): number[] => {
@@ -203,22 +206,29 @@
   const [next = 0, ...others] = fill(2_500);
   t.equal(others.length, 0);
   words.endAttempt(next, false);
-  t.equal(fill(2_520).length, 1, "one that was not taken makes no room");
+  t.equal(fill(2_520).length, 1, "a request that was not accepted does not raise the bound");
 });
 
-t.test("times are read as seconds, fractions, and dates that count from the answer's own", async (t) => {
-  const date = "Sun, 06 Nov 1994 08:49:37 GMT";
-  const wallTime = Date.parse(date) + 3_000;
-  const read = (text: string, own?: string): number | undefined => parseRetryAfter(text, own, wallTime);
-  t.equal(read("2"), 2_000);
-  t.equal(read(" 0.25 "), 250);
-  t.equal(read("0"), 0);
-  t.equal(read("Sun, 06 Nov 1994 08:49:42 GMT", date), 5_000);
-  t.equal(read("Sunday, 06-Nov-94 08:49:42 GMT", date), 5_000);
-  t.equal(read("Sun, 06 Nov 1994 08:49:42 GMT"), 2_000, "by this instance's clock where it has no date");
-  t.equal(read(date), 0, "a date that is over");
-  t.equal(read("31536000"), longestRetryAfterMs);
-  for (const junk of ["", "soon", "-1", "1e3", "NaN", "Infinity", "2 s", "1,2", "Sun, never"]) {
-    t.equal(read(junk), undefined, junk);
-  }
-});
+t.test(
+  "hold-offs are parsed as seconds, fractions, and dates relative to the response's own date",
+  async (t) => {
+    const date = "Sun, 06 Nov 1994 08:49:37 GMT";
+    const wallTime = Date.parse(date) + 3_000;
+    const read = (text: string, own?: string): number | undefined => parseRetryAfter(text, own, wallTime);
+    t.equal(read("2"), 2_000);
+    t.equal(read(" 0.25 "), 250);
+    t.equal(read("0"), 0);
+    t.equal(read("Sun, 06 Nov 1994 08:49:42 GMT", date), 5_000);
+    t.equal(read("Sunday, 06-Nov-94 08:49:42 GMT", date), 5_000);
+    t.equal(
+      read("Sun, 06 Nov 1994 08:49:42 GMT"),
+      2_000,
+      "by this instance's clock if the response has no date",
+    );
+    t.equal(read(date), 0, "a date in the past");
+    t.equal(read("31536000"), longestRetryAfterMs);
+    for (const junk of ["", "soon", "-1", "1e3", "NaN", "Infinity", "2 s", "1,2", "Sun, never"]) {
+      t.equal(read(junk), undefined, junk);
+    }
+  },
+);
--- a/packages/gateway/test/endpointIncarnations.test.ts
+++ b/packages/gateway/test/endpointIncarnations.test.ts
@@ -1,8 +1,8 @@
 /*
- * An endpoint may start again under the id that it had; its record's `born` then differs. An id was held to name one life:
- * a word that it leaves was never undone, so an endpoint that left and came back under its id was never used again, and
- * what was known of the former life (load, parts of prompts, connections) went on counting for the next. A record of
- * another writer, with a state of another type, counted as an endpoint that leaves.
+ * Guards against state that is shared by two incarnations of an endpoint. An endpoint may start again under its id; its record's
+ * `born` then differs. With state keyed by id, a leaving mark never ended, so an endpoint that left and returned was never used
+ * again, and the load, prompt parts and connections of the previous incarnation were counted for the next one. Besides, a
+ * malformed record of another writer, with a state of another type, counted as a leaving endpoint.
  */
 import t from "tap";
 import { type Endpoint, EndpointConnections, EndpointDirectory, PrefixIndex } from "@gladewall/gateway";
@@ -15,7 +15,7 @@
   waitUntil,
 } from "@gladewall/standins";
 
-/** A directory that follows a platform's records. */
+/** Creates a directory that follows a platform's records. */
 function createDirectory(t: Pick<typeof import("tap").t, "teardown">) {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock);
@@ -33,7 +33,7 @@
   return { clock, platform, directory, find };
 }
 
-t.test("an endpoint that starts again under its id is used again, and begins with nothing", async (t) => {
+t.test("an endpoint that starts again under its id is used again, with a clean state", async (t) => {
   const { clock, platform, directory, find } = createDirectory(t);
   const forgotten: string[] = [];
   directory.onRemoved(({ incarnation: life }) => forgotten.push(life));
@@ -53,7 +53,7 @@
   t.equal(directory.getOfService("web").length, 1);
 });
 
-t.test("a late record of a former life changes nothing of the next one", async (t) => {
+t.test("a late record of an earlier incarnation does not affect the next one", async (t) => {
   const { clock, platform, find } = createDirectory(t);
   platform.putEndpoint({ id: "e", born: 2, address: "127.0.0.1:2" });
   await clock.advance(200);
@@ -65,7 +65,7 @@
   }
 });
 
-t.test("connections and parts of prompts are those of a life", async (t) => {
+t.test("connections and prompt parts belong to an incarnation", async (t) => {
   const { clock, platform, find } = createDirectory(t);
   const connections = EndpointConnections.create();
   const memory = PrefixIndex.create();
@@ -87,7 +87,7 @@
   t.notOk(memory.holds("late", former.incarnation));
 });
 
-t.test("requests go to the next life of an id", async (t) => {
+t.test("requests go to the next incarnation of an id", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
   const lives = await Promise.all([1, 2].map(() => ScriptedEndpoint.create("e", respondSuccess)));
--- a/packages/gateway/test/endpointLimitScenarios.test.ts
+++ b/packages/gateway/test/endpointLimitScenarios.test.ts
@@ -1,7 +1,8 @@
 /*
- * A limit is the fleet's, and each instance hears of it, and of what the others send, at another moment. Kept by each for itself, a
- * limit of one a second let 35 requests of nine instances through in four seconds, and 169 of 320; shared out evenly, 91 of 320.
- * One issuer gives permits out for each life; these plays kill it, pause it, slow it down and cut it off.
+ * Guards against an endpoint that gets more requests than the limit it advertises. The limit is shared by the fleet, but each
+ * instance learns of it, and of the others' requests, at a different time. With a limit of one a second, nine instances that each
+ * kept to it sent 35 requests in four seconds, and 320 instances sent 169, or 91 with equal shares. Therefore one issuer gives
+ * out the permits for each incarnation; these simulations kill it, pause it, slow it down and disconnect it.
  */
 import t from "tap";
 import { type PermitScenario, runPermitScenario } from "./permitFleet.js";
@@ -16,7 +17,7 @@
 };
 const seeds = [1, 2, 3];
 
-t.test("however many instances want more, an endpoint gets what it takes", async (t) => {
+t.test("an endpoint gets no more requests than it accepts, however many instances want more", async (t) => {
   for (const [perSecond, instances] of [
     [1, 1],
     [0, 9],
@@ -33,13 +34,13 @@
     const named = [{ from: 0, perSecond }];
     const play = { ...standing, instances, named, offeredPerSecond: 40 * Math.max(1, perSecond) };
     const { maxShare: worst, admittedShare: givenOut, messagesPerSecond } = await runPermitScenario(play);
-    const told = `${perSecond} a second, ${instances} instances: ${worst.toFixed(2)}, given out ${givenOut.toFixed(2)}, ${messagesPerSecond.toFixed(1)} messages a second`;
+    const told = `${perSecond} a second, ${instances} instances: ${worst.toFixed(2)}, granted ${givenOut.toFixed(2)}, ${messagesPerSecond.toFixed(1)} messages a second`;
     t.ok(worst <= 1, told);
     if (perSecond >= 0.5) t.ok(givenOut >= 0.75, told);
   }
 });
 
-t.test("an issuer that is killed, stands still, is slow or cut off lets no more through", async (t) => {
+t.test("an issuer that is killed, paused, slow or disconnected lets no more requests through", async (t) => {
   const at = [6, 9, 9.6, 15].map((time) => time * second);
   const troubles: Readonly<Record<string, Partial<PermitScenario>>> = {
     killed: { issuerKills: at },
@@ -70,24 +71,27 @@
   }
 });
 
-t.test("a limit that changes and ends is followed, and the crowd does not come back at once", async (t) => {
-  for (const seed of seeds) {
-    for (const instances of [9, 32]) {
-      const named = [
-        { from: 2 * second, perSecond: 20 },
-        { from: 8 * second, perSecond: 2 },
-        { from: 16 * second, perSecond: undefined },
-      ];
-      const play = { ...standing, seed, instances, named, offeredPerSecond: 200 };
-      const { maxShare: worst, freedAfterMs } = await runPermitScenario(play);
-      const told = `${instances} instances, seed ${seed}: ${worst.toFixed(2)}, free after ${freedAfterMs} ms`;
-      t.ok(worst <= 1, told);
-      t.ok(freedAfterMs !== undefined, told);
+t.test(
+  "changes and the end of a limit take effect, and waiting requests do not all return at once",
+  async (t) => {
+    for (const seed of seeds) {
+      for (const instances of [9, 32]) {
+        const named = [
+          { from: 2 * second, perSecond: 20 },
+          { from: 8 * second, perSecond: 2 },
+          { from: 16 * second, perSecond: undefined },
+        ];
+        const play = { ...standing, seed, instances, named, offeredPerSecond: 200 };
+        const { maxShare: worst, freedAfterMs } = await runPermitScenario(play);
+        const told = `${instances} instances, seed ${seed}: ${worst.toFixed(2)}, unlimited after ${freedAfterMs} ms`;
+        t.ok(worst <= 1, told);
+        t.ok(freedAfterMs !== undefined, told);
+      }
     }
-  }
-});
+  },
+);
 
-t.test("the more urgent have the permits while they want them, the others what is left", async (t) => {
+t.test("more urgent requests get permits first, the others what is left", async (t) => {
   const base = { ...standing, named: [{ from: 0, perSecond: 5 }], endsAt: 40 * second };
   const few = await runPermitScenario({ ...base, offeredPerSecond: 40, urgentShare: 0.05 });
   const many = await runPermitScenario({ ...base, offeredPerSecond: 40, urgentShare: 0.5 });
@@ -97,11 +101,17 @@
   t.ok(few.maxShare <= 1 && many.maxShare <= 1, told);
 });
 
-t.test("beside builds that know nothing of limits, permits come from those that do", async (t) => {
-  for (const oldBuilds of [1, 2, 3, 8]) {
-    const { maxShare: worst, admittedShare: givenOut } = await runPermitScenario({ ...standing, oldBuilds });
-    const told = `${oldBuilds} of 9: ${worst.toFixed(2)}, given out ${givenOut.toFixed(2)}`;
-    t.ok(worst <= 1, told);
-    t.ok(givenOut > 0, told);
-  }
-});
+t.test(
+  "in a fleet with older builds that don't know limits, permits come from the other instances",
+  async (t) => {
+    for (const oldBuilds of [1, 2, 3, 8]) {
+      const { maxShare: worst, admittedShare: givenOut } = await runPermitScenario({
+        ...standing,
+        oldBuilds,
+      });
+      const told = `${oldBuilds} of 9: ${worst.toFixed(2)}, given out ${givenOut.toFixed(2)}`;
+      t.ok(worst <= 1, told);
+      t.ok(givenOut > 0, told);
+    }
+  },
+);
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -1,8 +1,9 @@
 /*
- * Endpoints in need named in their answers how many requests a second they take of all instances together, and got more: two that
- * had named one a second got 12 within four seconds, 11 being borne. Nobody read the word: no line of a log told of it, and every
- * request.served still had candidates=6, all endpoints of the service. Seven instances sent the 12 requests, none more than four, so
- * each keeping to the limit by itself would have sent as many.
+ * Guards against ignored limits. Overloaded endpoints advertise in their responses how many requests a second they accept of all
+ * instances together. Because nothing read that, two endpoints that advertised one a second got 12 within four seconds, where 11
+ * are tolerated, no log line mentioned it, and every request.served still had candidates=6, all endpoints of the service. Seven
+ * instances sent the 12 requests, none more than four, so instances that each kept to the limit by themselves would have sent as
+ * many.
  */
 import t, { type Test } from "tap";
 import {
@@ -33,7 +34,7 @@
 import { largeFleet } from "./crashingEndpoints.js";
 import { createKnownEndpoint } from "./knownEndpoints.js";
 
-/** Answers well and names a limit; notes when requests arrive. */
+/** Answers successfully and advertises a limit; records when requests arrive. */
 function createLimited(perSecond: number) {
   const arrivals: number[] = [];
   const script = (call: EndpointRequest): void => {
@@ -45,7 +46,7 @@
   return { script, getWorst, arrivals };
 }
 
-/** Instances before one endpoint that names a limit and has told one of them so, and others that do not. */
+/** Starts instances, one endpoint that advertises a limit and has answered one of them, and other endpoints without a limit. */
 async function startLimited(
   t: Pick<Test, "teardown">,
   instanceCount: number,
@@ -82,7 +83,7 @@
   return { bench, limited, endpoint: endpoints[0]!, callAll };
 }
 
-t.test("all instances together send an endpoint no more than the limit that it names", async (t) => {
+t.test("all instances together send an endpoint no more than the limit that it advertises", async (t) => {
   for (const [instances, perSecond] of [
     [1, 1],
     [4, 1],
@@ -95,32 +96,29 @@
     t.ok(limited.getWorst() <= getAllowedArrivals(perSecond), told);
     t.ok(
       answers.every(({ status }) => status === 200),
-      "others serve what it does not take",
+      "other endpoints serve what it does not accept",
     );
   }
 });
 
-t.test("the same holds where instances hear of each other from readers only", async (t) => {
+t.test("the same holds if instances learn of each other only from readers", async (t) => {
   const { limited, callAll } = await startLimited(t, 6, 1, 1, true);
   const answers = await callAll(40);
   t.ok(limited.getWorst() <= getAllowedArrivals(1), String(limited.getWorst()));
   t.ok(answers.every(({ status }) => status === 200));
 });
 
-t.test(
-  "where every endpoint names a limit, callers are refused at once, and told when to come back",
-  async (t) => {
-    const { bench, limited, callAll } = await startLimited(t, 3, 0.5, 0);
-    const answers = await callAll(60);
-    const refused = answers.filter(({ status }) => status === 503);
-    t.ok(limited.getWorst() <= getAllowedArrivals(0.5), String(limited.getWorst()));
-    t.ok(refused.length > 150, String(refused.length));
-    for (const { headers } of refused) t.ok(Number(headers["retry-after"]) >= 0.3);
-    const metrics = await bench.readMetrics(bench.instances[0]!);
-    t.match(metrics, /gladewall_limited_endpoints 1\n/);
-    t.match(metrics, /gladewall_permit_asks_total\{word="refused"\} \d+/);
-  },
-);
+t.test("if every endpoint advertises a limit, callers are refused at once with a Retry-After", async (t) => {
+  const { bench, limited, callAll } = await startLimited(t, 3, 0.5, 0);
+  const answers = await callAll(60);
+  const refused = answers.filter(({ status }) => status === 503);
+  t.ok(limited.getWorst() <= getAllowedArrivals(0.5), String(limited.getWorst()));
+  t.ok(refused.length > 150, String(refused.length));
+  for (const { headers } of refused) t.ok(Number(headers["retry-after"]) >= 0.3);
+  const metrics = await bench.readMetrics(bench.instances[0]!);
+  t.match(metrics, /gladewall_limited_endpoints 1\n/);
+  t.match(metrics, /gladewall_permit_asks_total\{word="refused"\} \d+/);
+});
 
 t.test("only an answer that served a request ends a limit", async (t) => {
   const { bench, endpoint } = await startLimited(t, 1, 1_000, 0);
@@ -131,27 +129,27 @@
     while (endpoint.requests.length === known) await bench.call(instance!);
     return (await bench.readMetrics(instance!)).includes("gladewall_limited_endpoints 1");
   };
-  t.ok(await isLimited(respondNotRun), "a refusal without the word");
+  t.ok(await isLimited(respondNotRun), "a refusal without a limit");
   t.ok(
     await isLimited(({ id, response }) => {
       response.writeHead(500, { "x-id": id, "content-length": 0 });
       response.end();
     }),
-    "a failure without the word",
+    "a failure without a limit",
   );
   t.notOk(await isLimited(respondSuccess));
 });
 
-/** Times of an answer whose request was sent and which came then. */
+/** Times of a response: when its request was sent, and when it was received. */
 function at(sentAt: number, receivedAt: number) {
   return { sentAt, receivedAt: receivedAt };
 }
 
-t.test("answers that pass each other neither end a limit nor bring it back", async (t) => {
+t.test("responses that overtake each other neither end a limit nor restore it", async (t) => {
   const limit = EndpointLimit.create();
   t.equal(limit.noteOmitted(0), LimitChange.None);
   t.equal(limit.noteAdvertised(5, at(10, 20)), LimitChange.Begun);
-  t.equal(limit.noteOmitted(15), LimitChange.None, "sent before the word came");
+  t.equal(limit.noteOmitted(15), LimitChange.None, "sent before the limit was received");
   t.equal(
     limit.noteAdvertised(8, at(15, 30)),
     LimitChange.None,
@@ -165,29 +163,32 @@
   t.equal(
     limit.noteAdvertised(9, at(45, 50)),
     LimitChange.None,
-    "an answer that came before the end, told late",
+    "a response from before the end, reported late",
   );
-  t.equal(limit.noteAdvertised(9, at(45, 60)), LimitChange.Begun, "one that came after it");
+  t.equal(limit.noteAdvertised(9, at(45, 60)), LimitChange.Begun, "a response from after it");
 });
 
-t.test("permits are used within a short time, and a refusal holds off all but the more urgent", async (t) => {
-  const limit = EndpointLimit.create();
-  limit.noteAdvertised(1, at(0, 0));
-  t.ok(limit.mayRequestPermits(0, 3));
-  t.equal(limit.beginPermitCall(), 1);
-  t.notOk(limit.mayRequestPermits(1, 0), "one question at a time");
-  limit.endPermitCall({ permits: 1, waitMs: 0 }, 3, 10);
-  t.ok(limit.mayRequestPermits(20, 3));
-  t.notOk(limit.tryUsePermit(300), "lapsed");
-  limit.beginPermitCall();
-  limit.endPermitCall({ permits: 0, waitMs: 1_000 }, 3, 310);
-  t.notOk(limit.mayRequestPermits(320, 3));
-  t.ok(limit.mayRequestPermits(320, 2));
-  t.equal(limit.getWaitMs(320), 990);
-  t.ok(limit.mayRequestPermits(1_310, 3));
-});
+t.test(
+  "permits expire after a short time, and a refusal holds back all but more urgent requests",
+  async (t) => {
+    const limit = EndpointLimit.create();
+    limit.noteAdvertised(1, at(0, 0));
+    t.ok(limit.mayRequestPermits(0, 3));
+    t.equal(limit.beginPermitCall(), 1);
+    t.notOk(limit.mayRequestPermits(1, 0), "one request to the issuer at a time");
+    limit.endPermitCall({ permits: 1, waitMs: 0 }, 3, 10);
+    t.ok(limit.mayRequestPermits(20, 3));
+    t.notOk(limit.tryUsePermit(300), "expired");
+    limit.beginPermitCall();
+    limit.endPermitCall({ permits: 0, waitMs: 1_000 }, 3, 310);
+    t.notOk(limit.mayRequestPermits(320, 3));
+    t.ok(limit.mayRequestPermits(320, 2));
+    t.equal(limit.getWaitMs(320), 990);
+    t.ok(limit.mayRequestPermits(1_310, 3));
+  },
+);
 
-t.test("limits are decimal numbers; of several the lowest holds; others can't be read", async (t) => {
+t.test("limits are decimal numbers; the lowest of several counts; other values are rejected", async (t) => {
   const readable: Readonly<Record<string, number>> = {
     0: 0,
     "1.5": 1.5,
@@ -204,7 +205,7 @@
   }
 });
 
-/** A directory that knows no records, and its limits. */
+/** Creates a directory without records, and its limits. */
 function createLimits(lines: string[]) {
   const clock = VirtualClock.create(1_000);
   const logger = Logger.create(LogLevel.Info, {}, (line) => lines.push(line));
@@ -220,7 +221,7 @@
 }
 
 t.test(
-  "a limit stays with its life: forgotten, listed again, unread words; the next life is free",
+  "a limit belongs to an incarnation: it survives its record and malformed values; the next incarnation has none",
   async (t) => {
     const lines: string[] = [];
     const { clock, directory, limits } = createLimits(lines);
@@ -240,17 +241,17 @@
     t.match(told, { life: endpoint.incarnation, perSecond: 2, ageMs: 10 });
     const peer = createLimits([]);
     t.equal(peer.limits.mergePeer(told, "i2"), true);
-    t.equal(peer.limits.mergePeer(told, "i2"), false, "told again, it is not handed on");
+    t.equal(peer.limits.mergePeer(told, "i2"), false, "reported again, it is not relayed");
     t.equal(
       peer.limits.mergePeer({ life: endpoint.incarnation, ageMs: 20 }, "i3"),
       false,
-      "an end from before the word",
+      "an end from before the limit",
     );
     t.equal(peer.limits.mergePeer({ life: endpoint.incarnation, ageMs: 5 }, "i3"), true);
   },
 );
 
-t.test("a limit does not hide that its endpoint leaves, or wants nothing for a time", async (t) => {
+t.test("a limit does not hide a hold-off of its endpoint", async (t) => {
   const endpoint = createKnownEndpoint({ id: "e" });
   const { availability: words } = endpoint;
   words.noteLimit(2, at(0, 0), 0);
@@ -266,7 +267,7 @@
   t.notOk(endpoint.acceptsRequest(1_002), "one request goes first");
 });
 
-/** Permits of one of some instances, none of which gives any out. */
+/** Creates the permit client of one instance in a fleet without an issuer. */
 function createLonePermits(fleetSize: number) {
   const { clock, limits } = createLimits([]);
   const permits = PermitClient.create({
@@ -282,7 +283,7 @@
       own: "i1",
       getReaders: () => ["i2", "i3"],
       isLinked: () => true,
-      call: () => Promise.reject(new Error("nobody is asked")),
+      call: () => Promise.reject(new Error("no arbiter may be asked")),
     }),
     isAble: () => false,
     getFleetSize: () => fleetSize,
@@ -302,10 +303,14 @@
 }
 
 t.test(
-  "without an issuer each instance keeps to its part of half of a limit, or goes elsewhere",
+  "without an issuer each instance keeps to its share of half of the limit, or uses other endpoints",
   async (t) => {
     const small = await createLonePermits(4).countIn(80);
     t.ok(small >= 8 && small <= 10, `${small} of 10 in 80 s, a fleet of four`);
-    t.equal(await createLonePermits(10).countIn(80), 0, "a fleet in which one saved by each is too much");
+    t.equal(
+      await createLonePermits(10).countIn(80),
+      0,
+      "a fleet in which one saved request of each instance is too much",
+    );
   },
 );
--- a/packages/gateway/test/fedFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Three readers of the store and an instance that they tell, on a virtual clock and without links, and departures of an
- * endpoint played on them.
+ * Simulates departures of an endpoint in a fleet of three instances that read the store and one that is fed by them, on a virtual
+ * clock and without links.
  * @module
  */
 import {
@@ -14,13 +14,13 @@
 import { FakePlatform, StoreFault } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 
-/** Time in which work must stop going to an endpoint that leaves; milliseconds. */
+/** Time within which instances must stop sending requests to a leaving endpoint; milliseconds. */
 export const drainMs = 3_000;
 const turnMs = 250;
-/** How closely times are told apart. */
+/** Step of the simulation, which is the resolution of its times. */
 export const stepMs = 50;
 
-/** An instance's view of the store, without its links: who asks whom is said by the test. */
+/** An instance's view of the store, without its links: the test decides which instance asks which. */
 class StoreView {
   private constructor(
     readonly configuration: ConfigurationFollower,
@@ -74,7 +74,7 @@
 
 const readerNames = ["r1", "r2", "r3"];
 
-/** Three readers of the store, and an instance that they tell. */
+/** Three readers of the store, and an instance that is fed by them. */
 class FedFleet {
   readonly clock = VirtualClock.create();
   readonly platform = FakePlatform.create(this.clock, stepMs);
@@ -95,7 +95,7 @@
     return fleet;
   }
 
-  /** What an instance does at each of its reports. */
+  /** Does what each instance does at its report interval. */
   private takeTurn(): void {
     this.clock.startTimer(turnMs, () => this.takeTurn());
     for (const reader of this.readers) {
@@ -121,28 +121,28 @@
   }
 }
 
-/** One way in which an endpoint leaves while the store turns some readers away. */
+/** A departure of an endpoint while the store refuses some readers. */
 export interface Departure {
-  /** When the store turns each reader away, and for how long; milliseconds. */
+  /** When the store refuses each reader, and for how long; milliseconds. */
   readonly troubles: readonly { readonly at: number; readonly lasts: number }[];
-  /** When the store acknowledges that the endpoint leaves. */
+  /** When the store acknowledges that the endpoint is leaving. */
   readonly leavesAt: number;
-  /** Whether its record says that it leaves; else the record vanishes. */
+  /** Whether its record is written as leaving; otherwise the record is removed. */
   readonly isStated: boolean;
-  /** Endpoints of the same service that leave with it; of six, none unless the test says so. */
+  /** Endpoints of the same service, which has six, that leave with it; none by default. */
   readonly together?: readonly string[];
-  /** When the watches that are under way fall silent. */
+  /** When the open watches stop delivering. */
   readonly silentAt?: number;
 }
 
-/** Milliseconds after the acknowledgement of a departure for which the endpoint was used. */
+/** How long the endpoint was still used after its departure was acknowledged; milliseconds. */
 export interface UsedFor {
   readonly told: number;
-  /** The longest of all readers. */
+  /** The longest time over all readers. */
   readonly readers: number;
 }
 
-/** Plays a departure. */
+/** Simulates a departure. */
 export async function runDepartureScenario(departure: Departure): Promise<UsedFor> {
   const { troubles, leavesAt, isStated, together = [], silentAt } = departure;
   const fleet = await FedFleet.create();
--- a/packages/gateway/test/innocentRequests.test.ts
+++ b/packages/gateway/test/innocentRequests.test.ts
@@ -1,6 +1,6 @@
 /*
- * Connections are cut, answers lost and addresses refused while no endpoint has ended under a request: none of these may
- * make a request count as one that ends endpoints.
+ * Guards against false suspects: connections are interrupted, responses are lost and addresses refuse connections while no
+ * endpoint crashes under a request. None of these may make a request a suspect.
  */
 import t, { type Test } from "tap";
 import { RouteKind } from "@gladewall/gateway";
@@ -15,19 +15,19 @@
 } from "@gladewall/standins";
 import { startCrashingFleet } from "./crashingEndpoints.js";
 
-/** What goes wrong with one request at an endpoint that lives. */
+/** Faults of one request at an endpoint that keeps running. */
 const troubles: Readonly<Record<string, (call: EndpointRequest) => void>> = {
   "a connection that is reset": ({ socket }) => void socket.resetAndDestroy(),
-  "an answer that is lost": ({ socket }) => void socket.destroy(),
-  "an answer that is cut": ({ id, response, socket }) => {
+  "a response that is lost": ({ socket }) => void socket.destroy(),
+  "a response that is interrupted": ({ id, response, socket }) => {
     response.writeHead(200, { "x-id": id, "x-stamp": "signed", "content-length": 100 });
     response.write("half", () => socket.destroy());
   },
-  "an answer of another request": ({ response }) => {
+  "a response to another request": ({ response }) => {
     response.writeHead(200, { "x-id": "another", "x-stamp": "signed", "content-length": 2 });
     response.end("no");
   },
-  "bytes that are no answer": ({ socket }) => void socket.end("this is no answer\r\n\r\n"),
+  "bytes that are no response": ({ socket }) => void socket.end("this is no answer\r\n\r\n"),
 };
 
 async function createTestBench(t: Pick<Test, "teardown">, kind: RouteKind) {
@@ -47,7 +47,7 @@
 
 for (const [trouble, script] of Object.entries(troubles)) {
   for (const kind of [RouteKind.Safe, RouteKind.Unsafe]) {
-    t.test(`${trouble} speaks against no request (${RouteKind[kind].toLowerCase()})`, async (t) => {
+    t.test(`${trouble} makes no request a suspect (${RouteKind[kind].toLowerCase()})`, async (t) => {
       const { bench, endpoint, instance } = await createTestBench(t, kind);
       endpoint.script = script;
       for (let index = 0; index < 5; index++) {
@@ -61,16 +61,19 @@
   }
 }
 
-t.test("an address that refuses connections speaks against no request that was not cut there", async (t) => {
-  const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
-  await endpoint.close();
-  for (let index = 0; index < 5; index++) {
-    t.equal((await bench.call(instance, { method: "POST", body: "same" })).status, 503);
-  }
-  t.equal(await readCount(bench, instance, "gladewall_suspects"), 0);
-});
+t.test(
+  "an address that refuses connections makes no request a suspect that was not interrupted there",
+  async (t) => {
+    const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
+    await endpoint.close();
+    for (let index = 0; index < 5; index++) {
+      t.equal((await bench.call(instance, { method: "POST", body: "same" })).status, 503);
+    }
+    t.equal(await readCount(bench, instance, "gladewall_suspects"), 0);
+  },
+);
 
-t.test("a planned end speaks against no request", async (t) => {
+t.test("a planned stop makes no request a suspect", async (t) => {
   const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
   endpoint.script = () => undefined;
   const answer = bench.call(instance, { method: "POST", body: "same" });
@@ -82,7 +85,7 @@
   t.equal(await readCount(bench, instance, "gladewall_suspects"), 0);
 });
 
-t.test("a caller that left before its endpoint ended is no suspect", async (t) => {
+t.test("a request whose caller disconnected before the endpoint crashed is no suspect", async (t) => {
   const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
   endpoint.script = () => undefined;
   const caller = new AbortController();
@@ -96,7 +99,7 @@
 });
 
 t.test(
-  "what ran beside a request that ends endpoints is answered, and not held against its callers",
+  "requests in flight beside one that crashes endpoints are answered, and stay unrestricted",
   async (t) => {
     const { bench, endpoints } = await startCrashingFleet(t, 3, 4);
     const held: EndpointRequest[] = [];
@@ -108,7 +111,7 @@
     const deadly = Array.from({ length: 3 }, (_, index) => send("deadly", index));
     await Promise.all(deadly);
     endpoints.script = respondSuccess;
-    // Those that were not cut are answered where they are, the others where they were sent on to.
+    // Requests that were not interrupted are answered where they are, the others where they were retried.
     for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
     await Promise.all(innocent);
     await endpoints.replace();
--- a/packages/gateway/test/knownEndpoints.ts
+++ b/packages/gateway/test/knownEndpoints.ts
@@ -1,10 +1,10 @@
 /**
- * Endpoints as an instance knows them from their records, for tests without a platform.
+ * Creates endpoints as an instance knows them from their records, for tests without a platform.
  * @module
  */
 import { Endpoint, type EndpointRecord } from "@gladewall/gateway";
 
-/** Creates an endpoint; what its record leaves out stays at small defaults. */
+/** Creates an endpoint; fields left out of its record take small defaults. */
 export function createKnownEndpoint(record: Partial<EndpointRecord> & Pick<EndpointRecord, "id">): Endpoint {
   return Endpoint.create({
     service: "web",
--- a/packages/gateway/test/leavingEndpoints.test.ts
+++ b/packages/gateway/test/leavingEndpoints.test.ts
@@ -1,4 +1,7 @@
-// Allowances out of one bound added up: a change was heard of late, and then its record was used on as if it had vanished.
+/*
+ * Guards against two delays that together exceed the drain time: an instance learned late of a removed record, and then kept
+ * using the endpoint as if its record had vanished in a store failure.
+ */
 import * as fc from "fast-check";
 import t from "tap";
 import { EndpointDirectory, type MetadataStore } from "@gladewall/gateway";
@@ -7,7 +10,7 @@
 import { type FollowedPrefix, followPrefix } from "./followers.js";
 import { type Departure, drainMs, runDepartureScenario, stepMs } from "./fedFleet.js";
 
-/** What the way of a request to its endpoint may take. */
+/** Time that a request may take to reach its endpoint. */
 const sendingMs = 150;
 
 const duration = fc.oneof(fc.integer({ min: 0, max: 1_500 }), fc.integer({ min: 0, max: 9_000 }));
@@ -18,7 +21,7 @@
   isStated: fc.boolean(),
 });
 
-/** Drawn departures after which an endpoint was used for too long. */
+/** Generated departures after which an endpoint was used for too long. */
 const found: readonly Departure[] = [
   {
     troubles: [
@@ -49,7 +52,7 @@
 ];
 
 t.test(
-  "whichever readers the store turns away, work stops going to an endpoint that leaves in time",
+  "a leaving endpoint stops getting requests in time, whichever readers the store refuses",
   async (t) => {
     const property = fc.asyncProperty(departure, async (drawn) => {
       const usedFor = await runDepartureScenario(drawn);
@@ -65,7 +68,7 @@
   },
 );
 
-t.test("a reader that the store turns away learns from another that an endpoint leaves", async (t) => {
+t.test("a reader that the store refuses learns from another one that an endpoint is leaving", async (t) => {
   const one = fc.record({
     troubles: fc.array(trouble, { minLength: 1, maxLength: 2 }),
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
@@ -79,7 +82,7 @@
   t.equal(report.failed, false, JSON.stringify(report.counterexample));
 });
 
-/** A drawn departure of half a service after which it was used beyond the drain time. */
+/** A generated departure of half a service after which it was used beyond the drain time. */
 const foundTogether: Departure = {
   troubles: [
     { at: 2_434, lasts: 6_185 },
@@ -90,8 +93,8 @@
   together: ["b", "c"],
 };
 
-// Half of one small service counted as the store's own loss, which has until the store is back.
-t.test("half of one service that leaves while other services stay stops being used in time", async (t) => {
+// Guards against half of one small service counting as a loss by the store, whose endpoints are used until the store is back.
+t.test("half of one service that leaves while other services stay is no longer used in time", async (t) => {
   const half: fc.Arbitrary<Departure> = fc.record({
     troubles: fc.array(trouble, { minLength: 1, maxLength: 3 }),
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
@@ -111,7 +114,7 @@
   t.equal(report.failed, false, JSON.stringify(report.counterexample));
 });
 
-t.test("a watch that falls silent without an error is found out in time", async (t) => {
+t.test("a watch that stops delivering without an error is detected in time", async (t) => {
   const silent = fc.record({
     troubles: fc.constant([]),
     silentAt: fc.integer({ min: 0, max: 3_000 }),
@@ -126,20 +129,20 @@
   t.equal(report.failed, false, JSON.stringify(report.counterexample));
 });
 
-/** Follows the endpoints of a platform; the keys that are present are kept. */
+/** Follows the endpoints of a platform, and records the keys that are present. */
 function follow(store: MetadataStore, prefix: string, clock: VirtualClock): FollowedPrefix {
   const followed = followPrefix(store, prefix, clock, { watchWaitMs: 600 });
   followed.follower.start();
   return followed;
 }
 
-/** Closes what runs on a virtual clock. */
+/** Advances the virtual clock until closing has finished. */
 async function close(closing: Promise<void>, clock: VirtualClock): Promise<void> {
   await clock.advance(20_000);
   await closing;
 }
 
-t.test("a listing that was under way when a removal came in does not bring back what went", async (t) => {
+t.test("a listing that was under way when a removal arrived does not restore the removed item", async (t) => {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock);
   platform.putEndpoint({ id: "a", address: "127.0.0.1:1" });
@@ -171,7 +174,7 @@
   await close(follower.close(), clock);
 });
 
-t.test("a watch that was deaf while something changed does not hide the change", async (t) => {
+t.test("a watch that missed a change does not hide it", async (t) => {
   const clock = VirtualClock.create();
   const platform = FakePlatform.create(clock, stepMs);
   platform.putEndpoint({ id: "a", address: "127.0.0.1:1" });
@@ -181,7 +184,7 @@
   t.equal(present.size, 1);
   platform.shared.hidesChanges = true;
   platform.removeEndpoint("a");
-  // Long enough for a watch to end that has heard nothing, and for the next one to begin.
+  // Long enough for a watch without events to end, and for the next one to begin.
   await clock.advance(1_000);
   platform.shared.compactHistory();
   platform.shared.hidesChanges = false;
@@ -191,7 +194,7 @@
 });
 
 t.test(
-  "the log says how old a word may be that an endpoint leaves, and which trouble explains it",
+  "the log says how old the news of a leaving endpoint may be, and which store failure explains it",
   async (t) => {
     const clock = VirtualClock.create();
     const platform = FakePlatform.create(clock, stepMs);
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -1,7 +1,7 @@
 /**
- * A fleet before one endpoint that names a limit, on a virtual clock and without sockets: instances hear the word in answers and
- * from peers, ask for permits, are killed, paused, slowed and cut off; messages are under way for a while. Judged by what arrives
- * at the endpoint in an exact sliding window.
+ * Simulates a fleet and one endpoint that advertises a limit, on a virtual clock and without sockets. Instances learn of the
+ * limit from responses and peers, request permits, and are killed, paused, slowed and disconnected; messages have a delay. The
+ * result is the number of requests that arrive at the endpoint in an exact sliding window.
  * @module
  */
 import {
@@ -23,55 +23,55 @@
 import { createKnownEndpoint } from "./knownEndpoints.js";
 import { createSpreadRandom, StepClock } from "./stepClock.js";
 
-/** Trouble of some instances; times are milliseconds from the start. */
+/** A fault of some instances; times are milliseconds from the start. */
 export interface FaultPeriod {
   readonly at: number;
   readonly forMs: number;
 }
 
-/** What is played. */
+/** Parameters of a simulation. */
 export interface PermitScenario {
   readonly seed: number;
   readonly instances: number;
-  /** What the endpoint names from a time on; undefined: nothing. */
+  /** Limit that the endpoint advertises from a time on; undefined: none. */
   readonly named: readonly { readonly from: number; readonly perSecond: number | undefined }[];
-  /** Requests a second that would go to the endpoint, over the whole fleet. */
+  /** Requests a second that the whole fleet would send to the endpoint without a limit. */
   readonly offeredPerSecond: number;
   readonly endsAt: number;
-  /** When the issuer is killed; it starts again after `restartMs`. */
+  /** Times at which the issuer is killed; it starts again after `restartMs`. */
   readonly issuerKills?: readonly number[];
-  /** When the issuer stands still. */
+  /** When the issuer is paused. */
   readonly issuerPauses?: readonly FaultPeriod[];
-  /** When half of the others can't reach the issuer. */
+  /** When half of the other instances can't reach the issuer. */
   readonly issuerCuts?: readonly FaultPeriod[];
   /** When the issuer's messages take `slowMs`. */
   readonly issuerSlow?: readonly FaultPeriod[];
-  /** Instances of a build that knows nothing of limits. */
+  /** Number of instances of an older build that doesn't know limits. */
   readonly oldBuilds?: number;
   /** Share of requests that are more urgent than the others. */
   readonly urgentShare?: number;
 }
 
-/** What came of a play. */
+/** Result of a simulation. */
 export interface PermitResult {
-  /** Most that arrived in a window, as a share of what is borne. */
+  /** Most requests that arrived in a window, as a share of the tolerated number. */
   readonly maxShare: number;
-  /** Arrivals of the last naming of the play, as a share of the limit. */
+  /** Arrivals under the last advertised limit, as a share of that limit. */
   readonly admittedShare: number;
-  /** The same of the more urgent requests. */
+  /** The same for the more urgent requests. */
   readonly urgentAdmittedShare: number;
-  /** Questions and words a second of the busiest instance. */
+  /** Messages a second of the busiest instance. */
   readonly messagesPerSecond: number;
-  /** Time from the end of the last word until every instance knew it; undefined where some do not. */
+  /** Milliseconds from the end of the last limit until every instance knew of it; undefined if some do not. */
   readonly freedAfterMs: number | undefined;
 }
 
-/** Time after a word from which arrivals are judged. */
+/** Time after a change of the limit from which arrivals are counted. */
 const checkedAfterMs = 1_000;
 const delayMs = 3;
 const slowMs = 120;
 const workMs = 40;
-/** Share of requests whose connection is slow to come up, and how slow at the most. */
+/** Share of requests with a slow connection setup, and its longest duration. */
 const slowConnects = 0.05;
 const slowConnectMs = 250;
 const restartMs = 700;
@@ -91,7 +91,7 @@
 
 type Handler = (message: PeerMessage, peer: PeerIdentity) => unknown;
 
-/** One life of one instance. */
+/** One incarnation of one instance. */
 class Member {
   readonly endpoint: Endpoint = createKnownEndpoint({ id: "e" });
   readonly handlers = new Map<number, Handler>();
@@ -144,7 +144,7 @@
     if (!knowsLimits) this.handlers.clear();
   }
 
-  /** The fleet as words see it. */
+  /** The fleet as the broadcaster sees it. */
   private createFleet() {
     const { fleet, name } = this;
     const links = {
@@ -205,7 +205,7 @@
   private readonly members = new Map<string, Member>();
   private readonly names: readonly string[];
   private readonly arrivals: Arrival[] = [];
-  /** Since when an instance that stands still or is cut off has said nothing, by `from to`. */
+  /** Since when a paused or disconnected instance has been silent, by `from to`. */
   private readonly silentSince = new Map<string, number>();
   private readonly cutUntil = new Map<string, number>();
   private requests = 0;
@@ -221,7 +221,7 @@
     return this.play.instances <= largestMesh;
   }
 
-  /** So many that live, and those before them that don't and are still listed. */
+  /** The first running instances by order, and those before them that are down and still listed. */
   getReaders(): readonly string[] {
     const alive = this.names.filter((name) => this.members.has(name)).slice(0, readerCount);
     return this.names.slice(0, this.names.indexOf(alive.at(-1) ?? "") + 1);
@@ -246,7 +246,7 @@
     return (this.cutUntil.get(`${name} ${peer}`) ?? 0) > this.clock.getTime();
   }
 
-  /** Delivers a message when it has arrived and its receiver does not stand still. */
+  /** Delivers a message after its delay, once its receiver is not paused. */
   send(from: Member, name: string, take: (member: Member) => void): void {
     const time = this.clock.getTime();
     const isSlow = from.slowUntil > time || (this.members.get(name)?.slowUntil ?? 0) > time;
@@ -260,7 +260,7 @@
     this.clock.startTimer(isSlow ? slowMs : delayMs, deliver);
   }
 
-  /** Plays to the end. */
+  /** Runs the simulation to its end. */
   async run(): Promise<PermitResult> {
     const { clock, play } = this;
     this.planTroubles();
@@ -374,7 +374,7 @@
     }
   }
 
-  /** One request comes to an instance, which sends it to the endpoint where it may. */
+  /** Simulates the arrival of one request at an instance, which sends it to the endpoint if it may. */
   private request(): void {
     const alive = [...this.members.values()].filter(({ pausedUntil }) => pausedUntil <= this.clock.getTime());
     const member = alive[Math.floor(this.draw() * alive.length)];
@@ -412,7 +412,7 @@
   }
 }
 
-/** Plays a fleet. */
+/** Runs a simulation. */
 export function runPermitScenario(play: PermitScenario): Promise<PermitResult> {
   return new PermitFleet(play).run();
 }
--- a/packages/gateway/test/prefillRates.test.ts
+++ b/packages/gateway/test/prefillRates.test.ts
@@ -17,7 +17,7 @@
   return PrefillRates.create({ clock, logger: Logger.createSilent(), initialRate: 50 });
 }
 
-/** First events of an engine that reads at a rate: prompts of 100 to 12,000 tokens. */
+/** Records first events of an engine with a prefill rate: prompts of 100 to 12,000 tokens. */
 function teach(rates: PrefillRates, rate: number, count = 200): void {
   for (let index = 0; index < count; index++) {
     const tokens = 100 + ((index * 7_919) % 11_900);
@@ -25,30 +25,33 @@
   }
 }
 
-t.test("engines of 30, 64 and 157 tokens a millisecond are learned within a tenth", async (t) => {
+t.test("rates of 30, 64 and 157 tokens a millisecond are learned to within a tenth", async (t) => {
   for (const rate of [30, 64, 157]) {
     const rates = createRates();
-    t.equal(rates.get("model"), 50, "until then the setting holds");
+    t.equal(rates.get("model"), 50, "the setting applies until then");
     teach(rates, rate);
     t.ok(Math.abs(rates.get("model") - rate) < rate / 10, String(rates.get("model")));
     t.equal(rates.get("other"), 50);
   }
 });
 
-t.test("a young instance goes by its peers, and one odd peer moves nobody", async (t) => {
-  const clock = VirtualClock.create();
-  const rates = createRates(clock);
-  rates.mergePeer("one", { model: 150 });
-  rates.mergePeer("two", { model: 160 });
-  rates.mergePeer("three", { model: 4 });
-  t.equal(rates.get("model"), 150);
-  t.same(rates.createReport(), {}, "peers are not told what they said");
-  t.same(rates.createView(), { model: 150 });
-  await clock.advance(31_000);
-  t.equal(rates.get("model"), 50, "what nobody says any more is forgotten");
-});
+t.test(
+  "an instance that has just started uses its peers' rates, and one outlier has no effect",
+  async (t) => {
+    const clock = VirtualClock.create();
+    const rates = createRates(clock);
+    rates.mergePeer("one", { model: 150 });
+    rates.mergePeer("two", { model: 160 });
+    rates.mergePeer("three", { model: 4 });
+    t.equal(rates.get("model"), 150);
+    t.same(rates.createReport(), {}, "peers' rates are not reported back");
+    t.same(rates.createView(), { model: 150 });
+    await clock.advance(31_000);
+    t.equal(rates.get("model"), 50, "rates that no peer reports any more are forgotten");
+  },
+);
 
-t.test("need and expected times follow the learned rate", async (t) => {
+t.test("the number of needed endpoints and expected times follow the learned rate", async (t) => {
   const clock = VirtualClock.create();
   const rates = createRates(clock);
   const getReadingRate = (name: string): number => rates.get(name);
@@ -78,7 +81,7 @@
   });
   const asked = { service, promptTokens: 12_000, parts: [], excluded: new Set<string>() };
   demand.countPromptTokens("model", 1_600_000);
-  t.equal(demand.getNeededEndpoints(service, 4, 9), 9, "an assumed rate orders nothing");
+  t.equal(demand.getNeededEndpoints(service, 4, 9), 9, "an assumed rate orders no endpoints");
   t.equal(placer.choose(asked)?.expectedMs, 240);
   teach(rates, 157);
   await clock.advance(20_000);
