--- a/packages/gateway/test/crashDetector.test.ts
+++ b/packages/gateway/test/crashDetector.test.ts
@@ -21,69 +21,69 @@
 const logger = Logger.createSilent();
 const drainMs = 2_000;
 
-function createWatch(word: ProbeResult) {
+function createDetector(result: ProbeResult) {
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
   const endpoint = createKnownEndpoint({ id: "e" });
-  const told: CrashUpdate[] = [];
+  const sent: CrashUpdate[] = [];
   const state = { probes: 0, troubleMs: Infinity, isListed: true };
-  const watch = CrashDetector.create({
+  const detector = CrashDetector.create({
     clock,
     logger,
     records,
     probe: async () => {
       state.probes += 1;
-      return word;
+      return result;
     },
     findEndpoint: () => (state.isListed ? endpoint : undefined),
     drainMs,
     getTimeSinceTrouble: () => state.troubleMs,
-    broadcast: (words) => told.push(words),
+    broadcast: (update) => sent.push(update),
     countCrash: () => undefined,
   });
-  return { clock, records, endpoint, told, watch, state };
+  return { clock, records, endpoint, sent, detector, state };
 }
 
 t.test(
   "an interrupted request and a refused connection together show that an endpoint has crashed",
   async (t) => {
-    const { records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
+    const { records, endpoint, sent, detector, state } = createDetector(ProbeResult.Refused);
     const beside = { subject: { workspace: "w", fingerprint: "beside" } };
     endpoint.inFlight.add(beside);
-    const ends = await Promise.all([
-      watch.noteInterruption(endpoint, request),
-      watch.noteInterruption(endpoint, request),
+    const crashed = await Promise.all([
+      detector.noteInterruption(endpoint, request),
+      detector.noteInterruption(endpoint, request),
     ]);
-    t.same(ends, [true, true]);
+    t.same(crashed, [true, true]);
     t.equal(state.probes, 1, "one probe serves both interruptions");
-    t.same(told, [{ reports: [{ life: "e", suspects: [], others: [subject, beside.subject] }] }]);
-    t.ok(await watch.noteInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
+    t.same(sent, [{ reports: [{ life: "e", suspects: [], others: [subject, beside.subject] }] }]);
+    t.ok(await detector.noteInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
     t.equal(state.probes, 1);
     t.equal(records.getQuarantineState({ workspace: "w", fingerprint: "late" }), QuarantineState.Suspect);
   },
 );
 
 t.test("one of the two signs alone is not enough", async (t) => {
-  for (const word of [ProbeResult.Listening, ProbeResult.Unknown]) {
-    const { clock, records, endpoint, watch, state } = createWatch(word);
-    t.notOk(await watch.noteInterruption(endpoint, request));
-    t.notOk(await watch.noteInterruption(endpoint, request));
+  for (const result of [ProbeResult.Listening, ProbeResult.Unknown]) {
+    const { clock, records, endpoint, detector, state } = createDetector(result);
+    t.notOk(await detector.noteInterruption(endpoint, request));
+    t.notOk(await detector.noteInterruption(endpoint, request));
     t.equal(
       state.probes,
-      word === ProbeResult.Listening ? 1 : 2,
+      result === ProbeResult.Listening ? 1 : 2,
       "an endpoint that accepts connections is not probed twice in a row",
     );
     await clock.advance(200);
-    t.notOk(await watch.noteInterruption(endpoint, request));
+    t.notOk(await detector.noteInterruption(endpoint, request));
     t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
 
 t.test("an endpoint that is leaving, or whose record is gone, stops as planned", async (t) => {
   for (const state of [EndpointState.Leaving, EndpointState.Unlisted]) {
-    const { records, endpoint, watch } = createWatch(ProbeResult.Refused);
+    const { records, endpoint, detector } = createDetector(ProbeResult.Refused);
     endpoint.state = state;
-    t.notOk(await watch.noteInterruption(endpoint, request));
+    t.notOk(await detector.noteInterruption(endpoint, request));
     t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
@@ -91,14 +91,14 @@
 t.test(
   "an endpoint that stops before its drain time has passed since its last usual response has crashed",
   async (t) => {
-    const { clock, records, watch } = createWatch(ProbeResult.Refused);
+    const { clock, records, detector } = createDetector(ProbeResult.Refused);
     for (const id of ["e1", "e2", "e3"]) {
       const endpoint = createKnownEndpoint({ id });
       endpoint.servedAt = clock.getTime();
       endpoint.availability.noteLeaving(LeavingSource.Answer, clock.getTime());
       endpoint.state = EndpointState.Leaving;
       await clock.advance(100);
-      t.ok(await watch.noteInterruption(endpoint, request));
+      t.ok(await detector.noteInterruption(endpoint, request));
     }
     t.equal(
       records.getQuarantineState(subject),
@@ -117,23 +117,23 @@
       LeavingSource.Record,
       LeavingSource.Successor,
     ]) {
-      const { clock, records, endpoint, watch } = createWatch(ProbeResult.Refused);
+      const { clock, records, endpoint, detector } = createDetector(ProbeResult.Refused);
       endpoint.servedAt = clock.getTime();
       endpoint.availability.noteLeaving(source, clock.getTime());
       endpoint.state = EndpointState.Leaving;
       const isOfRecord = source === LeavingSource.Record || source === LeavingSource.Successor;
       await clock.advance(isOfRecord ? 100 : drainMs);
-      t.notOk(await watch.noteInterruption(endpoint, request), LeavingSource[source]);
+      t.notOk(await detector.noteInterruption(endpoint, request), LeavingSource[source]);
       t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
     }
   },
 );
 
 t.test("a record that is still there refutes a crash, unless the store is failing", async (t) => {
-  const { clock, records, endpoint, told, watch, state } = createWatch(ProbeResult.Refused);
-  await watch.noteInterruption(endpoint, request);
+  const { clock, records, endpoint, sent, detector, state } = createDetector(ProbeResult.Refused);
+  await detector.noteInterruption(endpoint, request);
   await clock.advance(5_000);
-  watch.review();
+  detector.review();
   t.equal(
     records.getQuarantineState(subject),
     QuarantineState.Suspect,
@@ -141,83 +141,83 @@
   );
   await clock.advance(2_000);
   state.troubleMs = 100;
-  watch.review();
+  detector.review();
   t.equal(records.getQuarantineState(subject), QuarantineState.Suspect);
   state.troubleMs = Infinity;
   state.isListed = false;
-  watch.review();
+  detector.review();
   t.equal(
     records.getQuarantineState(subject),
     QuarantineState.Suspect,
     "its record is gone, so the crash is not refuted",
   );
   state.isListed = true;
-  watch.review();
+  detector.review();
   t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
-  t.same(told.at(-1), { refuted: ["e"] });
+  t.same(sent.at(-1), { refuted: ["e"] });
 });
 
-function createGrants(count: number) {
+function createScheduler(count: number) {
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
   const endpoints = Array.from({ length: count }, (_, index) => createKnownEndpoint({ id: `e${index}` }));
-  const grants = TrialScheduler.create({
+  const scheduler = TrialScheduler.create({
     clock,
     records,
     getEndpoints: () => endpoints,
     getPeerWork: () => ({ active: 0, pendingTokens: 0 }),
   });
   const ask = (fingerprint: string, waitMs = 0, excluded: readonly string[] = []) =>
-    grants.decideOrWait({ service: "web", subject: { workspace: "w", fingerprint }, excluded, waitMs });
-  return { clock, records, endpoints, grants, ask };
+    scheduler.decideOrWait({ service: "web", subject: { workspace: "w", fingerprint }, excluded, waitMs });
+  return { clock, records, endpoints, scheduler, ask };
 }
 
 t.test(
   "no two isolated requests run at one endpoint, and half of the service stays free for others",
   async (t) => {
-    const { clock, endpoints, grants, ask } = createGrants(6);
+    const { clock, endpoints, scheduler, ask } = createScheduler(6);
     endpoints[3]!.active = 5;
     endpoints[0]!.active = 1;
     const first = await Promise.all(["a", "b", "c", "d"].map((fingerprint) => ask(fingerprint)));
     t.same(
-      first.map(({ word }) => TrialDecision[word]),
+      first.map(({ word: result }) => TrialDecision[result]),
       ["Granted", "Granted", "Granted", "Busy"],
     );
     t.same(
-      first.map(({ life }) => life),
+      first.map(({ life: incarnation }) => incarnation),
       ["e1", "e2", "e4", undefined],
       "the endpoints with the fewest open requests",
     );
     const waiting = ask("d", 600);
-    grants.end("e2", "x");
-    grants.end("e2", "b");
+    scheduler.end("e2", "x");
+    scheduler.end("e2", "b");
     t.match(await waiting, { word: TrialDecision.Granted, life: "e2" });
     const late = ask("e", 600);
     await clock.advance(600);
     t.equal((await late).word, TrialDecision.Busy);
     await clock.advance(2_000);
     t.equal((await ask("f")).word, TrialDecision.Granted, "a trial whose end is not reported expires");
-    grants.close();
+    scheduler.close();
   },
 );
 
 t.test(
   "crashed endpoints count as unavailable; the only endpoint of a service may be used for a trial",
   async (t) => {
-    const { records, ask, grants } = createGrants(4);
+    const { records, ask, scheduler } = createScheduler(4);
     records.apply({ reports: [{ life: "e0", suspects: [], others: [] }] });
     t.equal((await ask("a")).word, TrialDecision.Granted);
     t.equal((await ask("b")).word, TrialDecision.Busy);
-    grants.close();
-    const single = createGrants(1);
+    scheduler.close();
+    const single = createScheduler(1);
     t.match(await single.ask("a"), { word: TrialDecision.Granted, life: "e0" });
     t.equal((await single.ask("b")).word, TrialDecision.Busy);
     t.equal((await single.ask("b", 0, ["e0"])).word, TrialDecision.Busy);
-    single.grants.close();
+    single.scheduler.close();
   },
 );
 
-function createKept() {
+function createStore() {
   const clock = VirtualClock.create();
   const shared = SharedStore.create(clock);
   const records = CrashRecords.create(clock);
@@ -228,20 +228,21 @@
     records,
     isWriter: () => true,
   });
-  const endTwice = (): void => {
-    for (const life of ["e1", "e2"]) records.apply({ reports: [{ life, suspects: [subject], others: [] }] });
+  const crashTwice = (): void => {
+    for (const incarnation of ["e1", "e2"])
+      records.apply({ reports: [{ life: incarnation, suspects: [subject], others: [] }] });
   };
-  return { clock, shared, records, store, endTwice };
+  return { clock, shared, records, store, crashTwice };
 }
 
 const key = "gladewall/crashes/f";
 
 t.test("requests in cooldown or blocked are stored, and removed once they are cleared", async (t) => {
-  const { clock, shared, records, store, endTwice } = createKept();
+  const { clock, shared, records, store, crashTwice } = createStore();
   records.apply({
     reports: [{ life: "e0", suspects: [], others: [{ workspace: "w", fingerprint: "other" }] }],
   });
-  endTwice();
+  crashTwice();
   store.review();
   await clock.advance(100);
   store.review();
@@ -254,8 +255,8 @@
 });
 
 t.test("an item that the store lost is written again; one that an operator removed is not", async (t) => {
-  const { clock, shared, records, store, endTwice } = createKept();
-  endTwice();
+  const { clock, shared, records, store, crashTwice } = createStore();
+  crashTwice();
   store.review();
   await clock.advance(100);
   const item = shared.entries.get(key)!;
@@ -282,7 +283,7 @@
 });
 
 t.test("an item read from the store restores the quarantine; a malformed one has no effect", async (t) => {
-  const { records, store } = createKept();
+  const { records, store } = createStore();
   const put = (value: string | Uint8Array): void =>
     store.handleItem(key, { key, revision: 1, value: Buffer.from(value as string) });
   for (const value of [
@@ -309,15 +310,16 @@
 t.test(
   "the state read from the store is the one that was written, also if crashes were reported at one moment",
   async (t) => {
-    const { clock, shared, records, store } = createKept();
+    const { clock, shared, records, store } = createStore();
     const other = { workspace: "w", fingerprint: "other" };
-    for (const life of ["e1", "e2"]) records.apply({ reports: [{ life, suspects: [], others: [subject] }] });
+    for (const incarnation of ["e1", "e2"])
+      records.apply({ reports: [{ life: incarnation, suspects: [], others: [subject] }] });
     records.apply({ reports: [{ life: "e3", suspects: [subject, other], others: [] }] });
     t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
     store.review();
     await clock.advance(100);
     const item = shared.entries.get(key);
-    const later = createKept();
+    const later = createStore();
     later.store.handleItem(key, { key, revision: 1, value: item!.value });
     t.not(later.records.getQuarantineState(subject), QuarantineState.Clear);
     t.equal(later.records.getUncleared("f").length, 3);
@@ -325,11 +327,11 @@
 );
 
 t.test("one workspace takes no more than its share of the store", async (t) => {
-  const { clock, shared, records, store } = createKept();
+  const { clock, shared, records, store } = createStore();
   for (let index = 0; index < 80; index++) {
     const subjects = [{ workspace: "flood", fingerprint: `flood${index}` }];
-    for (const life of ["a", "b"]) {
-      records.apply({ reports: [{ life: `${life}${index}`, suspects: subjects, others: [] }] });
+    for (const incarnation of ["a", "b"]) {
+      records.apply({ reports: [{ life: `${incarnation}${index}`, suspects: subjects, others: [] }] });
     }
   }
   for (let step = 0; step < 100; step++) {
@@ -346,7 +348,7 @@
  * requests that way, so the responsible request was cleared on all instances and the other one was left as the only suspect.
  */
 t.test("a request whose score a later report lowers is not cleared by it", async (t) => {
-  const { clock, shared, records, store } = createKept();
+  const { clock, shared, records, store } = createStore();
   const beside = { workspace: "w", fingerprint: "beside" };
   records.apply({ reports: [{ life: "e1", suspects: [], others: [subject, beside] }] });
   records.apply({ reports: [{ life: "e2", suspects: [subject], others: [] }] });
--- a/packages/gateway/test/crashScenarios.ts
+++ b/packages/gateway/test/crashScenarios.ts
@@ -22,29 +22,29 @@
 type TestBench = Awaited<ReturnType<typeof startCrashingFleet>>;
 
 /** Crashes that a request may cause before it must be blocked. */
-const borneEnds = 3;
+const toleratedCrashes = 3;
 const steps = 24;
 const harmlessCount = 12;
-const mostDeadly = 3;
-const mostCopies = 4;
+const maxCrashingBodies = 3;
+const maxCopies = 4;
 /** Attempts after which a harmless request counts as not served; a refused one is retried until then. */
-const mostTries = 40;
+const maxAttempts = 40;
 
 /** Counts runs of crashing requests, by body. */
-class DeadlyRuns {
-  readonly ended = new Map<string, number>();
-  readonly late = new Map<string, number>();
+class CrashingRuns {
+  readonly crashes = new Map<string, number>();
+  readonly lateRuns = new Map<string, number>();
   /** Bodies under which three endpoints had crashed before the current step. */
   private known = new Set<string>();
 
   note({ body }: EndpointRequest): void {
-    this.ended.set(body, (this.ended.get(body) ?? 0) + 1);
-    if (this.known.has(body)) this.late.set(body, (this.late.get(body) ?? 0) + 1);
+    this.crashes.set(body, (this.crashes.get(body) ?? 0) + 1);
+    if (this.known.has(body)) this.lateRuns.set(body, (this.lateRuns.get(body) ?? 0) + 1);
   }
 
   /** Begins a step; all attempts of the previous steps are over. */
   beginStep(): void {
-    const bodies = [...this.ended].filter(([, ends]) => ends >= borneEnds).map(([body]) => body);
+    const bodies = [...this.crashes].filter(([, count]) => count >= toleratedCrashes).map(([body]) => body);
     this.known = new Set(bodies);
   }
 }
@@ -59,21 +59,21 @@
   const isLarge = draw() < 0.4;
   const fleet = await startCrashingFleet(t, (isLarge ? 5 : 2) + drawBelow(3), 4 + drawBelow(4), isLarge);
   const { bench, endpoints } = fleet;
-  const runs = new DeadlyRuns();
-  endpoints.onDeadly = (call) => runs.note(call);
+  const runs = new CrashingRuns();
+  endpoints.onCrash = (call) => runs.note(call);
   const drawInstance = () => bench.instances[drawBelow(bench.instances.length)]!;
-  const sendDeadly = () => {
-    const body = `${crashBody} ${drawBelow(mostDeadly)}`;
+  const sendCrashing = () => {
+    const body = `${crashBody} ${drawBelow(maxCrashingBodies)}`;
     return bench.call(drawInstance(), { method: "POST", key: "key", body });
   };
   const sendHarmless = (index: number, key = "key") =>
     bench.call(drawInstance(), { method: "POST", key, body: `harmless ${index}` });
   const stepKinds: readonly (() => Promise<unknown>)[] = [
-    sendDeadly,
-    sendDeadly,
-    () => Promise.all(Array.from({ length: 1 + drawBelow(mostCopies) }, sendDeadly)),
-    () => Promise.all([sendDeadly(), ...Array.from({ length: 4 }, (_, index) => sendHarmless(index))]),
-    () => endByItself(fleet, draw, () => Promise.all([0, 1, 2].map((index) => sendHarmless(index)))),
+    sendCrashing,
+    sendCrashing,
+    () => Promise.all(Array.from({ length: 1 + drawBelow(maxCopies) }, sendCrashing)),
+    () => Promise.all([sendCrashing(), ...Array.from({ length: 4 }, (_, index) => sendHarmless(index))]),
+    () => crashByItself(fleet, draw, () => Promise.all([0, 1, 2].map((index) => sendHarmless(index)))),
     () => resetOnce(endpoints, () => sendHarmless(drawBelow(harmlessCount))),
     () => restartOne(fleet, drawBelow(bench.instances.length), isLarge),
   ];
@@ -84,22 +84,22 @@
   }
   const served = await Promise.all(
     Array.from({ length: harmlessCount }, async (_, index) => {
-      for (let tries = 0; tries < mostTries; tries++) {
+      for (let attempts = 0; attempts < maxAttempts; attempts++) {
         if ((await sendHarmless(index)).status === 200) return true;
       }
       return false;
     }),
   );
   return {
-    mostEnded: Math.max(0, ...runs.ended.values()),
-    mostRunsAfterThird: Math.max(0, ...runs.late.values()),
+    mostEnded: Math.max(0, ...runs.crashes.values()),
+    mostRunsAfterThird: Math.max(0, ...runs.lateRuns.values()),
     harmless: harmlessCount,
     unserved: served.filter((isServed) => !isServed).length,
   };
 }
 
 /** Crashes an endpoint with harmless requests in flight. */
-async function endByItself(
+async function crashByItself(
   { endpoints }: TestBench,
   draw: () => number,
   send: () => Promise<unknown>,
@@ -110,8 +110,8 @@
   const answers = send().finally(() => (isOver = true));
   // All of them may be refused at once, so that none is ever held.
   await waitUntil(() => held.length >= 1 || isOver);
-  const alive = [...endpoints.alive];
-  endpoints.end(alive[Math.floor(draw() * alive.length)]!);
+  const running = [...endpoints.running];
+  endpoints.crash(running[Math.floor(draw() * running.length)]!);
   endpoints.script = respondSuccess;
   for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
   await answers;
@@ -133,12 +133,12 @@
   index: number,
   isLarge: boolean,
 ): Promise<void> {
-  const [ended] = bench.instances.splice(index, 1);
-  if (!ended) return;
-  await ended.gateway.close();
-  const name = `instance.name=${ended.settings.instance.name}`;
-  await bench.startReady(endpoints.alive.size, "web", [...getOverrides(index), name]);
-  const isTold = ({ gateway }: (typeof bench.instances)[number]): boolean =>
+  const [stopped] = bench.instances.splice(index, 1);
+  if (!stopped) return;
+  await stopped.gateway.close();
+  const name = `instance.name=${stopped.settings.instance.name}`;
+  await bench.startReady(endpoints.running.size, "web", [...getOverrides(index), name]);
+  const isConnected = ({ gateway }: (typeof bench.instances)[number]): boolean =>
     isLarge ? gateway.isReader || gateway.isFeedActive : gateway.linkedPeers >= bench.instances.length - 1;
-  await waitUntil(() => bench.instances.every(isTold));
+  await waitUntil(() => bench.instances.every(isConnected));
 }
--- a/packages/gateway/test/crashingEndpoints.ts
+++ b/packages/gateway/test/crashingEndpoints.ts
@@ -21,16 +21,16 @@
 
 /** Endpoints of one service, which crash under certain requests. */
 export class CrashingEndpoints implements Closeable {
-  readonly alive = new Set<ScriptedEndpoint>();
+  readonly running = new Set<ScriptedEndpoint>();
   /** Number of endpoints that crashed under a request. */
-  ended = 0;
-  private lives = 0;
+  crashCount = 0;
+  private started = 0;
   /** Endpoints that crashed, and whose records still exist. */
-  private gone: ScriptedEndpoint[] = [];
+  private crashed: ScriptedEndpoint[] = [];
   /** Answers requests that crash no endpoint. */
   script: (call: EndpointRequest) => void = respondSuccess;
   /** Called with each request that crashes its endpoint. */
-  onDeadly: (call: EndpointRequest) => void = () => undefined;
+  onCrash: (call: EndpointRequest) => void = () => undefined;
 
   private constructor(private readonly bench: GatewayTestBench) {}
 
@@ -42,23 +42,23 @@
 
   /** Starts one more endpoint and lists it. */
   async add(): Promise<ScriptedEndpoint> {
-    this.lives += 1;
-    const endpoint = await ScriptedEndpoint.create(`e${this.lives}`);
+    this.started += 1;
+    const endpoint = await ScriptedEndpoint.create(`e${this.started}`);
     endpoint.script = (call) => {
       if (!call.body.startsWith(crashBody)) return this.script(call);
-      if (this.alive.has(endpoint)) this.onDeadly(call);
-      this.end(endpoint);
+      if (this.running.has(endpoint)) this.onCrash(call);
+      this.crash(endpoint);
     };
-    this.alive.add(endpoint);
+    this.running.add(endpoint);
     this.bench.platform.putEndpoint({ id: endpoint.id, address: endpoint.address });
     return endpoint;
   }
 
   /** Crashes an endpoint: its connections are closed, new ones are refused, and its record stays for a while. */
-  end(endpoint: ScriptedEndpoint): void {
-    if (!this.alive.delete(endpoint)) return;
-    this.ended += 1;
-    this.gone.push(endpoint);
+  crash(endpoint: ScriptedEndpoint): void {
+    if (!this.running.delete(endpoint)) return;
+    this.crashCount += 1;
+    this.crashed.push(endpoint);
     void endpoint.close();
   }
 
@@ -67,23 +67,23 @@
    * new ones start, because instances are compared by the number of endpoints, which is the same with old and with new ones.
    */
   async replace(): Promise<void> {
-    while (this.gone.length > 0) {
-      const gone = this.gone.splice(0);
-      for (const { id } of gone) this.bench.platform.removeEndpoint(id);
+    while (this.crashed.length > 0) {
+      const crashed = this.crashed.splice(0);
+      for (const { id } of crashed) this.bench.platform.removeEndpoint(id);
       await waitUntil(() => this.isKnown());
-      for (let index = 0; index < gone.length; index++) await this.add();
+      for (let index = 0; index < crashed.length; index++) await this.add();
       await waitUntil(() => this.isKnown());
     }
   }
 
   /** Whether every instance knows as many endpoints as are listed; a crashed one is listed until it is replaced. */
   private isKnown(): boolean {
-    const listed = this.alive.size + this.gone.length;
+    const listed = this.running.size + this.crashed.length;
     return this.bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === listed);
   }
 
   async close(): Promise<void> {
-    await Promise.all([...this.alive].map((endpoint) => endpoint.close()));
+    await Promise.all([...this.running].map((endpoint) => endpoint.close()));
   }
 }
 
@@ -107,9 +107,9 @@
   for (let index = 0; index < instanceCount; index++) {
     await bench.startReady(endpointCount, "web", getOverrides(index));
   }
-  const isTold = ({ gateway }: BenchInstance): boolean =>
+  const isConnected = ({ gateway }: BenchInstance): boolean =>
     isLarge ? gateway.isReader || gateway.isFeedActive : gateway.linkedPeers === instanceCount - 1;
-  await waitUntil(() => bench.instances.every(isTold));
+  await waitUntil(() => bench.instances.every(isConnected));
   t.teardown(() => Promise.all([bench.close(), endpoints.close()]));
   return { bench, endpoints, getOverrides };
 }
--- a/packages/gateway/test/crashingRequest.test.ts
+++ b/packages/gateway/test/crashingRequest.test.ts
@@ -19,7 +19,7 @@
 import { sendCrashRequest, startCrashingFleet } from "./crashingEndpoints.js";
 
 /** Endpoints that may crash under one request. */
-const mostEnded = 3;
+const maxCrashes = 3;
 
 t.test(
   "a request that crashes each endpoint which runs it crashes three at most, whichever instances it is sent to",
@@ -28,7 +28,7 @@
     for (let index = 0; index < 12; index++) {
       await sendCrashRequest(bench, endpoints, bench.instances[index % 3]!);
     }
-    t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
+    t.ok(endpoints.crashCount <= maxCrashes, `${endpoints.crashCount} crashed`);
     const answer = await bench.call(bench.instances[0]!, { method: "POST", key: "key", body: "harmless" });
     t.equal(answer.status, 200);
   },
@@ -47,7 +47,7 @@
   for (let index = 0; index < 6; index++) {
     await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
   }
-  t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
+  t.ok(endpoints.crashCount <= maxCrashes, `${endpoints.crashCount} crashed`);
 });
 
 t.test("in a large fleet the readers' updates reach every instance in time", async (t) => {
@@ -55,20 +55,20 @@
   for (let index = 0; index < 16; index++) {
     await sendCrashRequest(bench, endpoints, bench.instances[index % 8]!);
   }
-  t.ok(endpoints.ended <= mostEnded, `${endpoints.ended} ended`);
+  t.ok(endpoints.crashCount <= maxCrashes, `${endpoints.crashCount} crashed`);
 });
 
 t.test("an instance that starts later learns of it from its peers", async (t) => {
   const { bench, endpoints } = await startCrashingFleet(t, 2, 4);
   for (let index = 0; index < 4; index++)
     await sendCrashRequest(bench, endpoints, bench.instances[index % 2]!);
-  const before = endpoints.ended;
+  const before = endpoints.crashCount;
   const late = await bench.startReady(4);
   await waitUntil(() => late.gateway.linkedPeers === 2);
   const answer = await sendCrashRequest(bench, endpoints, late);
   t.equal(answer.status, 503);
   t.ok(Number(answer.headers["retry-after"]) >= 1);
-  t.equal(endpoints.ended, before);
+  t.equal(endpoints.crashCount, before);
 });
 
 t.test(
@@ -86,7 +86,7 @@
       });
       t.equal(answer.status, 200);
     }
-    t.ok(endpoints.ended <= mostEnded * bodies.length, `${endpoints.ended} ended`);
+    t.ok(endpoints.crashCount <= maxCrashes * bodies.length, `${endpoints.crashCount} crashed`);
   },
 );
 
--- a/packages/gateway/test/endpointAvailability.test.ts
+++ b/packages/gateway/test/endpointAvailability.test.ts
@@ -29,9 +29,9 @@
 /** Events of an endpoint and its record. */
 enum Event {
   /** A response of the listed incarnation announces that it is leaving. */
-  Word = 1,
+  Notice = 1,
   /** A late response of an earlier incarnation announces that. */
-  LateWord = 2,
+  LateNotice = 2,
   /** Its record is written again, still ready. */
   Record = 3,
   /** Its record is removed while the store is failing, and while it is not. */
@@ -40,7 +40,7 @@
   /** All records are listed again. */
   Listing = 6,
   /** The endpoint starts again under its id. */
-  NextLife = 7,
+  NextIncarnation = 7,
 }
 
 /** Creates a directory and the record of one endpoint. */
@@ -51,7 +51,7 @@
   let born = 1;
   let slots = 4;
   const seen: Endpoint[] = [];
-  const left = new Set<string>();
+  const leaving = new Set<string>();
   const directory = EndpointDirectory.create({
     platform: platform.createAdapter(),
     clock,
@@ -61,14 +61,14 @@
     unlistedMs: 400,
   });
   const list = (): void => platform.putEndpoint({ id: "e", born, address, slots: (slots += 1) });
-  const takeWord = (endpoint: Endpoint | undefined): void => {
+  const announceLeaving = (endpoint: Endpoint | undefined): void => {
     if (!endpoint) return;
-    left.add(endpoint.incarnation);
+    leaving.add(endpoint.incarnation);
     directory.handleNotice(endpoint, notice, source);
   };
   const handlers: Readonly<Record<Event, () => void>> = {
-    [Event.Word]: () => takeWord(directory.get("e")),
-    [Event.LateWord]: () => takeWord(seen.at(-2)),
+    [Event.Notice]: () => announceLeaving(directory.get("e")),
+    [Event.LateNotice]: () => announceLeaving(seen.at(-2)),
     [Event.Record]: list,
     [Event.GoneInTrouble]: () => {
       troubleMs = 0;
@@ -79,21 +79,29 @@
       platform.removeEndpoint("e");
     },
     [Event.Listing]: () => directory.restart(),
-    [Event.NextLife]: () => {
+    [Event.NextIncarnation]: () => {
       born += 1;
       list();
     },
   };
-  const look = (): void => {
+  const recordEndpoint = (): void => {
     const endpoint = directory.get("e");
     if (endpoint && seen.at(-1) !== endpoint) seen.push(endpoint);
   };
-  const play = async (event: Event, waitMs: number): Promise<void> => {
+  const run = async (event: Event, waitMs: number): Promise<void> => {
     handlers[event]();
     await clock.advance(waitMs);
-    look();
+    recordEndpoint();
+  };
+  return {
+    clock,
+    directory,
+    run,
+    leaving,
+    list,
+    platform,
+    close: () => closeScenario(directory, clock),
   };
-  return { clock, directory, play, left, list, platform, close: () => closeScenario(directory, clock) };
 }
 
 async function closeScenario(directory: EndpointDirectory, clock: VirtualClock): Promise<void> {
@@ -105,13 +113,13 @@
 const generatedEvents = fc.array(
   fc.tuple(
     fc.constantFrom<Event>(
-      Event.Word,
-      Event.LateWord,
+      Event.Notice,
+      Event.LateNotice,
       Event.Record,
       Event.GoneInTrouble,
       Event.Gone,
       Event.Listing,
-      Event.NextLife,
+      Event.NextIncarnation,
     ),
     fc.integer({ min: 100, max: 1_500 }),
   ),
@@ -120,18 +128,18 @@
 
 /** Runs events; returns the first after which a leaving incarnation is used, or one that is not leaving is not used. */
 async function findWrongUse(events: readonly (readonly [Event, number])[]): Promise<string | undefined> {
-  const { clock, directory, play, left, list, close } = createScenario();
+  const { clock, directory, run, leaving, list, close } = createScenario();
   directory.start();
   list();
   await clock.advance(200);
-  await play(Event.Record, 200);
+  await run(Event.Record, 200);
   let wrong: string | undefined;
   for (const [event, waitMs] of events) {
-    await play(event, waitMs);
+    await run(event, waitMs);
     const endpoint = directory.get("e");
-    const isListed = event === Event.Record || event === Event.NextLife;
-    if (endpoint?.isUsable() && left.has(endpoint.incarnation)) wrong ??= `used after ${Event[event]}`;
-    if (isListed && endpoint && !endpoint.isUsable() && !left.has(endpoint.incarnation)) {
+    const isListed = event === Event.Record || event === Event.NextIncarnation;
+    if (endpoint?.isUsable() && leaving.has(endpoint.incarnation)) wrong ??= `used after ${Event[event]}`;
+    if (isListed && endpoint && !endpoint.isUsable() && !leaving.has(endpoint.incarnation)) {
       wrong ??= `not used after ${Event[event]}`;
     }
   }
@@ -144,31 +152,31 @@
     return (await findWrongUse(events)) === undefined;
   });
   const examples: [[Event, number][]][] = [
-    [[[Event.Word, 100]]],
+    [[[Event.Notice, 100]]],
     [
       [
-        [Event.Word, 100],
+        [Event.Notice, 100],
         [Event.Record, 100],
       ],
     ],
     [
       [
-        [Event.Word, 100],
+        [Event.Notice, 100],
         [Event.GoneInTrouble, 100],
       ],
     ],
     [
       [
-        [Event.Word, 100],
+        [Event.Notice, 100],
         [Event.Gone, 1_000],
         [Event.Record, 100],
       ],
     ],
     [
       [
-        [Event.Word, 100],
-        [Event.NextLife, 100],
-        [Event.LateWord, 100],
+        [Event.Notice, 100],
+        [Event.NextIncarnation, 100],
+        [Event.LateNotice, 100],
         [Event.Listing, 500],
       ],
     ],
@@ -279,11 +287,11 @@
   for (let index = 0; index < 7; index++) {
     await bench.startReady(1, "web", [...largeFleet, `peers.capacity=${index}`]);
   }
-  const [told] = bench.instances;
+  const [first] = bench.instances;
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
-  t.notOk(told!.gateway.isReader);
+  t.notOk(first!.gateway.isReader);
   for (const store of bench.platform.stores) store.fault = StoreFault.Down;
-  t.equal((await bench.call(told!)).status, 200);
+  t.equal((await bench.call(first!)).status, 200);
   await waitUntil(() => bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === 0));
   t.equal(leaving.requests.length, 1);
 });
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -107,17 +107,17 @@
   t.equal((await bench.call(instance)).status, 200);
 });
 /** An isolated request, two endpoints, and an arbiter that always grants the endpoint `open`. */
-function createSuspects() {
+function createGate() {
   const clock = VirtualClock.create(10_000);
   const records = CrashRecords.create(clock);
   const subject = { workspace: "w", fingerprint: "f" };
-  for (const life of ["ended1", "ended2"]) {
-    const aboard = [subject, { workspace: "w", fingerprint: "beside" }];
-    records.apply({ reports: [records.createReport(life, aboard)] });
+  for (const incarnation of ["ended1", "ended2"]) {
+    const inFlight = [subject, { workspace: "w", fingerprint: "beside" }];
+    records.apply({ reports: [records.createReport(incarnation, inFlight)] });
   }
   const [held, open] = ["held", "open"].map((id) => createKnownEndpoint({ id })) as [Endpoint, Endpoint];
-  const asked: (readonly string[])[] = [];
-  const suspects = SuspectGate.create({
+  const requested: (readonly string[])[] = [];
+  const gate = SuspectGate.create({
     clock,
     logger: Logger.createSilent(),
     records,
@@ -125,19 +125,19 @@
     metrics: GatewayMetrics.create("127.0.0.1:0"),
     broadcast: () => undefined,
     callArbiter: async ({ excluded }) => {
-      asked.push(excluded);
+      requested.push(excluded);
       return { word: TrialDecision.Granted, life: open.incarnation };
     },
     endTrial: () => undefined,
     getEndpoints: () => [held, open],
-    findEndpoint: (life) => [held, open].find((endpoint) => endpoint.incarnation === life),
+    findEndpoint: (incarnation) => [held, open].find((endpoint) => endpoint.incarnation === incarnation),
   });
-  const seek = async () => {
+  const findTrial = async () => {
     await clock.advance(1_000);
-    return suspects.findTrial({ id: "r", subject, service: "web", excluded: new Set(), leftMs: 5_000 });
+    return gate.findTrial({ id: "r", subject, service: "web", excluded: new Set(), leftMs: 5_000 });
   };
-  const isApart = (): boolean => records.getQuarantineState(subject) === QuarantineState.Isolated;
-  return { clock, seek, held, open, asked, isApart };
+  const isIsolated = (): boolean => records.getQuarantineState(subject) === QuarantineState.Isolated;
+  return { clock, findTrial, held, open, requested, isIsolated };
 }
 
 /*
@@ -145,67 +145,67 @@
  * instance's hold-offs, so without their exclusion the endpoint would be sent a request in spite of its hold-off.
  */
 t.test("a suspect gets no trial at an endpoint that holds this instance off", async (t) => {
-  const { clock, seek, held, open, asked, isApart } = createSuspects();
-  t.ok(isApart());
+  const { clock, findTrial, held, open, requested, isIsolated } = createGate();
+  t.ok(isIsolated());
   held.availability.noteHoldOff(longMs, clock.getTime());
-  const first = await seek();
+  const first = await findTrial();
   t.equal(first.unwrap()?.endpoint, open);
-  t.same(asked, [[held.incarnation]]);
+  t.same(requested, [[held.incarnation]]);
   open.availability.noteHoldOff(longMs, clock.getTime());
-  const second = await seek();
+  const second = await findTrial();
   t.ok(second.isErr(), "a grant for it is not used either");
 });
 
 t.test("a suspect gets no trial at an endpoint for which this instance gets no permit", async (t) => {
-  const { clock, seek, held, open, asked } = createSuspects();
+  const { clock, findTrial, held, open, requested } = createGate();
   const time = clock.getTime();
   held.availability.noteLimit(1, { sentAt: time, receivedAt: time }, time);
-  t.equal((await seek()).unwrap()?.endpoint, open);
-  t.same(asked.pop(), [], "it may ask for a permit");
+  t.equal((await findTrial()).unwrap()?.endpoint, open);
+  t.same(requested.pop(), [], "it may ask for a permit");
   held.availability.limit.beginPermitCall();
   held.availability.limit.endPermitCall({ permits: 0, waitMs: longMs }, 0, clock.getTime());
-  t.equal((await seek()).unwrap()?.endpoint, open);
-  t.same(asked.pop(), [held.incarnation]);
+  t.equal((await findTrial()).unwrap()?.endpoint, open);
+  t.same(requested.pop(), [held.incarnation]);
 });
 
 t.test(
   "of two hold-offs the later end counts, and a response to an earlier request does not shorten it",
   async (t) => {
-    const words = EndpointAvailability.create();
-    t.ok(words.acceptsRequest(0));
-    const earlier = words.beginAttempt();
-    words.noteHoldOff(1_000, 0);
-    words.noteHoldOff(300, 100);
-    t.notOk(words.acceptsRequest(999));
-    t.ok(words.acceptsRequest(1_000));
-    const first = words.beginAttempt();
-    words.endAttempt(earlier, true);
-    t.notOk(words.acceptsRequest(1_000), "the first request is not answered yet");
-    words.endAttempt(first, true);
-    t.ok(words.acceptsRequest(1_000));
+    const availability = EndpointAvailability.create();
+    t.ok(availability.acceptsRequest(0));
+    const earlier = availability.beginAttempt();
+    availability.noteHoldOff(1_000, 0);
+    availability.noteHoldOff(300, 100);
+    t.notOk(availability.acceptsRequest(999));
+    t.ok(availability.acceptsRequest(1_000));
+    const first = availability.beginAttempt();
+    availability.endAttempt(earlier, true);
+    t.notOk(availability.acceptsRequest(1_000), "the first request is not answered yet");
+    availability.endAttempt(first, true);
+    t.ok(availability.acceptsRequest(1_000));
   },
 );
 
 t.test("requests return one, two, four at a time; a refusal starts over", async (t) => {
-  const words = EndpointAvailability.create();
-  words.noteHoldOff(1_000, 0);
+  const availability = EndpointAvailability.create();
+  availability.noteHoldOff(1_000, 0);
   const fill = (time: number): number[] => {
     const tries: number[] = [];
-    while (tries.length < 100 && words.acceptsRequest(time)) tries.push(words.beginAttempt());
+    while (tries.length < 100 && availability.acceptsRequest(time)) tries.push(availability.beginAttempt());
     return tries;
   };
   const counts: number[] = [];
   for (const time of [1_000, 1_010, 1_020, 1_030]) {
     const tries = fill(time);
     counts.push(tries.length);
-    for (const round of tries) words.endAttempt(round, true);
+    for (const round of tries) availability.endAttempt(round, true);
   }
   t.same(counts, [1, 2, 4, 100]);
-  words.noteHoldOff(500, 2_000);
+  availability.noteHoldOff(500, 2_000);
   t.equal(fill(2_499).length, 0);
   const [next = 0, ...others] = fill(2_500);
   t.equal(others.length, 0);
-  words.endAttempt(next, false);
+  availability.endAttempt(next, false);
   t.equal(fill(2_520).length, 1, "a request that was not accepted does not raise the bound");
 });
 
--- a/packages/gateway/test/endpointIncarnations.test.ts
+++ b/packages/gateway/test/endpointIncarnations.test.ts
@@ -35,8 +35,8 @@
 
 t.test("an endpoint that starts again under its id is used again, with a clean state", async (t) => {
   const { clock, platform, directory, find } = createDirectory(t);
-  const forgotten: string[] = [];
-  directory.onRemoved(({ incarnation: life }) => forgotten.push(life));
+  const removed: string[] = [];
+  directory.onRemoved(({ incarnation }) => removed.push(incarnation));
   platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1" });
   await clock.advance(200);
   const former = find();
@@ -49,7 +49,7 @@
   t.ok(find()?.isUsable());
   t.notOk(find()?.isUnreachable(clock.getTime()));
   t.not(find()?.incarnation, former?.incarnation);
-  t.same(forgotten, ["e@1"]);
+  t.same(removed, ["e@1"]);
   t.equal(directory.getOfService("web").length, 1);
 });
 
@@ -68,11 +68,11 @@
 t.test("connections and prompt parts belong to an incarnation", async (t) => {
   const { clock, platform, find } = createDirectory(t);
   const connections = EndpointConnections.create();
-  const memory = PrefixIndex.create();
+  const index = PrefixIndex.create();
   platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1" });
   await clock.advance(200);
   const former = find()!;
-  memory.mergePeer({ [former.incarnation]: ["part"] });
+  index.mergePeer({ [former.incarnation]: ["part"] });
   t.equal(connections.get(former).port, 1);
   platform.putEndpoint({ id: "e", born: 2, address: "127.0.0.1:2" });
   await clock.advance(200);
@@ -80,28 +80,28 @@
   t.equal(connections.get(next).port, 2);
   connections.remove(former);
   t.equal(connections.get(next).port, 2);
-  memory.removeEndpoint(former.incarnation);
-  t.notOk(memory.holds("part", next.incarnation));
-  memory.mergePeer({ [next.incarnation]: ["part"], [former.incarnation]: ["late"] });
-  t.ok(memory.holds("part", next.incarnation));
-  t.notOk(memory.holds("late", former.incarnation));
+  index.removeEndpoint(former.incarnation);
+  t.notOk(index.holds("part", next.incarnation));
+  index.mergePeer({ [next.incarnation]: ["part"], [former.incarnation]: ["late"] });
+  t.ok(index.holds("part", next.incarnation));
+  t.notOk(index.holds("late", former.incarnation));
 });
 
 t.test("requests go to the next incarnation of an id", async (t) => {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
-  const lives = await Promise.all([1, 2].map(() => ScriptedEndpoint.create("e", respondSuccess)));
-  bench.platform.putEndpoint({ id: "e", born: 1, address: lives[0]!.address });
+  const incarnations = await Promise.all([1, 2].map(() => ScriptedEndpoint.create("e", respondSuccess)));
+  bench.platform.putEndpoint({ id: "e", born: 1, address: incarnations[0]!.address });
   const instance = await bench.startReady(1);
-  t.teardown(() => Promise.all([bench.close(), ...lives.map((life) => life.close())]));
+  t.teardown(() => Promise.all([bench.close(), ...incarnations.map((incarnation) => incarnation.close())]));
   t.equal((await bench.call(instance)).status, 200);
-  bench.platform.putEndpoint({ id: "e", born: 1, address: lives[0]!.address, isLeaving: true });
+  bench.platform.putEndpoint({ id: "e", born: 1, address: incarnations[0]!.address, isLeaving: true });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 0);
-  bench.platform.putEndpoint({ id: "e", born: 2, address: lives[1]!.address });
+  bench.platform.putEndpoint({ id: "e", born: 2, address: incarnations[1]!.address });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 1);
   t.equal((await bench.call(instance)).status, 200);
   t.same(
-    lives.map(({ requests: calls }) => calls.length),
+    incarnations.map(({ requests: calls }) => calls.length),
     [1, 1],
   );
 });
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -63,9 +63,9 @@
   for (let index = 0; index < instanceCount; index++) {
     await bench.startReady(1, "web", isLarge ? [...largeFleet, `peers.capacity=${index}`] : []);
   }
-  const isTold = ({ gateway }: BenchInstance): boolean =>
+  const isConnected = ({ gateway }: BenchInstance): boolean =>
     isLarge ? gateway.isReader || gateway.isFeedActive : gateway.linkedPeers === instanceCount - 1;
-  await waitUntil(() => bench.instances.every(isTold));
+  await waitUntil(() => bench.instances.every(isConnected));
   t.teardown(() => Promise.all([bench.close(), ...endpoints.map((endpoint) => endpoint.close())]));
   await bench.call(bench.instances[0]!);
   for (let index = 0; index < others; index++) endpoints.push(await ScriptedEndpoint.create(`good${index}`));
@@ -92,8 +92,8 @@
   ] as const) {
     const { limited, callAll } = await startLimited(t, instances, perSecond, 1);
     const answers = await callAll(240 / instances);
-    const told = `${instances} instances, ${perSecond} a second: ${limited.getWorst()} in a window`;
-    t.ok(limited.getWorst() <= getAllowedArrivals(perSecond), told);
+    const report = `${instances} instances, ${perSecond} a second: ${limited.getWorst()} in a window`;
+    t.ok(limited.getWorst() <= getAllowedArrivals(perSecond), report);
     t.ok(
       answers.every(({ status }) => status === 200),
       "other endpoints serve what it does not accept",
@@ -142,7 +142,7 @@
 
 /** Times of a response: when its request was sent, and when it was received. */
 function at(sentAt: number, receivedAt: number) {
-  return { sentAt, receivedAt: receivedAt };
+  return { sentAt, receivedAt };
 }
 
 t.test("responses that overtake each other neither end a limit nor restore it", async (t) => {
@@ -237,11 +237,11 @@
     t.equal(directory.availabilities.find(endpoint.incarnation)?.limit.perSecond, 2);
     t.match(lines.at(-1), /endpoint.limit-unreadable .*text=soon/);
     t.equal(directory.availabilities.find(createKnownEndpoint({ id: "e", born: 2 }).incarnation), undefined);
-    const told = limits.get(endpoint.incarnation);
-    t.match(told, { life: endpoint.incarnation, perSecond: 2, ageMs: 10 });
+    const report = limits.get(endpoint.incarnation);
+    t.match(report, { life: endpoint.incarnation, perSecond: 2, ageMs: 10 });
     const peer = createLimits([]);
-    t.equal(peer.limits.mergePeer(told, "i2"), true);
-    t.equal(peer.limits.mergePeer(told, "i2"), false, "reported again, it is not relayed");
+    t.equal(peer.limits.mergePeer(report, "i2"), true);
+    t.equal(peer.limits.mergePeer(report, "i2"), false, "reported again, it is not relayed");
     t.equal(
       peer.limits.mergePeer({ life: endpoint.incarnation, ageMs: 20 }, "i3"),
       false,
@@ -253,24 +253,24 @@
 
 t.test("a limit does not hide a hold-off of its endpoint", async (t) => {
   const endpoint = createKnownEndpoint({ id: "e" });
-  const { availability: words } = endpoint;
-  words.noteLimit(2, at(0, 0), 0);
+  const { availability } = endpoint;
+  availability.noteLimit(2, at(0, 0), 0);
   t.ok(endpoint.acceptsRequest(1));
-  words.noteHoldOff(1_000, 1);
+  availability.noteHoldOff(1_000, 1);
   t.notOk(endpoint.acceptsRequest(500));
   t.notOk(endpoint.acceptsPermitted(500), "nor with a permit");
-  t.equal(words.getWaitMs(500), 501);
-  t.equal(words.clearLimit(600), LimitChange.Ended);
+  t.equal(availability.getWaitMs(500), 501);
+  t.equal(availability.clearLimit(600), LimitChange.Ended);
   t.notOk(endpoint.acceptsRequest(700), "the end of the limit is not the end of the hold-off");
   t.ok(endpoint.acceptsRequest(1_001));
-  words.beginAttempt();
+  availability.beginAttempt();
   t.notOk(endpoint.acceptsRequest(1_002), "one request goes first");
 });
 
 /** Creates the permit client of one instance in a fleet without an issuer. */
-function createLonePermits(fleetSize: number) {
+function createIssuerlessClient(fleetSize: number) {
   const { clock, limits } = createLimits([]);
-  const permits = PermitClient.create({
+  const client = PermitClient.create({
     own: "i1",
     clock,
     logger: Logger.createSilent(),
@@ -294,7 +294,7 @@
   const countIn = async (seconds: number): Promise<number> => {
     let taken = 0;
     for (let turn = 0; turn < seconds * 10; turn++) {
-      if (endpoint.acceptsRequest(clock.getTime()) && (await permits.acquire(endpoint, request))) taken += 1;
+      if (endpoint.acceptsRequest(clock.getTime()) && (await client.acquire(endpoint, request))) taken += 1;
       await clock.advance(100);
     }
     return taken;
@@ -305,10 +305,10 @@
 t.test(
   "without an issuer each instance keeps to its share of half of the limit, or uses other endpoints",
   async (t) => {
-    const small = await createLonePermits(4).countIn(80);
+    const small = await createIssuerlessClient(4).countIn(80);
     t.ok(small >= 8 && small <= 10, `${small} of 10 in 80 s, a fleet of four`);
     t.equal(
-      await createLonePermits(10).countIn(80),
+      await createIssuerlessClient(10).countIn(80),
       0,
       "a fleet in which one saved request of each instance is too much",
     );
--- a/packages/gateway/test/fedFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -90,14 +90,14 @@
       fleet.platform.putEndpoint({ id, service: "pool", address: "127.0.0.1:1" });
     }
     for (const view of [...fleet.readers, fleet.told]) view.start();
-    fleet.takeTurn();
+    fleet.report();
     await fleet.clock.advance(6_000);
     return fleet;
   }
 
   /** Does what each instance does at its report interval. */
-  private takeTurn(): void {
-    this.clock.startTimer(turnMs, () => this.takeTurn());
+  private report(): void {
+    this.clock.startTimer(turnMs, () => this.report());
     for (const reader of this.readers) {
       reader.feed.setRole(true);
       const others = readerNames.filter((_, index) => this.readers[index] !== reader);
@@ -137,7 +137,7 @@
 
 /** How long the endpoint was still used after its departure was acknowledged; milliseconds. */
 export interface UsedFor {
-  readonly told: number;
+  readonly fed: number;
   /** The longest time over all readers. */
   readonly readers: number;
 }
@@ -162,10 +162,10 @@
       else platform.removeEndpoint(id);
     }
   });
-  const usedFor = { told: 0, readers: 0 };
+  const usedFor = { fed: 0, readers: 0 };
   for (let time = 0; time < leavesAt + 2 * drainMs; time += stepMs) {
     const elapsed = clock.getTime() - startedAt - leavesAt;
-    if (fleet.told.uses("a")) usedFor.told = elapsed;
+    if (fleet.told.uses("a")) usedFor.fed = elapsed;
     if (fleet.readers.some((reader) => reader.uses("a"))) usedFor.readers = elapsed;
     await clock.advance(stepMs);
   }
--- a/packages/gateway/test/innocentRequests.test.ts
+++ b/packages/gateway/test/innocentRequests.test.ts
@@ -16,7 +16,7 @@
 import { startCrashingFleet } from "./crashingEndpoints.js";
 
 /** Faults of one request at an endpoint that keeps running. */
-const troubles: Readonly<Record<string, (call: EndpointRequest) => void>> = {
+const faults: Readonly<Record<string, (call: EndpointRequest) => void>> = {
   "a connection that is reset": ({ socket }) => void socket.resetAndDestroy(),
   "a response that is lost": ({ socket }) => void socket.destroy(),
   "a response that is interrupted": ({ id, response, socket }) => {
@@ -45,9 +45,9 @@
   return Number(new RegExp(`^${name}(?:{[^}]*})? (\\d+)$`, "m").exec(page)?.[1] ?? 0);
 }
 
-for (const [trouble, script] of Object.entries(troubles)) {
+for (const [fault, script] of Object.entries(faults)) {
   for (const kind of [RouteKind.Safe, RouteKind.Unsafe]) {
-    t.test(`${trouble} makes no request a suspect (${RouteKind[kind].toLowerCase()})`, async (t) => {
+    t.test(`${fault} makes no request a suspect (${RouteKind[kind].toLowerCase()})`, async (t) => {
       const { bench, endpoint, instance } = await createTestBench(t, kind);
       endpoint.script = script;
       for (let index = 0; index < 5; index++) {
@@ -106,22 +106,22 @@
     endpoints.script = (call) => void held.push(call);
     const send = (body: string, index: number) =>
       bench.call(bench.instances[index % 3]!, { method: "POST", key: "key", body });
-    const innocent = Array.from({ length: 12 }, (_, index) => send(`innocent ${index}`, index));
+    const harmless = Array.from({ length: 12 }, (_, index) => send(`innocent ${index}`, index));
     await waitUntil(() => held.length === 12);
-    const deadly = Array.from({ length: 3 }, (_, index) => send("deadly", index));
-    await Promise.all(deadly);
+    const crashing = Array.from({ length: 3 }, (_, index) => send("deadly", index));
+    await Promise.all(crashing);
     endpoints.script = respondSuccess;
     // Requests that were not interrupted are answered where they are, the others where they were retried.
     for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
-    await Promise.all(innocent);
+    await Promise.all(harmless);
     await endpoints.replace();
-    const again = await Promise.all(
+    const resent = await Promise.all(
       Array.from({ length: 12 }, (_, index) => send(`innocent ${index}`, index + 1)),
     );
     t.same(
-      again.map(({ status }) => status),
-      again.map(() => 200),
+      resent.map(({ status }) => status),
+      resent.map(() => 200),
     );
-    t.ok(endpoints.ended <= 3, `${endpoints.ended} ended`);
+    t.ok(endpoints.crashCount <= 3, `${endpoints.crashCount} crashed`);
   },
 );
--- a/packages/gateway/test/leavingEndpoints.test.ts
+++ b/packages/gateway/test/leavingEndpoints.test.ts
@@ -56,7 +56,7 @@
   async (t) => {
     const property = fc.asyncProperty(departure, async (drawn) => {
       const usedFor = await runDepartureScenario(drawn);
-      return usedFor.told + sendingMs <= drainMs;
+      return usedFor.fed + sendingMs <= drainMs;
     });
     const report = await fc.check(property, {
       seed: 31,
@@ -103,7 +103,7 @@
   });
   const property = fc.asyncProperty(half, async (drawn) => {
     const usedFor = await runDepartureScenario(drawn);
-    return Math.max(usedFor.told, usedFor.readers) + sendingMs <= drainMs;
+    return Math.max(usedFor.fed, usedFor.readers) + sendingMs <= drainMs;
   });
   const report = await fc.check(property, {
     seed: 31,
@@ -123,7 +123,7 @@
   });
   const property = fc.asyncProperty(silent, async (drawn) => {
     const usedFor = await runDepartureScenario(drawn);
-    return Math.max(usedFor.told, usedFor.readers) + sendingMs <= drainMs;
+    return Math.max(usedFor.fed, usedFor.readers) + sendingMs <= drainMs;
   });
   const report = await fc.check(property, { seed: 31, numRuns: 8, endOnFailure: true });
   t.equal(report.failed, false, JSON.stringify(report.counterexample));
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -34,7 +34,7 @@
   readonly seed: number;
   readonly instances: number;
   /** Limit that the endpoint advertises from a time on; undefined: none. */
-  readonly named: readonly { readonly from: number; readonly perSecond: number | undefined }[];
+  readonly advertised: readonly { readonly from: number; readonly perSecond: number | undefined }[];
   /** Requests a second that the whole fleet would send to the endpoint without a limit. */
   readonly offeredPerSecond: number;
   readonly endsAt: number;
@@ -43,7 +43,7 @@
   /** When the issuer is paused. */
   readonly issuerPauses?: readonly FaultPeriod[];
   /** When half of the other instances can't reach the issuer. */
-  readonly issuerCuts?: readonly FaultPeriod[];
+  readonly issuerPartitions?: readonly FaultPeriod[];
   /** When the issuer's messages take `slowMs`. */
   readonly issuerSlow?: readonly FaultPeriod[];
   /** Number of instances of an older build that doesn't know limits. */
@@ -111,9 +111,9 @@
     const { clock, draw } = fleet;
     const logger = Logger.createSilent();
     this.identity = { name, incarnation: clock.getTime() + 1 };
-    const memory = AvailabilityCache.create(clock);
-    memory.touch(this.endpoint.incarnation, this.endpoint.availability);
-    const directory = { availabilities: memory, getAvailability: () => this.endpoint.availability };
+    const availabilities = AvailabilityCache.create(clock);
+    availabilities.touch(this.endpoint.incarnation, this.endpoint.availability);
+    const directory = { availabilities, getAvailability: () => this.endpoint.availability };
     const known = directory as Partial<EndpointDirectory> as EndpointDirectory;
     this.limits = EndpointLimits.create({ clock, logger, directory: known });
     const arbiters = Arbiters.create({
@@ -133,7 +133,7 @@
       issuer: PermitIssuer.create({ clock, logger, getRandom: draw }),
       arbiters,
       isAble: (peer) => links.isAble(peer),
-      getFleetSize: () => fleet.play.instances,
+      getFleetSize: () => fleet.scenario.instances,
     });
     const links = LimitGossip.create({
       fleet: this.createFleet(),
@@ -207,18 +207,18 @@
   private readonly arrivals: Arrival[] = [];
   /** Since when a paused or disconnected instance has been silent, by `from to`. */
   private readonly silentSince = new Map<string, number>();
-  private readonly cutUntil = new Map<string, number>();
+  private readonly partitionedUntil = new Map<string, number>();
   private requests = 0;
 
-  constructor(readonly play: PermitScenario) {
-    this.draw = createSpreadRandom(play.seed);
-    this.names = Array.from({ length: play.instances }, (_, index) => `i${index}`);
+  constructor(readonly scenario: PermitScenario) {
+    this.draw = createSpreadRandom(scenario.seed);
+    this.names = Array.from({ length: scenario.instances }, (_, index) => `i${index}`);
     for (const name of this.names) this.start(name);
     for (const name of this.names) this.link(name);
   }
 
   get isMesh(): boolean {
-    return this.play.instances <= largestMesh;
+    return this.scenario.instances <= largestMesh;
   }
 
   /** The first running instances by order, and those before them that are down and still listed. */
@@ -242,8 +242,8 @@
     return this.silentSince.get(`${name} ${peer}`) ?? this.silentSince.get(name) ?? Infinity;
   }
 
-  private isCut(name: string, peer: string): boolean {
-    return (this.cutUntil.get(`${name} ${peer}`) ?? 0) > this.clock.getTime();
+  private isPartitioned(name: string, peer: string): boolean {
+    return (this.partitionedUntil.get(`${name} ${peer}`) ?? 0) > this.clock.getTime();
   }
 
   /** Delivers a message after its delay, once its receiver is not paused. */
@@ -252,7 +252,7 @@
     const isSlow = from.slowUntil > time || (this.members.get(name)?.slowUntil ?? 0) > time;
     const deliver = (): void => {
       const member = this.members.get(name);
-      if (!member || this.isCut(from.name, name) || this.isCut(name, from.name)) return;
+      if (!member || this.isPartitioned(from.name, name) || this.isPartitioned(name, from.name)) return;
       const wait = member.pausedUntil - this.clock.getTime();
       if (wait > 0) this.clock.startTimer(wait, deliver);
       else take(member);
@@ -262,17 +262,17 @@
 
   /** Runs the simulation to its end. */
   async run(): Promise<PermitResult> {
-    const { clock, play } = this;
+    const { clock, scenario } = this;
     this.planTroubles();
-    const lastNamed = play.named.findLast(({ perSecond }) => perSecond !== undefined)!;
-    const freedFrom = play.named.find(
+    const lastNamed = scenario.advertised.findLast(({ perSecond }) => perSecond !== undefined)!;
+    const freedFrom = scenario.advertised.find(
       ({ from, perSecond }) => from > lastNamed.from && perSecond === undefined,
     );
     let freedAt: number | undefined;
     for (
       let due = 0;
-      clock.getTime() < play.endsAt;
-      due += (play.offeredPerSecond * stepMs) / millisecondsPerSecond
+      clock.getTime() < scenario.endsAt;
+      due += (scenario.offeredPerSecond * stepMs) / millisecondsPerSecond
     ) {
       await clock.advance(stepMs);
       for (; due >= 1; due--) this.request();
@@ -282,18 +282,18 @@
       if ([...this.members.values()].every(isFree)) freedAt ??= clock.getTime();
     }
     const messages = Math.max(...[...this.members.values()].map((member) => member.messages));
-    const until = freedFrom?.from ?? play.endsAt;
+    const until = freedFrom?.from ?? scenario.endsAt;
     return {
       maxShare: this.getWorst(),
       admittedShare: this.getGivenOut(lastNamed, until, () => true),
       urgentAdmittedShare: this.getGivenOut(lastNamed, until, ({ isUrgent }) => isUrgent),
-      messagesPerSecond: (messages / play.endsAt) * millisecondsPerSecond,
+      messagesPerSecond: (messages / scenario.endsAt) * millisecondsPerSecond,
       freedAfterMs: freedAt === undefined ? undefined : freedAt - freedFrom!.from,
     };
   }
 
   private getGivenOut(
-    { from, perSecond }: PermitScenario["named"][number],
+    { from, perSecond }: PermitScenario["advertised"][number],
     until: number,
     isMeant: (arrival: Arrival) => boolean,
   ): number {
@@ -304,9 +304,9 @@
   }
 
   private getWorst(): number {
-    const { named, endsAt } = this.play;
-    const worst = named.map(({ from, perSecond }, index) => {
-      const until = named[index + 1]?.from ?? endsAt;
+    const { advertised, endsAt } = this.scenario;
+    const worst = advertised.map(({ from, perSecond }, index) => {
+      const until = advertised[index + 1]?.from ?? endsAt;
       return perSecond === undefined ? 0 : this.getWorstWindow(perSecond, from + checkedAfterMs, until);
     });
     return Math.max(...worst);
@@ -318,7 +318,7 @@
   }
 
   private start(name: string): void {
-    const isOld = this.names.indexOf(name) < (this.play.oldBuilds ?? 0);
+    const isOld = this.names.indexOf(name) < (this.scenario.oldBuilds ?? 0);
     this.members.set(name, new Member(name, this, !isOld));
   }
 
@@ -338,11 +338,12 @@
   }
 
   private planTroubles(): void {
-    const { issuerKills = [], issuerPauses = [], issuerCuts = [], issuerSlow = [] } = this.play;
+    const { issuerKills = [], issuerPauses = [], issuerPartitions = [], issuerSlow = [] } = this.scenario;
     const plan = (at: number, act: () => void): void => void this.clock.startTimer(at, act);
     for (const at of issuerKills) plan(at, () => this.kill(this.findIssuer().name));
     for (const { at, forMs } of issuerPauses) plan(at, () => this.pause(this.findIssuer(), forMs));
-    for (const { at, forMs } of issuerCuts) plan(at, () => this.cut(this.findIssuer().name, forMs));
+    for (const { at, forMs } of issuerPartitions)
+      plan(at, () => this.partition(this.findIssuer().name, forMs));
     for (const { at, forMs } of issuerSlow) {
       plan(at, () => (this.findIssuer().slowUntil = this.clock.getTime() + forMs));
     }
@@ -365,10 +366,10 @@
     });
   }
 
-  private cut(issuer: string, forMs: number): void {
+  private partition(issuer: string, forMs: number): void {
     for (const name of this.names.filter((_, index) => index % 2 === 0)) {
       const key = `${name} ${issuer}`;
-      this.cutUntil.set(key, this.clock.getTime() + forMs);
+      this.partitionedUntil.set(key, this.clock.getTime() + forMs);
       this.silentSince.set(key, this.clock.getTime());
       this.clock.startTimer(forMs, () => void this.silentSince.delete(key));
     }
@@ -379,7 +380,7 @@
     const alive = [...this.members.values()].filter(({ pausedUntil }) => pausedUntil <= this.clock.getTime());
     const member = alive[Math.floor(this.draw() * alive.length)];
     if (!member) return;
-    const isUrgent = this.draw() < (this.play.urgentShare ?? 0);
+    const isUrgent = this.draw() < (this.scenario.urgentShare ?? 0);
     const rank = isUrgent ? urgentRank : usualRank;
     if (!member.knowsLimits) return;
     if (!member.endpoint.acceptsRequest(this.clock.getTime(), rank)) return;
@@ -408,11 +409,11 @@
 
   private getNamed(): number | undefined {
     const time = this.clock.getTime();
-    return this.play.named.findLast(({ from }) => from <= time)?.perSecond;
+    return this.scenario.advertised.findLast(({ from }) => from <= time)?.perSecond;
   }
 }
 
 /** Runs a simulation. */
-export function runPermitScenario(play: PermitScenario): Promise<PermitResult> {
-  return new PermitFleet(play).run();
+export function runPermitScenario(scenario: PermitScenario): Promise<PermitResult> {
+  return new PermitFleet(scenario).run();
 }
--- a/packages/gateway/test/prefillRates.test.ts
+++ b/packages/gateway/test/prefillRates.test.ts
@@ -18,7 +18,7 @@
 }
 
 /** Records first events of an engine with a prefill rate: prompts of 100 to 12,000 tokens. */
-function teach(rates: PrefillRates, rate: number, count = 200): void {
+function recordObservations(rates: PrefillRates, rate: number, count = 200): void {
   for (let index = 0; index < count; index++) {
     const tokens = 100 + ((index * 7_919) % 11_900);
     rates.note(service.name, { tokens, elapsedMs: 34 + tokens / rate + (index % 7) });
@@ -29,7 +29,7 @@
   for (const rate of [30, 64, 157]) {
     const rates = createRates();
     t.equal(rates.get("model"), 50, "the setting applies until then");
-    teach(rates, rate);
+    recordObservations(rates, rate);
     t.ok(Math.abs(rates.get("model") - rate) < rate / 10, String(rates.get("model")));
     t.equal(rates.get("other"), 50);
   }
@@ -79,13 +79,13 @@
     getPeerWork: () => ({ active: 0, pendingTokens: 0 }),
     getRandom: () => 0,
   });
-  const asked = { service, promptTokens: 12_000, parts: [], excluded: new Set<string>() };
+  const request = { service, promptTokens: 12_000, parts: [], excluded: new Set<string>() };
   demand.countPromptTokens("model", 1_600_000);
   t.equal(demand.getNeededEndpoints(service, 4, 9), 9, "an assumed rate orders no endpoints");
-  t.equal(placer.choose(asked)?.expectedMs, 240);
-  teach(rates, 157);
+  t.equal(placer.choose(request)?.expectedMs, 240);
+  recordObservations(rates, 157);
   await clock.advance(20_000);
   demand.countPromptTokens("model", 1_600_000);
   t.equal(demand.getNeededEndpoints(service, 4, 0), 7);
-  t.ok((placer.choose(asked)?.expectedMs ?? 0) < 90);
+  t.ok((placer.choose(request)?.expectedMs ?? 0) < 90);
 });
