--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -9,12 +9,12 @@
 import { Err, Ok, type Result } from "ts-results-es";
 
 /** A call on which an arbiter decides for the whole fleet. */
-export interface ArbiterCall<Answer> {
+export interface ArbiterCall<Reply> {
   /** What the call is about; each subject has its own arbiter. */
   readonly subject: string;
   readonly message: PeerMessage;
   /** Whether a reply says that the arbiter does not know enough to decide. */
-  readonly isUndecided: (reply: Answer) => boolean;
+  readonly isUndecided: (reply: Reply) => boolean;
   /** Whether an instance supports this kind of call; if left out, all do. */
   readonly supportsCall?: (name: string) => boolean;
 }
@@ -79,7 +79,7 @@
    * Calls the subject's arbiter, and the next one if it does not reply. Fails with `PeerUnreachable` if none decides within
    * `waitMs`; the arbiters may then still have counted what was requested.
    */
-  async call<Answer>(arbiterCall: ArbiterCall<Answer>, waitMs: number): Promise<Result<Answer, Failure>> {
+  async call<Reply>(arbiterCall: ArbiterCall<Reply>, waitMs: number): Promise<Result<Reply, Failure>> {
     const { clock, own } = this.options;
     const { subject, isUndecided: isUnclear } = arbiterCall;
     const endsAt = clock.getTime() + waitMs;
@@ -103,27 +103,27 @@
 
   /** Resolves with the arbiter once it can be called, or with undefined if there is none within the time for links. */
   private async waitForArbiter(
-    { subject, supportsCall: isAble }: Pick<ArbiterCall<unknown>, "subject" | "supportsCall">,
+    { subject, supportsCall }: Pick<ArbiterCall<unknown>, "subject" | "supportsCall">,
     latestAt: number,
   ): Promise<string | undefined> {
     const { clock } = this.options;
     const endsAt = Math.min(latestAt, clock.getTime() + linkTimeoutMs);
-    let arbiter = this.find(subject, isAble);
+    let arbiter = this.find(subject, supportsCall);
     while (arbiter === undefined && clock.getTime() < endsAt) {
       await waitFor(clock, linkPollMs);
-      arbiter = this.find(subject, isAble);
+      arbiter = this.find(subject, supportsCall);
     }
     return arbiter;
   }
 
   /** Returns the first reader that can decide, which may be this instance; undefined if none can be reached. */
-  find(subject: string, isAble: (name: string) => boolean = () => true): string | undefined {
+  find(subject: string, supportsCall: (name: string) => boolean = () => true): string | undefined {
     const { clock, own, getReaders, isLinked } = this.options;
     const time = clock.getTime();
     const readers = getReaders();
     if (readers.length === 0) return own;
     const canDecide = (name: string): boolean =>
-      name === own || (isLinked(name) && isAble(name) && this.getState(name).skippedUntil <= time);
+      name === own || (isLinked(name) && supportsCall(name) && this.getState(name).skippedUntil <= time);
     return sortReaders(subject, readers).find(canDecide);
   }
 
@@ -131,19 +131,19 @@
    * Counts the readers that precede this instance for a subject and may also be deciding on it, including readers that only other
    * instances can reach; 0 if this instance is the first choice of all.
    */
-  countBefore(subject: string, isAble: (name: string) => boolean): number {
+  countBefore(subject: string, supportsCall: (name: string) => boolean): number {
     const { own, getReaders, isLinked } = this.options;
-    const mayDecide = (name: string): boolean => name === own || isAble(name) || !isLinked(name);
-    const ranked = sortReaders(subject, getReaders().filter(mayDecide));
-    const place = ranked.indexOf(own);
-    return place < 0 ? ranked.length : place;
+    const mayBeDeciding = (name: string): boolean => name === own || supportsCall(name) || !isLinked(name);
+    const ranked = sortReaders(subject, getReaders().filter(mayBeDeciding));
+    const position = ranked.indexOf(own);
+    return position < 0 ? ranked.length : position;
   }
 
-  private async callOne<Answer>(
+  private async callOne<Reply>(
     arbiter: string,
-    { message }: ArbiterCall<Answer>,
+    { message }: ArbiterCall<Reply>,
     remainingMs: number,
-  ): Promise<Answer | undefined> {
+  ): Promise<Reply | undefined> {
     const { clock, call } = this.options;
     const state = this.getState(arbiter);
     const calledAt = clock.getTime();
@@ -152,7 +152,7 @@
     const tookMs = clock.getTime() - calledAt;
     state.backoffMs = initialBackoffMs;
     state.timeoutMs = clampTimeout(tookMs * timeoutFactor + timeoutMarginMs);
-    return reply.value as Answer;
+    return reply.value as Reply;
   }
 
   private skip(arbiter: string, subject: string, hasReplied: boolean): void {
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -375,7 +375,7 @@
     own: instance.name,
     arbiters: members.arbiters,
     // An instance that knows the limits of endpoints also decides on retries.
-    supportsRetryCalls: (name) => links.isAble(name),
+    supportsRetryCalls: (name) => links.canIssuePermits(name),
     getFleetSize: () => members.getFleetSize(),
   });
   RetryLinks.create(members, (peer, ask) => budget.decideForPeer(peer, ask));
@@ -396,7 +396,7 @@
     limits,
     issuer: PermitIssuer.create({ clock, logger, getRandom: Math.random }),
     arbiters: members.arbiters,
-    isAble: (name) => links.isAble(name),
+    canIssuePermits: (name) => links.canIssuePermits(name),
     getFleetSize: () => members.getFleetSize(),
   });
   const links: LimitGossip = LimitGossip.create({
--- a/packages/gateway/src/limitGossip.ts
+++ b/packages/gateway/src/limitGossip.ts
@@ -27,7 +27,7 @@
   readonly directory: EndpointDirectory;
   readonly limits: EndpointLimits;
   /** Decides on a request for permits as the issuer. */
-  readonly decide: (request: PermitCall, asker: string) => PermitReply;
+  readonly decide: (request: PermitCall, requester: string) => PermitReply;
 }
 
 /** Sends and receives limits, and answers requests for permits. */
@@ -54,7 +54,7 @@
   }
 
   /** Whether a peer can issue permits. */
-  isAble(name: string): boolean {
+  canIssuePermits(name: string): boolean {
     return this.issuerIncarnations.has(name);
   }
 
@@ -81,7 +81,7 @@
     const { limits, directory, fleet } = this.options;
     const reports = directory.availabilities
       .getLimited(maxReported)
-      .map((incarnation) => limits.get(incarnation));
+      .map((endpointIncarnation) => limits.get(endpointIncarnation));
     fleet.links.send(name, createMessage(reports));
   }
 }
--- a/packages/gateway/src/permitClient.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -39,7 +39,7 @@
   readonly issuer: PermitIssuer;
   readonly arbiters: Pick<Arbiters, "find" | "countBefore" | "call">;
   /** Whether an instance can issue permits. */
-  readonly isAble: (name: string) => boolean;
+  readonly canIssuePermits: (name: string) => boolean;
   readonly getFleetSize: () => number;
 }
 
@@ -113,8 +113,8 @@
     perSecond: number,
     request: PermitBatchRequest,
   ): Promise<SourcedReply> {
-    const { own, arbiters, isAble, limits } = this.options;
-    const issuer = arbiters.find(incarnation, isAble);
+    const { own, arbiters, canIssuePermits, limits } = this.options;
+    const issuer = arbiters.find(incarnation, canIssuePermits);
     if (issuer === undefined) return this.useOwnShare(incarnation, perSecond);
     const callArguments = { ...limits.get(incarnation), rank: request.rank, wanted: request.wanted };
     if (issuer === own) return { source: PermitSource.Own, ...this.decide(callArguments, own) };
@@ -122,7 +122,7 @@
     const waitMs = Math.min(maxReplyWaitMs, request.leftMs * replyWaitShare);
     const isUndecided = ({ word }: PermitReply): boolean => word === PermitDecision.Unknown;
     const reply = await arbiters.call<PermitReply>(
-      { subject: incarnation, message, isUndecided, supportsCall: isAble },
+      { subject: incarnation, message, isUndecided, supportsCall: canIssuePermits },
       waitMs,
     );
     if (reply.isErr()) {
@@ -139,12 +139,12 @@
     { rank, wanted, ...report }: PeerLimit & Pick<PermitCall, "rank" | "wanted">,
     requester: string,
   ): PermitReply {
-    const { own, arbiters, isAble, issuer, limits } = this.options;
+    const { own, arbiters, canIssuePermits, issuer, limits } = this.options;
     const { life: incarnation } = report;
     if (requester !== own) limits.mergePeer(report, requester);
     const { perSecond, ageMs } = limits.get(incarnation);
     if (perSecond === undefined) return { word: PermitDecision.Free, permits: 0, waitMs: 0, endedMs: ageMs };
-    const place = arbiters.countBefore(incarnation, isAble);
+    const place = arbiters.countBefore(incarnation, canIssuePermits);
     const grant = issuer.issue({ life: incarnation, perSecond, requester, rank, wanted, place });
     return { word: grant.permits > 0 ? PermitDecision.Granted : PermitDecision.Refused, ...grant };
   }
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -285,7 +285,7 @@
       isLinked: () => true,
       call: () => Promise.reject(new Error("no arbiter may be asked")),
     }),
-    isAble: () => false,
+    canIssuePermits: () => false,
     getFleetSize: () => fleetSize,
   });
   const endpoint = createKnownEndpoint({ id: "e" });
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -132,7 +132,7 @@
       limits: this.limits,
       issuer: PermitIssuer.create({ clock, logger, getRandom: draw }),
       arbiters,
-      isAble: (peer) => links.isAble(peer),
+      canIssuePermits: (peer) => links.canIssuePermits(peer),
       getFleetSize: () => fleet.scenario.instances,
     });
     const links = LimitGossip.create({
