--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -81,7 +81,7 @@
    */
   async call<Reply>(arbiterCall: ArbiterCall<Reply>, waitMs: number): Promise<Result<Reply, Failure>> {
     const { clock, own } = this.options;
-    const { subject, isUndecided: isUnclear } = arbiterCall;
+    const { subject, isUndecided } = arbiterCall;
     const endsAt = clock.getTime() + waitMs;
     const unanswered: ArbiterState[] = [];
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
@@ -89,7 +89,7 @@
       const remainingMs = endsAt - clock.getTime();
       if (arbiter === undefined || arbiter === own || remainingMs <= 0) break;
       const reply = await this.callOne(arbiter, arbiterCall, remainingMs);
-      if (reply !== undefined && !isUnclear(reply)) {
+      if (reply !== undefined && !isUndecided(reply)) {
         for (const state of unanswered) state.backoffMs = Math.min(maxBackoffMs, state.backoffMs * 2);
         return Ok(reply);
       }
@@ -159,8 +159,8 @@
     const { clock, logger } = this.options;
     const state = this.getState(arbiter);
     state.skippedUntil = clock.getTime() + state.backoffMs;
-    const { timeoutMs: patienceMs } = state;
-    logger.warn("arbiter.passed-over", { arbiter, subject, answered: hasReplied, patienceMs });
+    const { timeoutMs } = state;
+    logger.warn("arbiter.passed-over", { arbiter, subject, answered: hasReplied, patienceMs: timeoutMs });
   }
 
   private getState(arbiter: string): ArbiterState {
@@ -173,8 +173,8 @@
   }
 }
 
-function clampTimeout(patienceMs: number): number {
-  return Math.min(maxTimeoutMs, Math.max(minTimeoutMs, patienceMs));
+function clampTimeout(timeoutMs: number): number {
+  return Math.min(maxTimeoutMs, Math.max(minTimeoutMs, timeoutMs));
 }
 
 function sortReaders(subject: string, readers: readonly string[]): readonly string[] {
--- a/packages/gateway/src/crashGossip.ts
+++ b/packages/gateway/src/crashGossip.ts
@@ -51,7 +51,7 @@
 }
 
 /** Added to the wait that a request asks for, for the way to the arbiter and back. */
-const answerMarginMs = 150;
+const replyMarginMs = 150;
 
 /** Exchanges crash updates and requests trials. */
 export class CrashGossip {
@@ -61,7 +61,7 @@
     this.broadcaster = FleetBroadcast.create(options.fleet);
     const { links } = options.fleet;
     links.setHandler(CrashMessageKind.Updates, (message, peer) => this.handleUpdate(message, peer));
-    links.setHandler(CrashMessageKind.TrialCall, (message) => this.handleTrialRequest(message as TrialCall));
+    links.setHandler(CrashMessageKind.TrialCall, (message) => this.handleTrialCall(message as TrialCall));
     links.setHandler(CrashMessageKind.TrialEnd, (message) => {
       const { life: incarnation, fingerprint } = message as TrialEndMessage;
       options.scheduler.end(incarnation, fingerprint);
@@ -88,7 +88,7 @@
     if (arbiter === own) return scheduler.decideOrWait(request);
     if (arbiter === undefined) return { word: TrialDecision.Unknown };
     const message: TrialCall = { kind: CrashMessageKind.TrialCall, ...request };
-    const reply = await fleet.links.call(arbiter, message, request.waitMs + answerMarginMs);
+    const reply = await fleet.links.call(arbiter, message, request.waitMs + replyMarginMs);
     return reply.isOk() ? (reply.value as TrialReply) : { word: TrialDecision.Unknown };
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** An instance that does not receive the reports of the whole fleet knows too little to decide. */
-  private handleTrialRequest({
+  private handleTrialCall({
     service,
     subject,
     excluded,
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -377,16 +377,15 @@
 
 function countSuspects({ inFlight }: EndpointCrash): number {
   let count = 0;
-  for (const { wasSuspect, isCleared: isAcquitted } of inFlight.values())
-    count += wasSuspect && !isAcquitted ? 1 : 0;
+  for (const { wasSuspect, isCleared } of inFlight.values()) count += wasSuspect && !isCleared ? 1 : 0;
   return count;
 }
 
 function createUnclearedReport({ life: incarnation, inFlight }: EndpointCrash): CrashReport {
   const suspects: CrashSubject[] = [];
   const others: CrashSubject[] = [];
-  for (const [fingerprint, { workspace, wasSuspect, isCleared: isAcquitted }] of inFlight) {
-    if (isAcquitted) continue;
+  for (const [fingerprint, { workspace, wasSuspect, isCleared }] of inFlight) {
+    if (isCleared) continue;
     (wasSuspect ? suspects : others).push({ workspace, fingerprint });
   }
   return { life: incarnation, suspects, others };
--- a/packages/gateway/src/limitGossip.ts
+++ b/packages/gateway/src/limitGossip.ts
@@ -41,7 +41,7 @@
     this.broadcaster = FleetBroadcast.create(fleet);
     fleet.links.setHandler(LimitMessageKind.Limits, (message, peer) => this.handleLimits(message, peer));
     fleet.links.setHandler(LimitMessageKind.PermitCall, (message, peer) =>
-      this.handlePermitRequest(message as PermitCall, peer),
+      this.handlePermitCall(message as PermitCall, peer),
     );
     fleet.links.onLinkUp((peer) => this.sendToNewPeer(peer));
     limits.onLimitChange((incarnation) =>
@@ -68,7 +68,7 @@
   }
 
   /** Only an instance that receives the reports of the whole fleet may issue permits. */
-  private handlePermitRequest(request: PermitCall, { name }: PeerIdentity): PermitReply {
+  private handlePermitCall(request: PermitCall, { name }: PeerIdentity): PermitReply {
     const isValid = this.options.fleet.isCollector && isPeerLimit(request) && isPermitCall(request);
     return isValid
       ? this.options.decide(request, name)
--- a/packages/gateway/src/suspectGate.ts
+++ b/packages/gateway/src/suspectGate.ts
@@ -25,7 +25,7 @@
   readonly detector: CrashDetector;
   readonly metrics: GatewayMetrics;
   readonly broadcast: (update: CrashUpdate) => void;
-  readonly callArbiter: (question: TrialCallArguments) => Promise<TrialReply>;
+  readonly callArbiter: (callArguments: TrialCallArguments) => Promise<TrialReply>;
   readonly endTrial: (service: string, incarnation: string, fingerprint: string) => void;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
   readonly findEndpoint: (incarnation: string) => Endpoint | undefined;
--- a/packages/gateway/src/trialScheduler.ts
+++ b/packages/gateway/src/trialScheduler.ts
@@ -98,9 +98,9 @@
 
   close(): void {
     for (const { timer } of this.grants.values()) timer.cancel();
-    for (const { timer, resolve: reply } of this.waiters.splice(0)) {
+    for (const { timer, resolve } of this.waiters.splice(0)) {
       timer.cancel();
-      reply(busy);
+      resolve(busy);
     }
   }
 
