--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -37,7 +37,7 @@
 
 /** Share of the drain time after which a stop may be the planned one: the notice may be as old as the response before it. */
 const plannedStopShare = 0.75;
-/** Time for which an accepted connection after an interruption shows that the endpoint is running. */
+/** Time for which a connection that the endpoint accepted after an interruption shows that it is running. */
 const aliveMs = 100;
 /** Most requests of one instance in the report of one crash: those running and those queued at the endpoint, 60 bytes each. */
 const maxReported = 256;
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -37,6 +37,7 @@
 export interface CrashEvidence {
   /** Crashes before which the request was not a suspect. */
   readonly first: readonly string[];
+  /** Crashes before which it was one. */
   readonly repeated: readonly string[];
 }
 
@@ -56,7 +57,7 @@
   Suspect = 2,
   /** It was in flight at two crashes; it runs only at an endpoint without another isolated request. */
   Isolated = 3,
-  /** It is the only suspect of two crashes; it does not run during a cooldown, then isolated once more. */
+  /** It is the only suspect of two crashes; it does not run during a cooldown, and runs isolated once more after it. */
   Resting = 4,
   /** It is blocked for good. */
   Convicted = 5,
@@ -131,7 +132,7 @@
     return this.suspectsByWorkspace.has(workspace);
   }
 
-  /** Whether an incarnation is reported as crashed and that is not refuted. */
+  /** Whether an incarnation is reported as crashed and the report is not refuted. */
   hasCrashed(incarnation: string): boolean {
     const crash = this.crashes.get(incarnation);
     return crash !== undefined && !crash.isRefuted;
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Only a request without uncleared crashes counts, because a removal clears it on all instances; one with a lower score must
-   * stay.
+   * Whether an item may be removed. A removal clears the request on all instances, so the item of a request whose score has only
+   * fallen must stay.
    */
   private isCleared(fingerprint: string): boolean {
     const { records, isWriter } = this.options;
--- a/packages/gateway/src/endpointLimit.ts
+++ b/packages/gateway/src/endpointLimit.ts
@@ -138,8 +138,8 @@
       this.permitsValidUntil = time + permitValidMs;
       return;
     }
-    const isRefused = time < this.refusedUntil;
-    this.refusedRank = isRefused ? Math.min(this.refusedRank, rank) : rank;
+    const isStillRefused = time < this.refusedUntil;
+    this.refusedRank = isStillRefused ? Math.min(this.refusedRank, rank) : rank;
     this.refusedUntil = Math.max(this.refusedUntil, time + waitMs);
   }
 
--- a/packages/gateway/src/limitGossip.ts
+++ b/packages/gateway/src/limitGossip.ts
@@ -75,7 +75,7 @@
       : { word: PermitDecision.Unknown, permits: 0, waitMs: 0 };
   }
 
-  /** Sent also when no limit is known, because it tells the peer that permits are issued here. */
+  /** Sends all known limits, or an empty list, because the message also tells the peer that permits are issued here. */
   private sendToNewPeer({ name, incarnation }: PeerIdentity): void {
     if (this.issuerIncarnations.get(name) !== incarnation) this.issuerIncarnations.delete(name);
     const { limits, directory, fleet } = this.options;
--- a/packages/gateway/src/permitClient.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -43,6 +43,7 @@
   readonly getFleetSize: () => number;
 }
 
+/** A request, and how many permits this instance asks for with it. */
 interface PermitBatchRequest extends PermitRequest {
   /** Number of permits that can be used at once. */
   readonly wanted: number;
--- a/packages/gateway/src/permitIssuer.ts
+++ b/packages/gateway/src/permitIssuer.ts
@@ -7,8 +7,9 @@
 import type { PermitGrant } from "./endpointLimit.js";
 import { LeakyBucket } from "./leakyBucket.js";
 
-/** A request for permits. */
+/** Arguments of a call for permits. */
 export interface PermitCallArguments {
+  /** Incarnation of the endpoint. */
   readonly life: string;
   /** Requests a second that the endpoint accepts of all instances together. */
   readonly perSecond: number;
@@ -35,6 +36,7 @@
   /** Permits issued and not yet drained; full at the start, because a previous issuer may have issued permits just before. */
   readonly bucket: LeakyBucket;
   place: number;
+  /** Permits that may be saved up. */
   depth: number;
   /** Until when each instance that has requested permits counts as waiting. */
   readonly requesters: Map<string, number>;
--- a/packages/gateway/src/prefillRates.ts
+++ b/packages/gateway/src/prefillRates.ts
@@ -129,12 +129,12 @@
   }
 
   private add(service: string): LearnedRate {
-    const { initialRate: startRate } = this.options;
+    const { initialRate } = this.options;
     const learned: LearnedRate = {
       observations: [],
       sinceEstimate: 0,
       rate: undefined,
-      loggedRate: startRate,
+      loggedRate: initialRate,
     };
     this.learned.set(service, learned);
     return learned;
--- a/packages/gateway/src/trialScheduler.ts
+++ b/packages/gateway/src/trialScheduler.ts
@@ -7,7 +7,7 @@
 import { type CrashRecords, type CrashSubject, QuarantineState } from "./crashRecords.js";
 import type { Endpoint, PeerWork } from "./endpoint.js";
 
-/** An isolated request that is waiting to run. */
+/** Arguments of a call for a trial: an isolated request that is waiting to run. */
 export interface TrialCallArguments {
   readonly service: string;
   readonly subject: CrashSubject;
@@ -44,11 +44,13 @@
   readonly getPeerWork: (incarnation: string) => PeerWork;
 }
 
+/** A granted trial: the request, and the timer that ends it. */
 interface Grant {
   readonly fingerprint: string;
   readonly timer: Timer;
 }
 
+/** A request that waits until an endpoint is free. */
 interface Waiter {
   readonly request: TrialCallArguments;
   readonly resolve: (reply: TrialReply) => void;
