--- a/packages/gateway/test/crashScenarios.ts
+++ b/packages/gateway/test/crashScenarios.ts
@@ -106,15 +106,15 @@
 ): Promise<void> {
   const held: EndpointRequest[] = [];
   endpoints.script = (call) => void held.push(call);
-  let isOver = false;
-  const answers = send().finally(() => (isOver = true));
+  let hasEnded = false;
+  const responses = send().finally(() => (hasEnded = true));
   // All of them may be refused at once, so that none is ever held.
-  await waitUntil(() => held.length >= 1 || isOver);
+  await waitUntil(() => held.length >= 1 || hasEnded);
   const running = [...endpoints.running];
   endpoints.crash(running[Math.floor(draw() * running.length)]!);
   endpoints.script = respondSuccess;
   for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
-  await answers;
+  await responses;
 }
 
 /** Resets the connection of the next request at an endpoint that keeps running. */
--- a/packages/gateway/test/crashingEndpoints.ts
+++ b/packages/gateway/test/crashingEndpoints.ts
@@ -121,7 +121,7 @@
   instance: BenchInstance,
   body = crashBody,
 ) {
-  const answer = await bench.call(instance, { method: "POST", key: "key", body });
+  const response = await bench.call(instance, { method: "POST", key: "key", body });
   await endpoints.replace();
-  return answer;
+  return response;
 }
--- a/packages/gateway/test/crashingRequest.test.ts
+++ b/packages/gateway/test/crashingRequest.test.ts
@@ -29,8 +29,8 @@
       await sendCrashRequest(bench, endpoints, bench.instances[index % 3]!);
     }
     t.ok(endpoints.crashCount <= maxCrashes, `${endpoints.crashCount} crashed`);
-    const answer = await bench.call(bench.instances[0]!, { method: "POST", key: "key", body: "harmless" });
-    t.equal(answer.status, 200);
+    const response = await bench.call(bench.instances[0]!, { method: "POST", key: "key", body: "harmless" });
+    t.equal(response.status, 200);
   },
 );
 
@@ -65,9 +65,9 @@
   const before = endpoints.crashCount;
   const late = await bench.startReady(4);
   await waitUntil(() => late.gateway.linkedPeers === 2);
-  const answer = await sendCrashRequest(bench, endpoints, late);
-  t.equal(answer.status, 503);
-  t.ok(Number(answer.headers["retry-after"]) >= 1);
+  const response = await sendCrashRequest(bench, endpoints, late);
+  t.equal(response.status, 503);
+  t.ok(Number(response.headers["retry-after"]) >= 1);
   t.equal(endpoints.crashCount, before);
 });
 
@@ -79,12 +79,12 @@
     for (let round = 0; round < 8; round++) {
       const instance = bench.instances[round % 3]!;
       for (const body of bodies) await sendCrashRequest(bench, endpoints, instance, body);
-      const answer = await bench.call(instance, {
+      const response = await bench.call(instance, {
         method: "POST",
         key: "other-key",
         body: `harmless ${round}`,
       });
-      t.equal(answer.status, 200);
+      t.equal(response.status, 200);
     }
     t.ok(endpoints.crashCount <= maxCrashes * bodies.length, `${endpoints.crashCount} crashed`);
   },
--- a/packages/gateway/test/endpointAvailability.test.ts
+++ b/packages/gateway/test/endpointAvailability.test.ts
@@ -218,17 +218,17 @@
   }
   const instance = await bench.startReady(2);
   t.teardown(() => Promise.all([bench.close(), ...endpoints.map((endpoint) => endpoint.close())]));
-  const setTrouble = (trouble: StoreFault): void => {
-    for (const store of bench.platform.stores) store.fault = trouble;
+  const setStoreFault = (fault: StoreFault): void => {
+    for (const store of bench.platform.stores) store.fault = fault;
   };
-  return { bench, instance, setTrouble, countCalls: () => leaving?.requests.length };
+  return { bench, instance, setTrouble: setStoreFault, countCalls: () => leaving?.requests.length };
 }
 
 t.test("no request goes to an endpoint that has announced in a response that it is leaving", async (t) => {
   for (const [name, script] of Object.entries(leavingAnswers)) {
     await t.test(`${name} announces it while the store is unreachable`, async (t) => {
-      const { bench, instance, setTrouble, countCalls } = await startPair(t, script);
-      setTrouble(StoreFault.Down);
+      const { bench, instance, setTrouble: setStoreFault, countCalls } = await startPair(t, script);
+      setStoreFault(StoreFault.Down);
       await bench.call(instance);
       t.equal(instance.gateway.countEndpoints("web"), 1);
       for (let index = 0; index < 20; index++) t.equal((await bench.call(instance)).status, 200);
@@ -262,17 +262,17 @@
 t.test(
   "peers learn of a notice at once and without the store, as does one that connects later",
   async (t) => {
-    const { bench, instance, setTrouble, countCalls } = await startPair(t, respondLeaving);
+    const { bench, instance, setTrouble: setStoreFault, countCalls } = await startPair(t, respondLeaving);
     const other = await bench.startReady(2);
     await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
-    setTrouble(StoreFault.Down);
+    setStoreFault(StoreFault.Down);
     await bench.call(instance);
     t.equal(instance.gateway.countEndpoints("web"), 1, "the instance that received the notice");
     if (instance.gateway.countEndpoints("web") > 1) return;
     await waitUntil(() => other.gateway.countEndpoints("web") === 1);
     for (let index = 0; index < 20; index++) t.equal((await bench.call(other)).status, 200);
     t.equal(countCalls(), 1);
-    setTrouble(StoreFault.None);
+    setStoreFault(StoreFault.None);
     const late = await bench.startReady(1);
     await waitUntil(() => late.gateway.linkedPeers === 2 && late.gateway.countEndpoints("web") === 1);
   },
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -90,9 +90,9 @@
   endpoint!.script = (call) => waiting.push(call);
   const isTried = (): boolean => endpoint!.requests.length >= 2;
   const first = (async () => {
-    let answer = await bench.call(instance);
-    while (!isTried()) answer = await bench.call(instance);
-    return answer;
+    let response = await bench.call(instance);
+    while (!isTried()) response = await bench.call(instance);
+    return response;
   })();
   await waitUntil(isTried);
   const crowd = await Promise.all(Array.from({ length: 10 }, () => bench.call(instance)));
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -74,11 +74,11 @@
     bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === endpoints.length),
   );
   const callAll = async (rounds: number): Promise<readonly CallResult[]> => {
-    const answers: CallResult[] = [];
+    const responses: CallResult[] = [];
     for (let round = 0; round < rounds; round++) {
-      answers.push(...(await Promise.all(bench.instances.map((instance) => bench.call(instance)))));
+      responses.push(...(await Promise.all(bench.instances.map((instance) => bench.call(instance)))));
     }
-    return answers;
+    return responses;
   };
   return { bench, limited, endpoint: endpoints[0]!, callAll };
 }
@@ -91,11 +91,11 @@
     [4, 5],
   ] as const) {
     const { limited, callAll } = await startLimited(t, instances, perSecond, 1);
-    const answers = await callAll(240 / instances);
+    const responses = await callAll(240 / instances);
     const report = `${instances} instances, ${perSecond} a second: ${limited.getWorst()} in a window`;
     t.ok(limited.getWorst() <= getAllowedArrivals(perSecond), report);
     t.ok(
-      answers.every(({ status }) => status === 200),
+      responses.every(({ status }) => status === 200),
       "other endpoints serve what it does not accept",
     );
   }
@@ -103,15 +103,15 @@
 
 t.test("the same holds if instances learn of each other only from readers", async (t) => {
   const { limited, callAll } = await startLimited(t, 6, 1, 1, true);
-  const answers = await callAll(40);
+  const responses = await callAll(40);
   t.ok(limited.getWorst() <= getAllowedArrivals(1), String(limited.getWorst()));
-  t.ok(answers.every(({ status }) => status === 200));
+  t.ok(responses.every(({ status }) => status === 200));
 });
 
 t.test("if every endpoint advertises a limit, callers are refused at once with a Retry-After", async (t) => {
   const { bench, limited, callAll } = await startLimited(t, 3, 0.5, 0);
-  const answers = await callAll(60);
-  const refused = answers.filter(({ status }) => status === 503);
+  const responses = await callAll(60);
+  const refused = responses.filter(({ status }) => status === 503);
   t.ok(limited.getWorst() <= getAllowedArrivals(0.5), String(limited.getWorst()));
   t.ok(refused.length > 150, String(refused.length));
   for (const { headers } of refused) t.ok(Number(headers["retry-after"]) >= 0.3);
@@ -120,7 +120,7 @@
   t.match(metrics, /gladewall_permit_asks_total\{word="refused"\} \d+/);
 });
 
-t.test("only an answer that served a request ends a limit", async (t) => {
+t.test("only a response that served a request ends a limit", async (t) => {
   const { bench, endpoint } = await startLimited(t, 1, 1_000, 0);
   const [instance] = bench.instances;
   const isLimited = async (script: EndpointScript): Promise<boolean> => {
@@ -153,7 +153,7 @@
   t.equal(
     limit.noteAdvertised(8, at(15, 30)),
     LimitChange.None,
-    "not raised by an answer to a request sent before",
+    "not raised by a response to a request sent before",
   );
   t.equal(limit.noteAdvertised(3, at(15, 35)), LimitChange.Changed, "but lowered");
   t.equal(limit.noteAdvertised(9, at(40, 50)), LimitChange.Changed);
--- a/packages/gateway/test/fedFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -79,7 +79,7 @@
   readonly clock = VirtualClock.create();
   readonly platform = FakePlatform.create(this.clock, stepMs);
   readonly readers = readerNames.map((name) => StoreView.create(name, this.platform, this.clock));
-  readonly told = StoreView.create("told", this.platform, this.clock);
+  readonly fed = StoreView.create("told", this.platform, this.clock);
 
   static async create(): Promise<FedFleet> {
     const fleet = new FedFleet();
@@ -89,7 +89,7 @@
     for (const id of ["g", "h", "i", "j", "k", "l", "m"]) {
       fleet.platform.putEndpoint({ id, service: "pool", address: "127.0.0.1:1" });
     }
-    for (const view of [...fleet.readers, fleet.told]) view.start();
+    for (const view of [...fleet.readers, fleet.fed]) view.start();
     fleet.report();
     await fleet.clock.advance(6_000);
     return fleet;
@@ -103,19 +103,19 @@
       const others = readerNames.filter((_, index) => this.readers[index] !== reader);
       this.ask(reader, true, others);
     }
-    this.told.feed.setRole(false);
-    this.ask(this.told, false, readerNames);
+    this.fed.feed.setRole(false);
+    this.ask(this.fed, false, readerNames);
   }
 
-  private ask(asker: StoreView, isReader: boolean, linked: readonly string[]): void {
-    const name = asker.feed.chooseReader(isReader, linked);
-    const asked = this.readers[readerNames.indexOf(name ?? "")];
-    const answer = asked?.feed.createMessage(asker.feed.getState());
-    if (answer) asker.feed.apply(answer, this.clock.getTime());
+  private ask(requester: StoreView, isReader: boolean, linked: readonly string[]): void {
+    const name = requester.feed.chooseReader(isReader, linked);
+    const reader = this.readers[readerNames.indexOf(name ?? "")];
+    const message = reader?.feed.createMessage(requester.feed.getState());
+    if (message) requester.feed.apply(message, this.clock.getTime());
   }
 
   async close(): Promise<void> {
-    const closed = Promise.all([...this.readers, this.told].map((view) => view.close()));
+    const closed = Promise.all([...this.readers, this.fed].map((view) => view.close()));
     await this.clock.advance(20_000);
     await closed;
   }
@@ -124,7 +124,7 @@
 /** A departure of an endpoint while the store refuses some readers. */
 export interface Departure {
   /** When the store refuses each reader, and for how long; milliseconds. */
-  readonly troubles: readonly { readonly at: number; readonly lasts: number }[];
+  readonly faults: readonly { readonly at: number; readonly lasts: number }[];
   /** When the store acknowledges that the endpoint is leaving. */
   readonly leavesAt: number;
   /** Whether its record is written as leaving; otherwise the record is removed. */
@@ -144,11 +144,11 @@
 
 /** Simulates a departure. */
 export async function runDepartureScenario(departure: Departure): Promise<UsedFor> {
-  const { troubles, leavesAt, isStated, together = [], silentAt } = departure;
+  const { faults, leavesAt, isStated, together = [], silentAt } = departure;
   const fleet = await FedFleet.create();
   const { platform, clock } = fleet;
   const startedAt = clock.getTime();
-  for (const [index, { at, lasts }] of troubles.entries()) {
+  for (const [index, { at, lasts }] of faults.entries()) {
     const store = platform.stores[index]!;
     clock.startTimer(at, () => (store.fault = StoreFault.Down));
     clock.startTimer(at + lasts, () => (store.fault = StoreFault.None));
@@ -165,7 +165,7 @@
   const usedFor = { fed: 0, readers: 0 };
   for (let time = 0; time < leavesAt + 2 * drainMs; time += stepMs) {
     const elapsed = clock.getTime() - startedAt - leavesAt;
-    if (fleet.told.uses("a")) usedFor.fed = elapsed;
+    if (fleet.fed.uses("a")) usedFor.fed = elapsed;
     if (fleet.readers.some((reader) => reader.uses("a"))) usedFor.readers = elapsed;
     await clock.advance(stepMs);
   }
--- a/packages/gateway/test/innocentRequests.test.ts
+++ b/packages/gateway/test/innocentRequests.test.ts
@@ -76,12 +76,12 @@
 t.test("a planned stop makes no request a suspect", async (t) => {
   const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
   endpoint.script = () => undefined;
-  const answer = bench.call(instance, { method: "POST", body: "same" });
+  const response = bench.call(instance, { method: "POST", body: "same" });
   await endpoint.waitForRequests(1);
   bench.platform.putEndpoint({ id: "e", address: endpoint.address, isLeaving: true });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 0);
   await endpoint.close();
-  t.equal((await answer).status, 502);
+  t.equal((await response).status, 502);
   t.equal(await readCount(bench, instance, "gladewall_suspects"), 0);
 });
 
--- a/packages/gateway/test/leavingEndpoints.test.ts
+++ b/packages/gateway/test/leavingEndpoints.test.ts
@@ -14,17 +14,17 @@
 const sendingMs = 150;
 
 const duration = fc.oneof(fc.integer({ min: 0, max: 1_500 }), fc.integer({ min: 0, max: 9_000 }));
-const trouble = fc.record({ at: fc.integer({ min: 0, max: 4_000 }), lasts: duration });
+const fault = fc.record({ at: fc.integer({ min: 0, max: 4_000 }), lasts: duration });
 const departure: fc.Arbitrary<Departure> = fc.record({
-  troubles: fc.array(trouble, { minLength: 1, maxLength: 3 }),
+  faults: fc.array(fault, { minLength: 1, maxLength: 3 }),
   leavesAt: fc.integer({ min: 0, max: 6_000 }),
   isStated: fc.boolean(),
 });
 
 /** Generated departures after which an endpoint was used for too long. */
-const found: readonly Departure[] = [
+const counterexamples: readonly Departure[] = [
   {
-    troubles: [
+    faults: [
       { at: 6, lasts: 2_221 },
       { at: 1_746, lasts: 8 },
     ],
@@ -32,7 +32,7 @@
     isStated: false,
   },
   {
-    troubles: [
+    faults: [
       { at: 99, lasts: 6_049 },
       { at: 1_202, lasts: 4_365 },
       { at: 1_256, lasts: 1_060 },
@@ -41,7 +41,7 @@
     isStated: false,
   },
   {
-    troubles: [
+    faults: [
       { at: 2_713, lasts: 931 },
       { at: 205, lasts: 981 },
       { at: 3_425, lasts: 11 },
@@ -62,7 +62,7 @@
       seed: 31,
       numRuns: 24,
       endOnFailure: true,
-      examples: found.map((drawn) => [drawn]),
+      examples: counterexamples.map((drawn) => [drawn]),
     });
     t.equal(report.failed, false, JSON.stringify(report.counterexample));
   },
@@ -70,7 +70,7 @@
 
 t.test("a reader that the store refuses learns from another one that an endpoint is leaving", async (t) => {
   const one = fc.record({
-    troubles: fc.array(trouble, { minLength: 1, maxLength: 2 }),
+    faults: fc.array(fault, { minLength: 1, maxLength: 2 }),
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
     isStated: fc.boolean(),
   });
@@ -83,8 +83,8 @@
 });
 
 /** A generated departure of half a service after which it was used beyond the drain time. */
-const foundTogether: Departure = {
-  troubles: [
+const togetherCounterexample: Departure = {
+  faults: [
     { at: 2_434, lasts: 6_185 },
     { at: 1_042, lasts: 1_155 },
   ],
@@ -96,7 +96,7 @@
 // Guards against half of one small service counting as a loss by the store, whose endpoints are used until the store is back.
 t.test("half of one service that leaves while other services stay is no longer used in time", async (t) => {
   const half: fc.Arbitrary<Departure> = fc.record({
-    troubles: fc.array(trouble, { minLength: 1, maxLength: 3 }),
+    faults: fc.array(fault, { minLength: 1, maxLength: 3 }),
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
     isStated: fc.constant(false),
     together: fc.constant(["b", "c"]),
@@ -109,14 +109,14 @@
     seed: 31,
     numRuns: 12,
     endOnFailure: true,
-    examples: [[foundTogether]],
+    examples: [[togetherCounterexample]],
   });
   t.equal(report.failed, false, JSON.stringify(report.counterexample));
 });
 
 t.test("a watch that stops delivering without an error is detected in time", async (t) => {
   const silent = fc.record({
-    troubles: fc.constant([]),
+    faults: fc.constant([]),
     silentAt: fc.integer({ min: 0, max: 3_000 }),
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
     isStated: fc.boolean(),
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -139,7 +139,7 @@
       fleet: this.createFleet(),
       directory: known,
       limits: this.limits,
-      decide: (ask, asker) => this.permits.decide(ask, asker),
+      decide: (call, requester) => this.permits.decide(call, requester),
     });
     if (!knowsLimits) this.handlers.clear();
   }
@@ -188,10 +188,10 @@
         const handler = member.handlers.get(message.kind);
         if (!handler) return;
         member.messages += 1;
-        const answer = handler(structuredClone(message), this.identity);
+        const reply = handler(structuredClone(message), this.identity);
         fleet.send(member, this.name, () => {
           timer.cancel();
-          resolve(Ok(answer));
+          resolve(Ok(reply));
         });
       });
     });
@@ -331,10 +331,13 @@
   }
 
   private findIssuer(): Member {
-    const told = [...this.members.values()].find(({ knowsLimits }) => knowsLimits)!;
+    const fallback = [...this.members.values()].find(({ knowsLimits }) => knowsLimits)!;
     const known = this.getReaders().flatMap((name) => this.members.get(name) ?? []);
-    const asked = known.filter(({ handlers }) => handlers.has(LimitMessageKind.PermitCall));
-    return asked.reduce((best, one) => (one.messages > best.messages ? one : best), asked[0] ?? told);
+    const candidates = known.filter(({ handlers }) => handlers.has(LimitMessageKind.PermitCall));
+    return candidates.reduce(
+      (best, one) => (one.messages > best.messages ? one : best),
+      candidates[0] ?? fallback,
+    );
   }
 
   private planTroubles(): void {
