--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -111,7 +111,7 @@
   }
 
   /**
-   * Share of recent attempts that failed, 0 to 1. It decays with time, because otherwise an endpoint that failed would never be
+   * Share, 0 to 1, of recent attempts that failed. It decays with time, because otherwise an endpoint that failed would never be
    * tried again.
    */
   getFailureShare(time: number): number {
