--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -36,7 +36,7 @@
 }
 
 /** A failure of the store within this time explains that a record vanished. */
-const troubleWindowMs = 3_000;
+const storeFailureWindowMs = 3_000;
 /**
  * Running endpoints rewrite records that expired during a store failure within two seconds of its recovery; an endpoint whose
  * record is still missing after this time is gone.
@@ -292,7 +292,7 @@
     // Only a store failure seen by the reporter of the removal explains it. A failure that another reader saw says nothing
     // about the store, and would keep endpoints that left in use beyond the drain time.
     const isExplained =
-      (isLost || troubleAgeMs < troubleWindowMs) && endpoint.availability.leavingSource === undefined;
+      (isLost || troubleAgeMs < storeFailureWindowMs) && endpoint.availability.leavingSource === undefined;
     if (!isExplained) {
       this.setState(endpoint, EndpointState.Leaving, "record gone", troubleAgeMs);
       this.forgetRemoved(endpoint);
--- a/packages/gateway/src/endpointWork.ts
+++ b/packages/gateway/src/endpointWork.ts
@@ -21,10 +21,10 @@
 
 /** Subtracts a part from a sum. No value falls below 0, because the part may be newer than the sum. */
 export function subtractWork(sum: EndpointWork, part: EndpointWork): EndpointWork {
-  const left: Record<string, readonly [number, number]> = { ...sum };
+  const remaining: Record<string, readonly [number, number]> = { ...sum };
   for (const [endpoint, [active, pendingTokens]] of Object.entries(part)) {
-    const known = left[endpoint];
-    if (known) left[endpoint] = [Math.max(0, known[0] - active), Math.max(0, known[1] - pendingTokens)];
+    const known = remaining[endpoint];
+    if (known) remaining[endpoint] = [Math.max(0, known[0] - active), Math.max(0, known[1] - pendingTokens)];
   }
-  return left;
+  return remaining;
 }
--- a/packages/gateway/src/removedIncarnations.ts
+++ b/packages/gateway/src/removedIncarnations.ts
@@ -29,9 +29,9 @@
   add(incarnation: string): void {
     this.removedAt.delete(incarnation);
     this.removedAt.set(incarnation, this.clock.getTime());
-    const limit = this.clock.getTime() - retentionMs;
+    const oldestAt = this.clock.getTime() - retentionMs;
     for (const [oldest, at] of this.removedAt) {
-      if (this.removedAt.size <= maxIncarnations && at >= limit) return;
+      if (this.removedAt.size <= maxIncarnations && at >= oldestAt) return;
       this.removedAt.delete(oldest);
     }
   }
--- a/packages/gateway/test/arbiters.test.ts
+++ b/packages/gateway/test/arbiters.test.ts
@@ -9,7 +9,7 @@
 import { Err, Ok, type Result } from "ts-results-es";
 
 /** Asks repeatedly; each arbiter answers after its own delay. Returns the duration of each question in milliseconds. */
-async function askOften(
+async function callRepeatedly(
   answerMs: Readonly<Record<string, number>>,
   count: number,
   waitMs = 5_000,
@@ -45,7 +45,7 @@
 
 t.test("a slow arbiter delays only a few requests, whichever it is", async (t) => {
   for (const slow of ["a", "b", "c"]) {
-    const times = await askOften({ a: 5, b: 5, c: 5, [slow]: 700 }, 100);
+    const times = await callRepeatedly({ a: 5, b: 5, c: 5, [slow]: 700 }, 100);
     const late = times.filter((time) => time > 60);
     t.ok(late.length <= 5, `${slow}: ${late.join()}`);
     t.ok(Math.max(...times) <= 400, `${slow}: ${late.join()}`);
@@ -53,12 +53,12 @@
 });
 
 t.test("if all links are slow, the timeouts grow until replies arrive", async (t) => {
-  const times = await askOften({ a: 800, b: 800, c: 800 }, 60);
+  const times = await callRepeatedly({ a: 800, b: 800, c: 800 }, 60);
   const answered = times.slice(20).filter((time) => Math.round(time) === 800);
   t.ok(answered.length >= 30, times.join());
 });
 
 t.test("no question takes longer than its request can wait", async (t) => {
-  const times = await askOften({ a: 800, b: 800, c: 800 }, 40, 100);
+  const times = await callRepeatedly({ a: 800, b: 800, c: 800 }, 40, 100);
   t.ok(Math.max(...times) <= 110, times.join());
 });
--- a/packages/gateway/test/endpointAvailability.test.ts
+++ b/packages/gateway/test/endpointAvailability.test.ts
@@ -186,7 +186,7 @@
 });
 
 /** Responses of each kind and status of a leaving endpoint. */
-const leavingAnswers: Readonly<Record<string, EndpointScript>> = {
+const leavingResponses: Readonly<Record<string, EndpointScript>> = {
   "a response that is passed on": respondLeaving,
   "a refusal": ({ id, response }) => {
     response.writeHead(503, { "x-id": id, "x-not-run": "1", "x-leaving": "1", "content-length": 0 });
@@ -221,13 +221,13 @@
   const setStoreFault = (fault: StoreFault): void => {
     for (const store of bench.platform.stores) store.fault = fault;
   };
-  return { bench, instance, setTrouble: setStoreFault, countCalls: () => leaving?.requests.length };
+  return { bench, instance, setStoreFault, countCalls: () => leaving?.requests.length };
 }
 
 t.test("no request goes to an endpoint that has announced in a response that it is leaving", async (t) => {
-  for (const [name, script] of Object.entries(leavingAnswers)) {
+  for (const [name, script] of Object.entries(leavingResponses)) {
     await t.test(`${name} announces it while the store is unreachable`, async (t) => {
-      const { bench, instance, setTrouble: setStoreFault, countCalls } = await startPair(t, script);
+      const { bench, instance, setStoreFault, countCalls } = await startPair(t, script);
       setStoreFault(StoreFault.Down);
       await bench.call(instance);
       t.equal(instance.gateway.countEndpoints("web"), 1);
@@ -262,7 +262,7 @@
 t.test(
   "peers learn of a notice at once and without the store, as does one that connects later",
   async (t) => {
-    const { bench, instance, setTrouble: setStoreFault, countCalls } = await startPair(t, respondLeaving);
+    const { bench, instance, setStoreFault, countCalls } = await startPair(t, respondLeaving);
     const other = await bench.startReady(2);
     await waitUntil(() => bench.instances.every(({ gateway }) => gateway.linkedPeers === 1));
     setStoreFault(StoreFault.Down);
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -88,16 +88,16 @@
   await bench.call(instance);
   const waiting: EndpointRequest[] = [];
   endpoint!.script = (call) => waiting.push(call);
-  const isTried = (): boolean => endpoint!.requests.length >= 2;
+  const isRetried = (): boolean => endpoint!.requests.length >= 2;
   const first = (async () => {
     let response = await bench.call(instance);
-    while (!isTried()) response = await bench.call(instance);
+    while (!isRetried()) response = await bench.call(instance);
     return response;
   })();
-  await waitUntil(isTried);
-  const crowd = await Promise.all(Array.from({ length: 10 }, () => bench.call(instance)));
+  await waitUntil(isRetried);
+  const concurrent = await Promise.all(Array.from({ length: 10 }, () => bench.call(instance)));
   t.ok(
-    crowd.every(({ status }) => status === 503),
+    concurrent.every(({ status }) => status === 503),
     "refused at once",
   );
   t.equal(endpoint!.requests.length, 2);
@@ -190,15 +190,16 @@
   const availability = EndpointAvailability.create();
   availability.noteHoldOff(1_000, 0);
   const fill = (time: number): number[] => {
-    const tries: number[] = [];
-    while (tries.length < 100 && availability.acceptsRequest(time)) tries.push(availability.beginAttempt());
-    return tries;
+    const attempts: number[] = [];
+    while (attempts.length < 100 && availability.acceptsRequest(time))
+      attempts.push(availability.beginAttempt());
+    return attempts;
   };
   const counts: number[] = [];
   for (const time of [1_000, 1_010, 1_020, 1_030]) {
-    const tries = fill(time);
-    counts.push(tries.length);
-    for (const round of tries) availability.endAttempt(round, true);
+    const attempts = fill(time);
+    counts.push(attempts.length);
+    for (const round of attempts) availability.endAttempt(round, true);
   }
   t.same(counts, [1, 2, 4, 100]);
   availability.noteHoldOff(500, 2_000);
@@ -227,8 +228,8 @@
     );
     t.equal(read(date), 0, "a date in the past");
     t.equal(read("31536000"), longestRetryAfterMs);
-    for (const junk of ["", "soon", "-1", "1e3", "NaN", "Infinity", "2 s", "1,2", "Sun, never"]) {
-      t.equal(read(junk), undefined, junk);
+    for (const malformed of ["", "soon", "-1", "1e3", "NaN", "Infinity", "2 s", "1,2", "Sun, never"]) {
+      t.equal(read(malformed), undefined, malformed);
     }
   },
 );
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -42,8 +42,8 @@
     call.response.setHeader("x-limit", String(perSecond));
     respondSuccess(call);
   };
-  const getWorst = (): number => getMaxArrivals(arrivals);
-  return { script, getWorst, arrivals };
+  const getMostArrivalsInWindow = (): number => getMaxArrivals(arrivals);
+  return { script, getMostArrivalsInWindow, arrivals };
 }
 
 /** Starts instances, one endpoint that advertises a limit and has answered one of them, and other endpoints without a limit. */
@@ -92,8 +92,8 @@
   ] as const) {
     const { limited, callAll } = await startLimited(t, instances, perSecond, 1);
     const responses = await callAll(240 / instances);
-    const report = `${instances} instances, ${perSecond} a second: ${limited.getWorst()} in a window`;
-    t.ok(limited.getWorst() <= getAllowedArrivals(perSecond), report);
+    const report = `${instances} instances, ${perSecond} a second: ${limited.getMostArrivalsInWindow()} in a window`;
+    t.ok(limited.getMostArrivalsInWindow() <= getAllowedArrivals(perSecond), report);
     t.ok(
       responses.every(({ status }) => status === 200),
       "other endpoints serve what it does not accept",
@@ -104,7 +104,7 @@
 t.test("the same holds if instances learn of each other only from readers", async (t) => {
   const { limited, callAll } = await startLimited(t, 6, 1, 1, true);
   const responses = await callAll(40);
-  t.ok(limited.getWorst() <= getAllowedArrivals(1), String(limited.getWorst()));
+  t.ok(limited.getMostArrivalsInWindow() <= getAllowedArrivals(1), String(limited.getMostArrivalsInWindow()));
   t.ok(responses.every(({ status }) => status === 200));
 });
 
@@ -112,7 +112,10 @@
   const { bench, limited, callAll } = await startLimited(t, 3, 0.5, 0);
   const responses = await callAll(60);
   const refused = responses.filter(({ status }) => status === 503);
-  t.ok(limited.getWorst() <= getAllowedArrivals(0.5), String(limited.getWorst()));
+  t.ok(
+    limited.getMostArrivalsInWindow() <= getAllowedArrivals(0.5),
+    String(limited.getMostArrivalsInWindow()),
+  );
   t.ok(refused.length > 150, String(refused.length));
   for (const { headers } of refused) t.ok(Number(headers["retry-after"]) >= 0.3);
   const metrics = await bench.readMetrics(bench.instances[0]!);
@@ -199,8 +202,8 @@
   };
   for (const [text, perSecond] of Object.entries(readable))
     t.equal(parseAdvertisedLimit(text), perSecond, text);
-  const endless = "9".repeat(400);
-  for (const text of ["", "-1", "1e3", "NaN", "Infinity", "1 s", "1,", "1, x", "0x10", endless]) {
+  const infinite = "9".repeat(400);
+  for (const text of ["", "-1", "1e3", "NaN", "Infinity", "1 s", "1,", "1, x", "0x10", infinite]) {
     t.equal(parseAdvertisedLimit(text), undefined, text.slice(0, 10));
   }
 });
--- a/packages/gateway/test/leavingEndpoints.test.ts
+++ b/packages/gateway/test/leavingEndpoints.test.ts
@@ -54,15 +54,15 @@
 t.test(
   "a leaving endpoint stops getting requests in time, whichever readers the store refuses",
   async (t) => {
-    const property = fc.asyncProperty(departure, async (drawn) => {
-      const usedFor = await runDepartureScenario(drawn);
+    const property = fc.asyncProperty(departure, async (generated) => {
+      const usedFor = await runDepartureScenario(generated);
       return usedFor.fed + sendingMs <= drainMs;
     });
     const report = await fc.check(property, {
       seed: 31,
       numRuns: 24,
       endOnFailure: true,
-      examples: counterexamples.map((drawn) => [drawn]),
+      examples: counterexamples.map((generated) => [generated]),
     });
     t.equal(report.failed, false, JSON.stringify(report.counterexample));
   },
@@ -74,8 +74,8 @@
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
     isStated: fc.boolean(),
   });
-  const property = fc.asyncProperty(one, async (drawn) => {
-    const usedFor = await runDepartureScenario(drawn);
+  const property = fc.asyncProperty(one, async (generated) => {
+    const usedFor = await runDepartureScenario(generated);
     return usedFor.readers + sendingMs <= drainMs;
   });
   const report = await fc.check(property, { seed: 31, numRuns: 12, endOnFailure: true });
@@ -101,8 +101,8 @@
     isStated: fc.constant(false),
     together: fc.constant(["b", "c"]),
   });
-  const property = fc.asyncProperty(half, async (drawn) => {
-    const usedFor = await runDepartureScenario(drawn);
+  const property = fc.asyncProperty(half, async (generated) => {
+    const usedFor = await runDepartureScenario(generated);
     return Math.max(usedFor.fed, usedFor.readers) + sendingMs <= drainMs;
   });
   const report = await fc.check(property, {
@@ -121,8 +121,8 @@
     leavesAt: fc.integer({ min: 0, max: 6_000 }),
     isStated: fc.boolean(),
   });
-  const property = fc.asyncProperty(silent, async (drawn) => {
-    const usedFor = await runDepartureScenario(drawn);
+  const property = fc.asyncProperty(silent, async (generated) => {
+    const usedFor = await runDepartureScenario(generated);
     return Math.max(usedFor.fed, usedFor.readers) + sendingMs <= drainMs;
   });
   const report = await fc.check(property, { seed: 31, numRuns: 8, endOnFailure: true });
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -72,11 +72,11 @@
 const slowMs = 120;
 const workMs = 40;
 /** Share of requests with a slow connection setup, and its longest duration. */
-const slowConnects = 0.05;
+const slowConnectShare = 0.05;
 const slowConnectMs = 250;
 const restartMs = 700;
 const lostAfterMs = 2_500;
-const largestMesh = 10;
+const maxMeshSize = 10;
 const readerCount = 3;
 const stepMs = 5;
 const leftMs = 5_000;
@@ -218,13 +218,13 @@
   }
 
   get isMesh(): boolean {
-    return this.scenario.instances <= largestMesh;
+    return this.scenario.instances <= maxMeshSize;
   }
 
   /** The first running instances by order, and those before them that are down and still listed. */
   getReaders(): readonly string[] {
-    const alive = this.names.filter((name) => this.members.has(name)).slice(0, readerCount);
-    return this.names.slice(0, this.names.indexOf(alive.at(-1) ?? "") + 1);
+    const running = this.names.filter((name) => this.members.has(name)).slice(0, readerCount);
+    return this.names.slice(0, this.names.indexOf(running.at(-1) ?? "") + 1);
   }
 
   getLinked(name: string): readonly string[] {
@@ -233,12 +233,12 @@
 
   isLinked(name: string, peer: string): boolean {
     if (!this.members.has(name) || !this.members.has(peer)) return false;
-    const since = Math.min(this.findSilence(name, peer), this.findSilence(peer, name));
+    const since = Math.min(this.getSilentSince(name, peer), this.getSilentSince(peer, name));
     if (this.clock.getTime() - since > lostAfterMs) return false;
     return this.isMesh || this.getReaders().includes(name) || this.getReaders().includes(peer);
   }
 
-  private findSilence(name: string, peer: string): number {
+  private getSilentSince(name: string, peer: string): number {
     return this.silentSince.get(`${name} ${peer}`) ?? this.silentSince.get(name) ?? Infinity;
   }
 
@@ -263,10 +263,10 @@
   /** Runs the simulation to its end. */
   async run(): Promise<PermitResult> {
     const { clock, scenario } = this;
-    this.planTroubles();
-    const lastNamed = scenario.advertised.findLast(({ perSecond }) => perSecond !== undefined)!;
+    this.planFaults();
+    const lastAdvertised = scenario.advertised.findLast(({ perSecond }) => perSecond !== undefined)!;
     const freedFrom = scenario.advertised.find(
-      ({ from, perSecond }) => from > lastNamed.from && perSecond === undefined,
+      ({ from, perSecond }) => from > lastAdvertised.from && perSecond === undefined,
     );
     let freedAt: number | undefined;
     for (
@@ -276,43 +276,43 @@
     ) {
       await clock.advance(stepMs);
       for (; due >= 1; due--) this.request();
-      const isFree = ({ endpoint, knowsLimits }: Member): boolean =>
+      const isUnlimited = ({ endpoint, knowsLimits }: Member): boolean =>
         !knowsLimits || endpoint.availability.limit.perSecond === undefined;
       if (freedFrom === undefined || clock.getTime() < freedFrom.from) continue;
-      if ([...this.members.values()].every(isFree)) freedAt ??= clock.getTime();
+      if ([...this.members.values()].every(isUnlimited)) freedAt ??= clock.getTime();
     }
     const messages = Math.max(...[...this.members.values()].map((member) => member.messages));
     const until = freedFrom?.from ?? scenario.endsAt;
     return {
-      maxShare: this.getWorst(),
-      admittedShare: this.getGivenOut(lastNamed, until, () => true),
-      urgentAdmittedShare: this.getGivenOut(lastNamed, until, ({ isUrgent }) => isUrgent),
+      maxShare: this.getMaxShare(),
+      admittedShare: this.getAdmittedShare(lastAdvertised, until, () => true),
+      urgentAdmittedShare: this.getAdmittedShare(lastAdvertised, until, ({ isUrgent }) => isUrgent),
       messagesPerSecond: (messages / scenario.endsAt) * millisecondsPerSecond,
       freedAfterMs: freedAt === undefined ? undefined : freedAt - freedFrom!.from,
     };
   }
 
-  private getGivenOut(
+  private getAdmittedShare(
     { from, perSecond }: PermitScenario["advertised"][number],
     until: number,
-    isMeant: (arrival: Arrival) => boolean,
+    isCounted: (arrival: Arrival) => boolean,
   ): number {
-    const judged = this.arrivals.filter(
-      (one) => one.at >= from + checkedAfterMs && one.at < until && isMeant(one),
+    const counted = this.arrivals.filter(
+      (one) => one.at >= from + checkedAfterMs && one.at < until && isCounted(one),
     );
-    return judged.length / ((perSecond! * (until - from - checkedAfterMs)) / millisecondsPerSecond);
+    return counted.length / ((perSecond! * (until - from - checkedAfterMs)) / millisecondsPerSecond);
   }
 
-  private getWorst(): number {
+  private getMaxShare(): number {
     const { advertised, endsAt } = this.scenario;
-    const worst = advertised.map(({ from, perSecond }, index) => {
+    const maxShares = advertised.map(({ from, perSecond }, index) => {
       const until = advertised[index + 1]?.from ?? endsAt;
-      return perSecond === undefined ? 0 : this.getWorstWindow(perSecond, from + checkedAfterMs, until);
+      return perSecond === undefined ? 0 : this.getMaxWindowShare(perSecond, from + checkedAfterMs, until);
     });
-    return Math.max(...worst);
+    return Math.max(...maxShares);
   }
 
-  private getWorstWindow(perSecond: number, from: number, until: number): number {
+  private getMaxWindowShare(perSecond: number, from: number, until: number): number {
     const times = this.arrivals.map(({ at }) => at).filter((at) => at >= from && at < until);
     return getMaxArrivals(times) / getAllowedArrivals(perSecond);
   }
@@ -340,7 +340,7 @@
     );
   }
 
-  private planTroubles(): void {
+  private planFaults(): void {
     const { issuerKills = [], issuerPauses = [], issuerPartitions = [], issuerSlow = [] } = this.scenario;
     const plan = (at: number, act: () => void): void => void this.clock.startTimer(at, act);
     for (const at of issuerKills) plan(at, () => this.kill(this.findIssuer().name));
@@ -380,8 +380,10 @@
 
   /** Simulates the arrival of one request at an instance, which sends it to the endpoint if it may. */
   private request(): void {
-    const alive = [...this.members.values()].filter(({ pausedUntil }) => pausedUntil <= this.clock.getTime());
-    const member = alive[Math.floor(this.draw() * alive.length)];
+    const running = [...this.members.values()].filter(
+      ({ pausedUntil }) => pausedUntil <= this.clock.getTime(),
+    );
+    const member = running[Math.floor(this.draw() * running.length)];
     if (!member) return;
     const isUrgent = this.draw() < (this.scenario.urgentShare ?? 0);
     const rank = isUrgent ? urgentRank : usualRank;
@@ -397,10 +399,10 @@
     if (!isPermitted || !endpoint.acceptsPermitted(clock.getTime())) return;
     const sentAt = clock.getTime();
     const round = endpoint.availability.beginAttempt();
-    const connectMs = this.draw() < slowConnects ? this.draw() * slowConnectMs : 0;
+    const connectMs = this.draw() < slowConnectShare ? this.draw() * slowConnectMs : 0;
     clock.startTimer(delayMs + connectMs, () => {
       this.arrivals.push({ at: clock.getTime(), isUrgent });
-      const perSecond = this.getNamed();
+      const perSecond = this.getAdvertised();
       clock.startTimer(workMs + delayMs, () => {
         if (this.members.get(member.name) !== member) return;
         endpoint.availability.endAttempt(round, true);
@@ -410,7 +412,7 @@
     });
   }
 
-  private getNamed(): number | undefined {
+  private getAdvertised(): number | undefined {
     const time = this.clock.getTime();
     return this.scenario.advertised.findLast(({ from }) => from <= time)?.perSecond;
   }
