--- a/packages/standins/src/deterministicText.ts
+++ b/packages/standins/src/deterministicText.ts
@@ -11,7 +11,7 @@
   readonly content: string;
 }
 
-const words = [
+const vocabulary = [
   "skip",
   "lorry",
   "gate",
@@ -35,7 +35,7 @@
 /** Returns the token at a position, with the space that ends it. */
 export function getToken(digest: Buffer, position: number): string {
   const byte = digest[position % digest.length] ?? 0;
-  return `${words[(byte + position * 7) % words.length]}${position} `;
+  return `${vocabulary[(byte + position * 7) % vocabulary.length]}${position} `;
 }
 
 /** Returns the whole answer of `length` tokens to a prompt. */
@@ -60,8 +60,8 @@
 export function parseChat(messages: readonly ChatMessage[], isContinued: boolean): ParsedPrompt {
   const last = messages[messages.length - 1];
   const hasAnswer = isContinued && last?.role === "assistant";
-  const asked = hasAnswer ? messages.slice(0, -1) : messages;
-  const prompt = asked.map((message) => `${message.role}: ${message.content}`).join("\n");
+  const promptMessages = hasAnswer ? messages.slice(0, -1) : messages;
+  const prompt = promptMessages.map((message) => `${message.role}: ${message.content}`).join("\n");
   return { prompt, emitted: hasAnswer && last ? countTokens(last.content) : 0 };
 }
 
--- a/packages/standins/src/endpointArrivals.ts
+++ b/packages/standins/src/endpointArrivals.ts
@@ -6,14 +6,14 @@
 
 const windowMs = 4_000;
 /** Share of a named limit, and requests beside it, that are borne in a window. */
-const borneShare = 1.5;
-const borneRequests = 5;
+const allowedShare = 1.5;
+const allowedExtraRequests = 5;
 const millisecondsPerSecond = 1_000;
 const subject = "arrivals";
 
 /** Returns the requests that an endpoint bears in a window which takes so many a second. */
 export function getAllowedArrivals(perSecond: number): number {
-  return Math.floor((borneShare * perSecond * windowMs) / millisecondsPerSecond + borneRequests);
+  return Math.floor((allowedShare * perSecond * windowMs) / millisecondsPerSecond + allowedExtraRequests);
 }
 
 /** Returns the most that arrived in any window; times are milliseconds of any clock. */
--- a/packages/standins/src/engineRecord.ts
+++ b/packages/standins/src/engineRecord.ts
@@ -42,9 +42,9 @@
   }
 
   /** Returns how many leading blocks of a prompt are held, and holds all of them from now on. */
-  touch(keys: readonly string[]): number {
+  lookUpAndStore(keys: readonly string[]): number {
     const missing = keys.findIndex((key) => !this.blocks.has(key));
-    const held = missing < 0 ? keys.length : missing;
+    const cached = missing < 0 ? keys.length : missing;
     for (const key of keys) {
       this.blocks.delete(key);
       this.blocks.set(key, true);
@@ -53,7 +53,7 @@
       if (this.blocks.size <= this.capacity) break;
       this.blocks.delete(oldest);
     }
-    return held;
+    return cached;
   }
 
   /** Number of blocks held. */
--- a/packages/standins/src/fakeCloudServices.ts
+++ b/packages/standins/src/fakeCloudServices.ts
@@ -24,18 +24,18 @@
   private readonly records = new Map<string, InstanceRecord>();
   private readonly listed = new Map<string, InstanceRecord>();
   private readonly notices: Notice[] = [];
-  private wakers: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
   private listVersion = 0;
   private server: FakeHttpServer | undefined;
 
   private constructor(private readonly clock: Clock) {}
 
   static async create(clock: Clock = SystemClock.create()): Promise<FakeCloudServices> {
-    const standin = new FakeCloudServices(clock);
-    standin.server = await FakeHttpServer.create((request, response, url) =>
-      standin.handle(request, response, url),
+    const server = new FakeCloudServices(clock);
+    server.server = await FakeHttpServer.create((request, response, url) =>
+      server.handle(request, response, url),
     );
-    return standin;
+    return server;
   }
 
   /** `host:port` of both interfaces. */
@@ -66,11 +66,11 @@
       due: this.clock.getTime() + remaining,
     });
     this.publish({ ...record, state: InstanceState.Leaving });
-    this.wakeAll();
+    this.notifyWaiters();
   }
 
   async close(): Promise<void> {
-    this.wakeAll();
+    this.notifyWaiters();
     await this.server?.close();
   }
 
@@ -84,10 +84,10 @@
     else this.clock.startTimer(this.listLagMs, apply);
   }
 
-  private wakeAll(): void {
-    const wakers = this.wakers;
-    this.wakers = [];
-    wakers.forEach((wake) => wake());
+  private notifyWaiters(): void {
+    const waiters = this.waiters;
+    this.waiters = [];
+    waiters.forEach((wake) => wake());
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
@@ -96,10 +96,10 @@
     sendJson(response, 404, {});
   }
 
-  private handleList(response: ServerResponse, known: string | undefined): void {
+  private handleList(response: ServerResponse, knownTag: string | undefined): void {
     if (this.isListDown) return void response.destroy();
     const tag = `"${this.listVersion}"`;
-    if (tag === known) {
+    if (tag === knownTag) {
       response.writeHead(304, { etag: tag });
       return void response.end();
     }
@@ -111,10 +111,10 @@
     const after = Number(url.searchParams.get("after") ?? "0");
     const wait = Number(url.searchParams.get("wait") ?? "0");
     if (this.notices.length <= after) {
-      const woken = new Promise<void>((resolve) => this.wakers.push(resolve));
-      const ended = new AbortController();
-      await Promise.race([woken, waitFor(this.clock, wait, ended.signal)]);
-      ended.abort();
+      const noticeGiven = new Promise<void>((resolve) => this.waiters.push(resolve));
+      const timerEnd = new AbortController();
+      await Promise.race([noticeGiven, waitFor(this.clock, wait, timerEnd.signal)]);
+      timerEnd.abort();
     }
     const now = this.clock.getTime();
     const notices = this.notices.slice(after).map(({ instance, incarnation, due }) => ({
--- a/packages/standins/src/fakeEngine.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -50,7 +50,7 @@
   readonly tokens: string[];
   readonly priority: number;
   readonly cancel: AbortController;
-  readonly wakers: Set<() => void>;
+  readonly progressListeners: Set<() => void>;
   start: (() => void) | undefined;
 }
 
@@ -164,7 +164,7 @@
     run.record.state = state;
     run.cancel.abort();
     run.start?.();
-    wakeAll(run);
+    notifyProgress(run);
   }
 
   private createRun(request: IncomingMessage, body: CompletionBody): Run {
@@ -188,7 +188,7 @@
       tokens: [],
       priority,
       cancel: new AbortController(),
-      wakers: new Set(),
+      progressListeners: new Set(),
       start: undefined,
     };
     this.records.push(record);
@@ -199,9 +199,9 @@
   /** Fetches the cache of the run that this one goes on with; without it the prompt is read again. */
   private async importCache(record: RunRecord, source: string): Promise<void> {
     try {
-      const answer = await fetch(`http://${source}`);
-      const cache = (await answer.json()) as { prompt?: string };
-      if (answer.ok && cache.prompt === record.prompt) record.importedTokens = record.promptTokens;
+      const response = await fetch(`http://${source}`);
+      const cache = (await response.json()) as { prompt?: string };
+      if (response.ok && cache.prompt === record.prompt) record.importedTokens = record.promptTokens;
     } catch {
       // The source is gone.
     }
@@ -229,8 +229,9 @@
   private async generate(run: Run): Promise<void> {
     const { record } = run;
     const keys = getBlockKeys(record.prompt);
-    const held = this.cache.touch(keys);
-    record.cachedTokens = keys.length === 0 ? 0 : Math.floor((record.promptTokens * held) / keys.length);
+    const cachedBlocks = this.cache.lookUpAndStore(keys);
+    record.cachedTokens =
+      keys.length === 0 ? 0 : Math.floor((record.promptTokens * cachedBlocks) / keys.length);
     record.cachedTokens = Math.max(record.cachedTokens, record.importedTokens);
     const missing = record.promptTokens - record.cachedTokens;
     const signal = run.cancel.signal;
@@ -245,10 +246,10 @@
       if (signal.aborted) return;
       run.tokens.push(getToken(digest, record.position));
       record.position += 1;
-      wakeAll(run);
+      notifyProgress(run);
     }
     if (!signal.aborted) record.state = RunState.Finished;
-    wakeAll(run);
+    notifyProgress(run);
   }
 
   private async streamRun(
@@ -269,7 +270,7 @@
     let isClosed = false;
     response.on("close", () => {
       isClosed = true;
-      wakeAll(run);
+      notifyProgress(run);
     });
     let position = Math.max(from, record.start);
     while (!isClosed) {
@@ -292,7 +293,7 @@
       } else if (record.state === RunState.Cancelled || record.state === RunState.Cut) {
         return void response.destroy();
       } else {
-        await waitForWake(run);
+        await waitForProgress(run);
       }
     }
   }
@@ -357,14 +358,14 @@
   return typeof value === "string" ? value : "";
 }
 
-function wakeAll(run: Run): void {
-  const wakers = [...run.wakers];
-  run.wakers.clear();
-  wakers.forEach((wake) => wake());
+function notifyProgress(run: Run): void {
+  const listeners = [...run.progressListeners];
+  run.progressListeners.clear();
+  listeners.forEach((notify) => notify());
 }
 
-function waitForWake(run: Run): Promise<void> {
-  return new Promise((resolve) => run.wakers.add(resolve));
+function waitForProgress(run: Run): Promise<void> {
+  return new Promise((resolve) => run.progressListeners.add(resolve));
 }
 
 function waitForClose(response: ServerResponse): Promise<void> {
--- a/packages/standins/src/fakeKeyValueServer.ts
+++ b/packages/standins/src/fakeKeyValueServer.ts
@@ -53,11 +53,11 @@
   ) {}
 
   static async create(clock: Clock = SystemClock.create()): Promise<FakeKeyValueServer> {
-    const standin = new FakeKeyValueServer(clock, MemoryStore.create(clock));
-    standin.server = await FakeHttpServer.create((request, response, url) =>
-      standin.handle(request, response, url),
+    const fake = new FakeKeyValueServer(clock, MemoryStore.create(clock));
+    fake.server = await FakeHttpServer.create((request, response, url) =>
+      fake.handle(request, response, url),
     );
-    return standin;
+    return fake;
   }
 
   /** `host:port` of the service. */
--- a/packages/standins/src/fakeMetadataStore.ts
+++ b/packages/standins/src/fakeMetadataStore.ts
@@ -54,7 +54,7 @@
 }
 
 /** Time between two looks of a watch, unless the test says otherwise. */
-const usualPollMs = 5;
+const defaultPollMs = 5;
 
 /** What all instances of a test share. */
 export class SharedStore {
@@ -81,7 +81,7 @@
   ) {}
 
   /** On a virtual clock each look costs turns of the event loop, so tests of long times look less often. */
-  static create(clock: Clock, pollMs = usualPollMs): SharedStore {
+  static create(clock: Clock, pollMs = defaultPollMs): SharedStore {
     return new SharedStore(clock, pollMs);
   }
 
@@ -126,14 +126,14 @@
 
   /** Comes back from a copy: what was written since is gone, and revisions and leases are given out again. */
   restore({ takenAt, entries, events, leases, counter, nextLease }: StoreSnapshot): void {
-    const awayMs = this.clock.getTime() - takenAt;
+    const elapsedMs = this.clock.getTime() - takenAt;
     this.era += 1;
     this.entries.clear();
     for (const [key, entry] of entries) this.entries.set(key, entry);
     this.events = [...events];
     this.leases.clear();
     for (const [lease, { ttlMs, endsAt }] of leases)
-      this.leases.set(lease, { ttlMs, endsAt: endsAt + awayMs });
+      this.leases.set(lease, { ttlMs, endsAt: endsAt + elapsedMs });
     this.counter = counter;
     this.nextLease = nextLease;
   }
@@ -196,7 +196,7 @@
   calls = 0;
   /** Watches among them. */
   watches = 0;
-  private silencedAt = -Infinity;
+  private stalledAt = -Infinity;
 
   private constructor(
     private readonly shared: SharedStore,
@@ -209,12 +209,12 @@
 
   /** Lets the watches that are under way hear nothing more, without an error; new ones work. */
   stallWatches(): void {
-    this.silencedAt = this.clock.getTime();
+    this.stalledAt = this.clock.getTime();
   }
 
   async read(key: string): Promise<Result<StoreReading, Failure>> {
     this.shared.reads += 1;
-    return this.answer(({ era }) => {
+    return this.respond(({ era }) => {
       const entry = this.shared.entries.get(key);
       return Ok({ item: entry && createItem(entry, era), era });
     });
@@ -222,7 +222,7 @@
 
   async list(prefix: string): Promise<Result<StoreListing, Failure>> {
     this.shared.reads += 1;
-    return this.answer((position) => {
+    return this.respond((position) => {
       const entries = [...this.shared.entries.values()].filter(({ key }) => key.startsWith(prefix));
       return Ok({ items: entries.map((entry) => createItem(entry, position.era)), position });
     });
@@ -236,16 +236,16 @@
   ): Promise<Result<StoreChanges, Failure>> {
     const startedAt = this.clock.getTime();
     const endsAt = startedAt + waitMs;
-    const givenUpAt = endsAt + Math.min(callTimeoutMs, waitMs);
+    const timesOutAt = endsAt + Math.min(callTimeoutMs, waitMs);
     this.calls += 1;
     this.watches += 1;
     const start = this.eras.startCall();
     const failure = Failure.create(FailureCode.HistoryLost, { revision: since.revision });
     if (since.era !== this.eras.current) return Err(failure);
     for (;;) {
-      if (signal.aborted || this.isTroubled(StoreFault.Down)) return Err(createDown());
-      if (startedAt <= this.silencedAt) {
-        if (this.clock.getTime() >= givenUpAt) return Err(createDown());
+      if (signal.aborted || this.hasFault(StoreFault.Down)) return Err(createUnavailable());
+      if (startedAt <= this.stalledAt) {
+        if (this.clock.getTime() >= timesOutAt) return Err(createUnavailable());
         await waitFor(this.clock, this.shared.pollMs, signal);
         continue;
       }
@@ -253,8 +253,8 @@
       const isOver = !events || events.length > 0 || this.clock.getTime() >= endsAt;
       if (isOver) {
         const revision = events?.at(-1)?.revision ?? this.shared.revision;
-        const position = this.place(start, revision);
-        if (!position) return Err(createOutdated());
+        const position = this.createPosition(start, revision);
+        if (!position) return Err(createOutdatedEra());
         return events && position.era === since.era ? Ok({ events, position }) : Err(failure);
       }
       await waitFor(this.clock, this.shared.pollMs, signal);
@@ -265,12 +265,12 @@
     this.shared.writes += 1;
     const isOver = transaction.put.some(({ lease }) => lease !== undefined && this.isLeaseOver(lease));
     if (isOver) return Err(Failure.create(FailureCode.LeaseLost, { lease: "" }));
-    return this.answer((_, start) => {
+    return this.respond((_, start) => {
       const failure = this.apply(transaction);
       const position = { era: this.eras.current, revision: this.shared.revision };
-      if (isAnsweredAfterRestore(start, position)) return Err(createOutdated());
+      if (isAnsweredAfterRestore(start, position)) return Err(createOutdatedEra());
       if (failure) return Err(failure);
-      return this.losesAnswers() ? Err(Failure.create(FailureCode.ServiceAnswerLost)) : Ok(position);
+      return this.losesResponses() ? Err(Failure.create(FailureCode.ServiceAnswerLost)) : Ok(position);
     });
   }
 
@@ -291,20 +291,20 @@
   }
 
   async grantLease(ttlMs: number): Promise<Result<string, Failure>> {
-    return this.answer(({ era }) => Ok(formatLeaseHandle({ era, id: this.shared.grant(ttlMs) })));
+    return this.respond(({ era }) => Ok(formatLeaseHandle({ era, id: this.shared.grant(ttlMs) })));
   }
 
   async renewLease(lease: string): Promise<Result<void, Failure>> {
     const failure = Failure.create(FailureCode.LeaseLost, { lease });
     if (this.isLeaseOver(lease)) return Err(failure);
-    const kept = await this.answer(() => Ok(this.shared.renew(parseLeaseHandle(lease).id)));
+    const kept = await this.respond(() => Ok(this.shared.renew(parseLeaseHandle(lease).id)));
     if (this.isLeaseOver(lease)) return Err(failure);
     return kept.andThen((isKept) => (isKept ? Ok(undefined) : Err(failure)));
   }
 
   async releaseLease(lease: string): Promise<Result<void, Failure>> {
     if (this.isLeaseOver(lease)) return Ok(undefined);
-    return this.answer(() => Ok(this.shared.endLease(parseLeaseHandle(lease).id)));
+    return this.respond(() => Ok(this.shared.endLease(parseLeaseHandle(lease).id)));
   }
 
   async close(): Promise<void> {
@@ -316,25 +316,25 @@
   }
 
   /** Does a call, and passes its answer on if it is of the present era then; it may be held back on its way. */
-  private async answer<T>(
+  private async respond<T>(
     act: (position: StorePosition, start: CallStart) => Result<T, Failure>,
   ): Promise<Result<T, Failure>> {
     this.calls += 1;
     const start = this.eras.startCall();
-    if (this.isTroubled(StoreFault.Down)) return Err(createDown());
-    const { responseDelayMs: heldBackMs } = this;
-    const told = this.shared.reportedEra;
-    if (heldBackMs === 0) {
-      const position = this.place(start, this.shared.revision, told);
-      return position ? act(position, start) : Err(createOutdated());
+    if (this.hasFault(StoreFault.Down)) return Err(createUnavailable());
+    const { responseDelayMs } = this;
+    const reportedEra = this.shared.reportedEra;
+    if (responseDelayMs === 0) {
+      const position = this.createPosition(start, this.shared.revision, reportedEra);
+      return position ? act(position, start) : Err(createOutdatedEra());
     }
     const { revision } = this.shared;
-    const result = act({ era: told ?? start.era, revision }, start);
-    await waitFor(this.clock, heldBackMs);
-    return this.place(start, revision, told) ? result : Err(createOutdated());
+    const result = act({ era: reportedEra ?? start.era, revision }, start);
+    await waitFor(this.clock, responseDelayMs);
+    return this.createPosition(start, revision, reportedEra) ? result : Err(createOutdatedEra());
   }
 
-  private place(
+  private createPosition(
     start: CallStart,
     revision: number,
     told = this.shared.reportedEra,
@@ -343,12 +343,12 @@
     return era === undefined ? undefined : this.eras.acceptRevision(start, era, revision);
   }
 
-  private isTroubled(trouble: StoreFault): boolean {
-    return this.fault === trouble || this.shared.fault === trouble;
+  private hasFault(fault: StoreFault): boolean {
+    return this.fault === fault || this.shared.fault === fault;
   }
 
-  private losesAnswers(): boolean {
-    return this.isTroubled(StoreFault.LosesResponses);
+  private losesResponses(): boolean {
+    return this.hasFault(StoreFault.LosesResponses);
   }
 }
 
@@ -357,10 +357,10 @@
   return lease === undefined ? item : { ...item, lease: formatLeaseHandle({ era, id: lease }) };
 }
 
-function createOutdated(): Failure {
+function createOutdatedEra(): Failure {
   return Failure.create(FailureCode.ServiceAnswerLost, { detail: "not of the store's present era" });
 }
 
-function createDown(): Failure {
+function createUnavailable(): Failure {
   return Failure.create(FailureCode.ServiceUnavailable, { detail: "stand-in is down" });
 }
--- a/packages/standins/src/fakePlatform.ts
+++ b/packages/standins/src/fakePlatform.ts
@@ -84,7 +84,7 @@
   }
 }
 
-interface WireConfiguration extends Omit<ServingConfiguration, "services"> {
+interface StoredConfiguration extends Omit<ServingConfiguration, "services"> {
   readonly services: readonly Service[];
 }
 
@@ -118,7 +118,7 @@
     configuration: Partial<Omit<ServingConfiguration, "services">> & { services?: readonly Service[] },
   ): number {
     this.version += 1;
-    const whole: WireConfiguration = {
+    const configurationRecord: StoredConfiguration = {
       version: this.version,
       routes: [createRoute({})],
       services: [createService({})],
@@ -126,13 +126,13 @@
       limits: { maxHeaderBytes: 16_384, maxBodyBytes: 65_536, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 },
       ...configuration,
     };
-    this.shared.put(configurationKey, JSON.stringify(whole));
+    this.shared.put(configurationKey, JSON.stringify(configurationRecord));
     return this.version;
   }
 
   /** Lists an endpoint, or changes its record. */
   putEndpoint(record: Partial<EndpointRecord> & { readonly id: string; readonly address: string }): void {
-    const whole: EndpointRecord = {
+    const endpointRecord: EndpointRecord = {
       service: "web",
       hall: "a",
       slots: 4,
@@ -140,7 +140,7 @@
       isReclaimable: false,
       ...record,
     };
-    this.shared.put(`${endpointPrefix}${record.id}`, JSON.stringify(whole));
+    this.shared.put(`${endpointPrefix}${record.id}`, JSON.stringify(endpointRecord));
   }
 
   removeEndpoint(id: string): void {
@@ -154,16 +154,16 @@
       store,
       orders: this.orders,
       callers: { readinessPath: "/ready", readHead, createGatewayHeaders: () => [] },
-      endpoints: { createHeaders, readResponseHead: readAnswer },
+      endpoints: { createHeaders, readResponseHead },
       configurationKey,
       endpointPrefix,
       decodeConfiguration: (value) => {
-        const wire = JSON.parse(Buffer.from(value).toString("utf8")) as WireConfiguration;
-        const services = wire.services.map((service): [string, Service] => [
+        const stored = JSON.parse(Buffer.from(value).toString("utf8")) as StoredConfiguration;
+        const services = stored.services.map((service): [string, Service] => [
           service.name,
           reviveService(service),
         ]);
-        return Ok({ ...wire, services: new Map(services) });
+        return Ok({ ...stored, services: new Map(services) });
       },
       decodeEndpoint: (_, value) => Ok(JSON.parse(Buffer.from(value).toString("utf8")) as EndpointRecord),
     };
@@ -240,7 +240,7 @@
   });
 }
 
-const replaced = new Set([
+const replacedHeaders = new Set([
   "connection",
   "transfer-encoding",
   "content-length",
@@ -252,7 +252,7 @@
   const headers: string[] = [];
   for (let index = 0; index < callerHeaders.length; index += 2) {
     const name = callerHeaders[index] ?? "";
-    if (!replaced.has(name.toLowerCase())) headers.push(name, callerHeaders[index + 1] ?? "");
+    if (!replacedHeaders.has(name.toLowerCase())) headers.push(name, callerHeaders[index + 1] ?? "");
   }
   headers.push("x-expect", dispatch.endpointId, "x-deadline", String(Math.floor(dispatch.deadlineMs)));
   if (dispatch.workspace !== undefined) headers.push("x-workspace", dispatch.workspace);
@@ -261,20 +261,25 @@
 }
 
 const misdirected = 421;
-const firstFailure = 300;
-
-function readAnswer(requestId: string, status: number, headers: IncomingHttpHeaders): ResponseHead {
-  const word = readWord(requestId, status, headers);
-  const isOwn = word === ExecutionStatus.Ran || word === ExecutionStatus.NotRun;
-  if (!isOwn) return { executionStatus: word, load: undefined, notice: undefined };
-  return { executionStatus: word, load: undefined, notice: readNotice(headers), limit: readLimit(headers) };
+const firstUnsuccessfulStatus = 300;
+
+function readResponseHead(requestId: string, status: number, headers: IncomingHttpHeaders): ResponseHead {
+  const executionStatus = readExecutionStatus(requestId, status, headers);
+  const isFromEndpoint =
+    executionStatus === ExecutionStatus.Ran || executionStatus === ExecutionStatus.NotRun;
+  if (!isFromEndpoint) return { executionStatus, load: undefined, notice: undefined };
+  return { executionStatus, load: undefined, notice: readNotice(headers), limit: readLimit(headers) };
 }
 
-function readWord(requestId: string, status: number, headers: IncomingHttpHeaders): ExecutionStatus {
+function readExecutionStatus(
+  requestId: string,
+  status: number,
+  headers: IncomingHttpHeaders,
+): ExecutionStatus {
   if (headers["x-id"] !== undefined && headers["x-id"] !== requestId) return ExecutionStatus.Mismatched;
   if (status === misdirected) return ExecutionStatus.WrongEndpoint;
   if (headers["x-not-run"] !== undefined) return ExecutionStatus.NotRun;
-  const isUnsigned = status < firstFailure && headers["x-stamp"] === undefined;
+  const isUnsigned = status < firstUnsuccessfulStatus && headers["x-stamp"] === undefined;
   return isUnsigned ? ExecutionStatus.Mismatched : ExecutionStatus.Ran;
 }
 
--- a/packages/standins/src/fakeWebService.ts
+++ b/packages/standins/src/fakeWebService.ts
@@ -47,11 +47,11 @@
   private constructor(private readonly clock: Clock) {}
 
   static async create(clock: Clock = SystemClock.create()): Promise<FakeWebService> {
-    const standin = new FakeWebService(clock);
-    standin.server = await FakeHttpServer.create((request, response, url) =>
-      standin.handle(request, response, url),
+    const fake = new FakeWebService(clock);
+    fake.server = await FakeHttpServer.create((request, response, url) =>
+      fake.handle(request, response, url),
     );
-    return standin;
+    return fake;
   }
 
   get address(): string {
@@ -77,7 +77,7 @@
     const record = this.createRecord(request, url, body);
     this.records.push(record);
     if (this.fault === WebFault.CutAfterWork) return void response.destroy();
-    this.answer(response, record);
+    this.respond(response, record);
   }
 
   private async echo(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -98,7 +98,7 @@
     };
   }
 
-  private answer(response: ServerResponse, record: WebRecord): void {
+  private respond(response: ServerResponse, record: WebRecord): void {
     const number = this.records.length;
     const text = JSON.stringify({
       confirmation: `${number}`,
--- a/packages/standins/src/fakeWeightStore.ts
+++ b/packages/standins/src/fakeWeightStore.ts
@@ -26,11 +26,11 @@
     sizes: ReadonlyMap<string, number>,
     clock: Clock = SystemClock.create(),
   ): Promise<FakeWeightStore> {
-    const standin = new FakeWeightStore(clock, sizes);
-    standin.server = await FakeHttpServer.create((request, response, url) =>
-      standin.handle(request, response, url),
+    const fake = new FakeWeightStore(clock, sizes);
+    fake.server = await FakeHttpServer.create((request, response, url) =>
+      fake.handle(request, response, url),
     );
-    return standin;
+    return fake;
   }
 
   get address(): string {
--- a/packages/standins/src/freePorts.ts
+++ b/packages/standins/src/freePorts.ts
@@ -8,7 +8,7 @@
 /** Below the ports that the system gives to connections, which took a port between its choice and its use. */
 const lowestPort = 12_000;
 const blockPorts = 100;
-const blocks = 180;
+const blockCount = 180;
 
 /** Gives out the ports of blocks that nobody else has. */
 export class PortBlockAllocator {
@@ -20,7 +20,7 @@
 
   /** Begins to look for a block at one of them; any number will do. */
   static create(firstBlock: number): PortBlockAllocator {
-    return new PortBlockAllocator(firstBlock % blocks);
+    return new PortBlockAllocator(firstBlock % blockCount);
   }
 
   /** Returns addresses (`host:port`) on loopback that nobody listens at, and that no other owner of blocks is given. */
@@ -36,9 +36,9 @@
 
   /** Takes the next block; one that is used up is still held, as its ports may be listened at later. */
   private async takeBlock(): Promise<void> {
-    for (let tries = 0; tries < blocks; tries++) {
+    for (let tried = 0; tried < blockCount; tried++) {
       const firstPort = lowestPort + this.nextBlock * blockPorts;
-      this.nextBlock = (this.nextBlock + 1) % blocks;
+      this.nextBlock = (this.nextBlock + 1) % blockCount;
       const holder = await listenAt(firstPort);
       if (!holder) continue;
       // The block is held as long as the process lives, and does not keep it alive.
--- a/packages/standins/src/gatewayTestBench.ts
+++ b/packages/standins/src/gatewayTestBench.ts
@@ -112,20 +112,20 @@
       const none = { status: 0, headers: {}, body: "", isComplete: false };
       options.signal?.addEventListener("abort", () => sent.destroy());
       sent.on("error", () => resolve(none));
-      sent.on("response", (answer) => {
+      sent.on("response", (response) => {
         let text = "";
-        answer.setEncoding("utf8");
-        answer.on("data", (part: string) => {
+        response.setEncoding("utf8");
+        response.on("data", (part: string) => {
           text += part;
           options.onData?.(part);
         });
-        answer.on("error", () => undefined);
-        answer.on("close", () =>
+        response.on("error", () => undefined);
+        response.on("close", () =>
           resolve({
-            status: answer.statusCode ?? 0,
-            headers: answer.headers,
+            status: response.statusCode ?? 0,
+            headers: response.headers,
             body: text,
-            isComplete: answer.complete,
+            isComplete: response.complete,
           }),
         );
       });
--- a/packages/standins/src/memoryKeyValue.ts
+++ b/packages/standins/src/memoryKeyValue.ts
@@ -24,8 +24,8 @@
 /** Returns the fate of the next call. */
 export type CallOutcomeSource = () => CallOutcome;
 
-const callTime = 1;
-const lateEffect = 40;
+const callTimeMs = 1;
+const effectDelayMs = 40;
 
 /** The service without a network. Every call takes a millisecond of the clock it is given. */
 export class MemoryKeyValue implements KeyValueService {
@@ -43,8 +43,8 @@
   }
 
   async read(key: string): Promise<Result<StoredValue | undefined, Failure>> {
-    const fate = await this.startCall();
-    if (fate !== CallOutcome.Answered) return Err(createUnavailable());
+    const outcome = await this.startCall();
+    if (outcome !== CallOutcome.Answered) return Err(createUnavailable());
     return Ok(this.get(key));
   }
 
@@ -53,8 +53,8 @@
     revision: number,
     wait: number,
   ): Promise<Result<StoredValue | undefined, Failure>> {
-    const fate = await this.startCall();
-    if (fate !== CallOutcome.Answered) return Err(createUnavailable());
+    const outcome = await this.startCall();
+    if (outcome !== CallOutcome.Answered) return Err(createUnavailable());
     await this.store.waitForChange(key, revision, wait);
     return Ok(this.get(key));
   }
@@ -108,20 +108,20 @@
 
   private async startCall(): Promise<CallOutcome> {
     this.calls += 1;
-    const fate = this.nextOutcome();
-    await waitFor(this.clock, callTime);
-    return fate;
+    const outcome = this.nextOutcome();
+    await waitFor(this.clock, callTimeMs);
+    return outcome;
   }
 
   private async change<T>(effect: () => Result<T, Failure>): Promise<Result<T, Failure>> {
-    const fate = await this.startCall();
-    return handlersByFate[fate](effect, this.clock);
+    const outcome = await this.startCall();
+    return handlersByOutcome[outcome](effect, this.clock);
   }
 }
 
-type FateHandler = <T>(effect: () => Result<T, Failure>, clock: Clock) => Result<T, Failure>;
+type OutcomeHandler = <T>(effect: () => Result<T, Failure>, clock: Clock) => Result<T, Failure>;
 
-const handlersByFate: Readonly<Record<CallOutcome, FateHandler>> = {
+const handlersByOutcome: Readonly<Record<CallOutcome, OutcomeHandler>> = {
   [CallOutcome.Answered]: (effect) => effect(),
   [CallOutcome.Refused]: () => Err(createUnavailable()),
   [CallOutcome.ResponseLost]: (effect) => {
@@ -129,7 +129,7 @@
     return Err(Failure.create(FailureCode.ServiceAnswerLost));
   },
   [CallOutcome.DelayedEffect]: (effect, clock) => {
-    clock.startTimer(lateEffect, () => effect());
+    clock.startTimer(effectDelayMs, () => effect());
     return Err(Failure.create(FailureCode.ServiceAnswerLost));
   },
   [CallOutcome.RequestLost]: () => Err(Failure.create(FailureCode.ServiceAnswerLost)),
--- a/packages/standins/src/memoryStore.ts
+++ b/packages/standins/src/memoryStore.ts
@@ -17,7 +17,7 @@
 
 interface Session {
   readonly ttl: number;
-  expires: number;
+  expiresAt: number;
 }
 
 interface Waiter {
@@ -58,7 +58,7 @@
   /** Opens a session that lapses `ttl` milliseconds after its last renewal. */
   createSession(ttl: number): string {
     const id = `session-${++this.sessionCount}`;
-    this.sessions.set(id, { ttl, expires: this.clock.getTime() + ttl });
+    this.sessions.set(id, { ttl, expiresAt: this.clock.getTime() + ttl });
     return id;
   }
 
@@ -67,7 +67,7 @@
     this.expireSessions();
     const session = this.sessions.get(id);
     if (!session) return false;
-    session.expires = this.clock.getTime() + session.ttl;
+    session.expiresAt = this.clock.getTime() + session.ttl;
     return true;
   }
 
@@ -122,7 +122,7 @@
   private expireSessions(): void {
     const now = this.clock.getTime();
     for (const [id, session] of this.sessions) {
-      if (session.expires <= now) this.endSession(id);
+      if (session.expiresAt <= now) this.endSession(id);
     }
   }
 }
--- a/packages/standins/src/runUnitLog.ts
+++ b/packages/standins/src/runUnitLog.ts
@@ -3,7 +3,7 @@
  * @module
  */
 
-interface Run {
+interface RunEntry {
   readonly at: number;
   readonly units: number;
 }
@@ -16,7 +16,7 @@
 
 /** Runs of all endpoints of one test; times are milliseconds of any clock. */
 export class RunUnitLog {
-  private readonly runs = new Map<string, Run[]>();
+  private readonly runs = new Map<string, RunEntry[]>();
 
   private constructor() {}
 
@@ -34,15 +34,15 @@
   /** Returns the largest sum of a workspace over any span of a length. */
   getMax(workspace: string, windowMs: number): WindowSum {
     const runs = [...(this.runs.get(workspace) ?? [])].sort((one, other) => one.at - other.at);
-    let worst: WindowSum = { units: 0, at: 0 };
+    let max: WindowSum = { units: 0, at: 0 };
     let sum = 0;
     let oldest = 0;
     for (const { at, units } of runs) {
       sum += units;
       while (runs[oldest]!.at < at - windowMs) sum -= runs[oldest++]!.units;
-      if (sum > worst.units) worst = { units: sum, at };
+      if (sum > max.units) max = { units: sum, at };
     }
-    return worst;
+    return max;
   }
 
   /** Returns the units of a workspace that ran from one time to another. */
--- a/packages/standins/src/scriptedEndpoint.ts
+++ b/packages/standins/src/scriptedEndpoint.ts
@@ -53,7 +53,7 @@
           socket: message.socket,
         };
         endpoint.requests.push(call);
-        for (const wake of endpoint.waiters.splice(0)) wake();
+        for (const notify of endpoint.waiters.splice(0)) notify();
         (endpoint.script ?? script)(call);
       });
     });
