--- a/packages/standins/src/fakeMetadataStore.ts
+++ b/packages/standins/src/fakeMetadataStore.ts
@@ -253,7 +253,7 @@
       const isOver = !events || events.length > 0 || this.clock.getTime() >= endsAt;
       if (isOver) {
         const revision = events?.at(-1)?.revision ?? this.shared.revision;
-        const position = this.createPosition(start, revision);
+        const position = this.place(start, revision);
         if (!position) return Err(createOutdatedEra());
         return events && position.era === since.era ? Ok({ events, position }) : Err(failure);
       }
@@ -325,21 +325,21 @@
     const { responseDelayMs } = this;
     const reportedEra = this.shared.reportedEra;
     if (responseDelayMs === 0) {
-      const position = this.createPosition(start, this.shared.revision, reportedEra);
+      const position = this.place(start, this.shared.revision, reportedEra);
       return position ? act(position, start) : Err(createOutdatedEra());
     }
     const { revision } = this.shared;
     const result = act({ era: reportedEra ?? start.era, revision }, start);
     await waitFor(this.clock, responseDelayMs);
-    return this.createPosition(start, revision, reportedEra) ? result : Err(createOutdatedEra());
+    return this.place(start, revision, reportedEra) ? result : Err(createOutdatedEra());
   }
 
-  private createPosition(
+  private place(
     start: CallStart,
     revision: number,
-    told = this.shared.reportedEra,
+    reportedEra = this.shared.reportedEra,
   ): StorePosition | undefined {
-    const era = this.eras.acceptEra(start, { era: told });
+    const era = this.eras.acceptEra(start, { era: reportedEra });
     return era === undefined ? undefined : this.eras.acceptRevision(start, era, revision);
   }
 
