--- a/packages/standins/src/fakeEngine.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -318,11 +318,11 @@
   const emitted = body.emitted_tokens ?? 0;
   const prompt = body.prompt ?? "";
   if (emitted === 0) return { prompt, emitted };
-  const answerStart = findAnswerStart(prompt, emitted);
-  return { prompt: prompt.slice(0, answerStart), emitted };
+  const textStart = findTextStart(prompt, emitted);
+  return { prompt: prompt.slice(0, textStart), emitted };
 }
 
-function findAnswerStart(prompt: string, emitted: number): number {
+function findTextStart(prompt: string, emitted: number): number {
   let start = prompt.length - 1;
   for (let count = 0; count < emitted; count++) start = prompt.lastIndexOf(" ", start - 1);
   return start + 1;
--- a/packages/standins/src/fakeKeyValueServer.ts
+++ b/packages/standins/src/fakeKeyValueServer.ts
@@ -84,9 +84,9 @@
     if (request.method === "GET" && url.pathname.startsWith(kvPrefix)) return this.handleRead(response, url);
     if (request.method !== "PUT") return sendJson(response, 405, {});
     this.calls.writes += 1;
-    const [status, answer] = this.handleWrite(url, body);
+    const [status, result] = this.handleWrite(url, body);
     if (this.fault === KeyValueFault.ResponseLost) return void response.destroy();
-    sendJson(response, status, answer);
+    sendJson(response, status, result);
   }
 
   private async handleRead(response: ServerResponse, url: URL): Promise<void> {
--- a/scripts/crashSoak.mjs
+++ b/scripts/crashSoak.mjs
@@ -11,7 +11,7 @@
 const { runCrashScenario } = await import(`${root}packages/gateway/dist/test/crashScenarios.js`);
 
 /** Runs of one request after three endpoints ended under it. */
-const mostRuns = 3;
+const maxRuns = 3;
 /** A play takes 2 s; one that waits for something this long waits for ever. */
 const stuckMs = 60_000;
 
@@ -25,12 +25,12 @@
 for (let seed = from; seed < from + Number(values.seeds); seed++) {
   const closers = [];
   const watchdog = setTimeout(() => exitStuck(seed), stuckMs);
-  const play = await runCrashScenario({ teardown: (close) => closers.push(close) }, seed);
+  const result = await runCrashScenario({ teardown: (close) => closers.push(close) }, seed);
   clearTimeout(watchdog);
   for (const close of closers) await close();
-  const isGood = play.mostRunsAfterThird <= mostRuns && play.unserved === 0;
+  const isGood = result.mostRunsAfterThird <= maxRuns && result.unserved === 0;
   failed += isGood ? 0 : 1;
-  console.log(`${isGood ? "ok" : "FAILED"} seed ${seed} ${JSON.stringify(play)}`);
+  console.log(`${isGood ? "ok" : "FAILED"} seed ${seed} ${JSON.stringify(result)}`);
 }
 console.log(`${values.seeds} seeds, ${failed} failed`);
 process.exit(failed === 0 ? 0 : 1);
--- a/scripts/knownRed.mjs
+++ b/scripts/knownRed.mjs
@@ -2,7 +2,7 @@
 import { existsSync, readFileSync } from "node:fs";
 
 /** More than a few faults that are put off are a broken build. */
-const mostLines = 3;
+const maxLines = 3;
 
 /** Returns the lines of the list; empty where there is no list. */
 export function readKnownRed(file) {
@@ -10,8 +10,8 @@
   const lines = readFileSync(file, "utf8")
     .split("\n")
     .filter((line) => line.trim() !== "");
-  if (lines.length > mostLines)
-    throw new Error(`${file} lists ${lines.length} tests, ${mostLines} at the most`);
+  if (lines.length > maxLines)
+    throw new Error(`${file} lists ${lines.length} tests, ${maxLines} at the most`);
   return lines.map((line) => {
     const [test, cause, issue] = line.split("|").map((part) => part.trim());
     if (!test || !cause || !issue) throw new Error(`${file}: "${line}" is not "test | cause | issue"`);
@@ -23,7 +23,7 @@
  * Splits results of tests into those that count and those that are listed as red. A listed test that passes, or that
  * did not run, counts as failed: its line has to go.
  */
-export function judgeResults(results, knownRed) {
+export function classifyResults(results, knownRed) {
   const isListed = ({ name }) => knownRed.some(({ test }) => test === name);
   const counted = results.filter((result) => !isListed(result));
   const red = results.filter((result) => isListed(result) && !result.isGood);
--- a/scripts/mutants.mjs
+++ b/scripts/mutants.mjs
@@ -15,7 +15,7 @@
 const guards = [
   {
     name: "once-only-requests",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: `${gateway}activeRequest.ts`,
     edits: [
       ["return kind === RouteKind.Safe || (kind === RouteKind.Stream && isResumable);", "return true;"],
@@ -23,55 +23,55 @@
   },
   {
     name: "whose-answer",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: "platform/src/headers.ts",
     edits: [["if (echoed !== undefined && echoed !== requestId) return ExecutionStatus.Mismatched;", ""]],
   },
   {
     name: "true-refusals",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: `${gateway}activeRequest.ts`,
     edits: [["return this.history.runs + (isRunning ? 1 : 0);", "return 0;"]],
   },
   {
     name: "place-in-stream",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: `${gateway}activeRequest.ts`,
     edits: [["lastEventId: this.relay?.lastEventId,", "lastEventId: undefined,"]],
   },
   {
     name: "cancel",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: `${gateway}activeRequest.ts`,
     edits: [['this.attempt?.abort("caller gone");', ""]],
   },
   {
     name: "repeat-budget",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: `${gateway}activeRequest.ts`,
     edits: [["await this.parts.budget.take(this.request.service.name, this.getTimeLeft());", "true;"]],
   },
   {
     name: "planned-stop",
-    play: runResponseSoak,
+    runSoak: runResponseSoak,
     file: `${gateway}gateway.ts`,
     edits: [["await this.finishRequests(endsAt);", ""]],
   },
   {
     name: "conditional-write",
-    play: runStoreSoak,
+    runSoak: runStoreSoak,
     file: `${gateway}fencedLeases.ts`,
     edits: [["{ key: name, revision: 0 },", ""]],
   },
   {
     name: "fence",
-    play: runStoreSoak,
+    runSoak: runStoreSoak,
     file: `${gateway}fencedLeases.ts`,
     edits: [["fence: current.offset + taken.value.revision", "fence: taken.value.revision"]],
   },
   {
     name: "version",
-    play: runStoreSoak,
+    runSoak: runStoreSoak,
     file: `${gateway}configurationFollower.ts`,
     edits: [
       ["if (version !== undefined && version < inForce) {", "if (version === Infinity) {"],
@@ -98,10 +98,10 @@
 }
 
 /** Plays seeds until one shows that the guard is missing; returns what it showed. */
-async function find({ name, play }, seeds) {
+async function findViolation({ name, runSoak }, seeds) {
   const daemon = `${root}target/mutants/${name}/gladewalld.mjs`;
   for (let seed = 1; seed <= seeds; seed++) {
-    const { violations } = await play({ instances: 6, seed, lengthMs: 20_000, daemon });
+    const { violations } = await runSoak({ instances: 6, seed, lengthMs: 20_000, daemon });
     if (violations.length > 0) return `seed ${seed}: ${violations[0]}`;
   }
   return undefined;
@@ -114,7 +114,7 @@
 for (const guard of guards) {
   if (values.only !== undefined && values.only !== guard.name) continue;
   await bundle(`target/mutants/${guard.name}`, [createMutation(guard)]);
-  const found = await find(guard, Number(values.seeds));
+  const found = await findViolation(guard, Number(values.seeds));
   if (found === undefined) missed += 1;
   console.log(`${found === undefined ? "NOT FOUND" : "found"} ${guard.name} ${found ?? ""}`);
 }
--- a/scripts/playSeeds.mjs
+++ b/scripts/playSeeds.mjs
@@ -12,8 +12,8 @@
   return import(`${root}platform/dist/test/${name}.js`);
 }
 
-/** Plays seeds; `play` gets seed, instances, lengthMs, logFolder and earlierDaemon, and returns `isBroken` and `text`. */
-export async function playSeeds(instances, play) {
+/** Plays seeds; `play` gets seed, instances, lengthMs, logFolder and earlierDaemon, and returns `isViolated` and `text`. */
+export async function runSeeds(instances, runSoak) {
   const { values } = parseArgs({
     options: {
       seeds: { type: "string", default: "10" },
@@ -27,18 +27,18 @@
   const built = spawnSync(process.execPath, [`${root}scripts/bundle.mjs`], { stdio: "inherit" });
   if (built.status !== 0) process.exit(1);
   const from = Number(values.from);
-  const shape = {
+  const options = {
     instances: Number(values.instances),
     lengthMs: Number(values.seconds) * 1_000,
     logFolder: values.logs,
     earlierDaemon: values.former,
   };
-  let broken = 0;
+  let violated = 0;
   for (let seed = from; seed < from + Number(values.seeds); seed++) {
-    const { isBroken, text } = await play({ ...shape, seed });
-    broken += isBroken ? 1 : 0;
-    console.log(`${isBroken ? "BROKEN" : "ok"} seed ${seed} ${text}`);
+    const { isViolated, text } = await runSoak({ ...options, seed });
+    violated += isViolated ? 1 : 0;
+    console.log(`${isViolated ? "BROKEN" : "ok"} seed ${seed} ${text}`);
   }
-  console.log(`${values.seeds} seeds, ${broken} broken`);
-  process.exit(broken === 0 ? 0 : 1);
+  console.log(`${values.seeds} seeds, ${violated} broken`);
+  process.exit(violated === 0 ? 0 : 1);
 }
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -3,7 +3,7 @@
 import { spawnSync } from "node:child_process";
 import { existsSync, mkdirSync, readFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
-import { judgeResults, readKnownRed } from "./knownRed.mjs";
+import { classifyResults, readKnownRed } from "./knownRed.mjs";
 
 const root = fileURLToPath(new URL("..", import.meta.url));
 const checks = [
@@ -56,12 +56,12 @@
   results.push({ name, isGood });
 }
 const knownRed = only.length === 0 ? readKnownRed(`${root}KNOWN-RED.txt`) : [];
-const judged = judgeResults(results, knownRed);
-passed += judged.passed;
-failed += judged.failed;
+const classified = classifyResults(results, knownRed);
+passed += classified.passed;
+failed += classified.failed;
 if (run.status !== 0) console.log(report);
-if (run.status !== 0 && failed === 0 && judged.red.length === 0) failed += 1;
+if (run.status !== 0 && failed === 0 && classified.red.length === 0) failed += 1;
 for (const { test, cause, issue } of knownRed) console.log(`known red: ${test} (${cause}; ${issue})`);
-for (const { test } of judged.stale) console.log(`listed as known red, but not failing: ${test}`);
+for (const { test } of classified.stale) console.log(`listed as known red, but not failing: ${test}`);
 console.log(`${passed} passed, ${failed} failed`);
 process.exit(failed === 0 ? 0 : 1);
