--- a/scripts/answerSoak.mjs
+++ b/scripts/answerSoak.mjs
@@ -1,6 +1,6 @@
-// Plays requests of all kinds before real processes that are stopped, killed and cut off, and endpoints that answer as each
-// seed draws. `node scripts/answerSoak.mjs --seeds 50`; broken is where one ran too often, was refused although it ran, got what is
-// not its own, or was cut by a planned stop.
+// Runs the response soak: requests of all kinds on real processes that are stopped, killed and partitioned, with endpoints whose
+// responses are random for each seed. `node scripts/answerSoak.mjs --seeds 50`. A seed is broken if a request ran too often, was
+// refused although it ran, got another request's response, or was interrupted by a planned stop.
 import { importTest, runSeeds } from "./playSeeds.mjs";
 
 const { runResponseSoak } = await importTest("responseSoak");
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
-// Bundles the daemon of the operators' platform into target/, straight from the sources. What a daemon without
-// arguments does not need (the command line) is a file of its own, so that a start does not read it. Files are replaced
-// whole: a process that starts meanwhile reads the former ones or the new ones, never a part.
+// Bundles the daemon of the operators' platform from the sources into target/. Code that a daemon without arguments does not need
+// (the command line) is a separate file, so that a start does not read it. Files are replaced atomically, so that a process which
+// starts meanwhile reads the previous or the new file, never a part of one.
 import { mkdirSync, realpathSync, renameSync, writeFileSync } from "node:fs";
 import { dirname } from "node:path";
 import { argv } from "node:process";
@@ -16,7 +16,7 @@
   outExtension: { ".js": ".mjs" },
   bundle: true,
   splitting: true,
-  // Half of a start is reading the sources; names are kept, so that stack traces stay readable.
+  // Half of the start-up time is spent on reading the sources. Names are kept, so that stack traces stay readable.
   minifyWhitespace: true,
   minifySyntax: true,
   platform: "node",
@@ -32,8 +32,8 @@
     "@gladewall/gateway": source("packages/gateway/src/index.ts"),
     "@gladewall/platform": source("platform/src/index.ts"),
   },
-  // CommonJS packages inside a module need what CommonJS gives them; under names of their own, as some packages
-  // declare the usual ones themselves.
+  // CommonJS packages inside a module need the variables that CommonJS provides. They get names of their own here, because some
+  // packages declare the usual names themselves.
   define: { __filename: "__bundleFile", __dirname: "__bundleFolder" },
   banner: {
     js: [
@@ -46,7 +46,7 @@
   },
 };
 
-/** Bundles the daemon into a folder of the repository, with more of the bundler's plug-ins. */
+/** Bundles the daemon into a folder of the repository, with additional bundler plug-ins. */
 export async function bundle(outdir = "target", plugins = []) {
   const { outputFiles } = await build({ ...options, outdir, plugins, write: false });
   for (const { path, contents } of outputFiles) {
--- a/scripts/capacityPage.mjs
+++ b/scripts/capacityPage.mjs
@@ -1,4 +1,5 @@
-// Writes the figures of docs/CAPACITY.md from docs/results/capacity.json, or with --check compares them.
+// Writes the figures of docs/CAPACITY.md from docs/results/capacity.json; with --check, only compares them and exits with 1 if
+// they differ.
 import { readFileSync, writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 
@@ -7,7 +8,7 @@
 const result = JSON.parse(readFileSync(`${root}docs/results/capacity.json`, "utf8"));
 const blockPattern = /<!-- figures -->[\s\S]*?<!-- end of figures -->/;
 
-/** The size of two years, from the users' letter. */
+/** Size of the system in two years, according to the users' requirements. */
 const size = {
   entries: 320,
   endpoints: 1300,
--- a/scripts/crashSoak.mjs
+++ b/scripts/crashSoak.mjs
@@ -1,5 +1,5 @@
-// Plays requests that end endpoints before instances that end and start, as each seed draws. `node scripts/crashSoak.mjs
-// --seeds 50 [--from 1]`, after a build; exits with 1 where one ran too often, or where others were not served.
+// Runs requests that crash endpoints, on instances that stop and start at random for each seed. `node scripts/crashSoak.mjs
+// --seeds 50 [--from 1]`, after a build. Exits with 1 if a crashing request ran too often or other requests were not served.
 import { fileURLToPath } from "node:url";
 import { clearTimeout, setTimeout } from "node:timers";
 import { parseArgs } from "node:util";
@@ -10,13 +10,13 @@
 });
 const { runCrashScenario } = await import(`${root}packages/gateway/dist/test/crashScenarios.js`);
 
-/** Runs of one request after three endpoints ended under it. */
+/** Maximum number of runs of one request after three endpoints have crashed under it. */
 const maxRuns = 3;
-/** A play takes 2 s; one that waits for something this long waits for ever. */
+/** A scenario takes 2 s; one that waits for this long never ends. */
 const stuckMs = 60_000;
 
 function exitStuck(seed) {
-  console.log(`FAILED seed ${seed}: an instance never came to know what the others do`);
+  console.log(`FAILED seed ${seed}: an instance never received what the others know`);
   process.exit(1);
 }
 
--- a/scripts/gatewaySettingsPage.mjs
+++ b/scripts/gatewaySettingsPage.mjs
@@ -1,4 +1,4 @@
-// Writes docs/operating/gateway-settings.md from the schema; a test compares the two.
+// Writes docs/operating/gateway-settings.md from the settings schema. A test checks that the page matches the schema.
 import { writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 import { gatewaySchema } from "@gladewall/gateway";
--- a/scripts/limitSoak.mjs
+++ b/scripts/limitSoak.mjs
@@ -1,6 +1,6 @@
-// Plays surges on one workspace's limit before real processes, with troubles that each seed draws: lost answers, late
-// links, paused, killed and restarted instances. `node scripts/limitSoak.mjs --seeds 50`; broken is where more ran than the limit
-// allows.
+// Runs surges beyond one workspace's limit on real processes, with random faults for each seed: lost responses, slow links, and
+// suspended, killed and restarted instances. `node scripts/limitSoak.mjs --seeds 50`. A seed is broken if more units ran than the
+// limit allows.
 import { importTest, runSeeds } from "./playSeeds.mjs";
 
 const { createRandomFaults, runLimitSoak } = await importTest("limitSoak");
--- a/scripts/mutants.mjs
+++ b/scripts/mutants.mjs
@@ -1,5 +1,6 @@
-// Takes one guard after another out of the daemon, and plays the soak that has to find it. `node scripts/mutants.mjs [--seeds 8]
-// [--only NAME]`, after a build; prints a line each and exits with 1 where one was not found. The sources stay as they are.
+// Mutation test of the soaks: removes one guard at a time from the bundled daemon, and runs the soak that must detect it.
+// `node scripts/mutants.mjs [--seeds 8] [--only NAME]`, after a build. Prints a line for each guard and exits with 1 if one was not
+// detected. The sources are not changed.
 import { readFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 import { parseArgs } from "node:util";
@@ -11,7 +12,7 @@
 const { runResponseSoak } = await importTest("responseSoak");
 const { runStoreSoak } = await importTest("storeSoak");
 
-/** Each guard: the source it stands in, and pairs of a text there and what stands in its place without the guard. */
+/** The guards: for each the soak, the source file, and pairs of a text in that file and its replacement without the guard. */
 const guards = [
   {
     name: "once-only-requests",
@@ -80,7 +81,7 @@
   },
 ];
 
-/** A plug-in of the bundler that takes a guard out; fails where its text is no longer there. */
+/** Returns a bundler plug-in that removes a guard; the build fails if the file does not contain each text exactly once. */
 function createMutation({ name, file, edits }) {
   const filter = new RegExp(`${file.replaceAll(".", "\\.")}$`);
   return {
@@ -89,7 +90,8 @@
       onLoad({ filter }, () => {
         let contents = readFileSync(`${root}${file}`, "utf8");
         for (const [from, to] of edits) {
-          if (contents.split(from).length !== 2) throw new Error(`${file} does not hold once: ${from}`);
+          if (contents.split(from).length !== 2)
+            throw new Error(`${file} does not contain exactly once: ${from}`);
           contents = contents.replace(from, to);
         }
         return { contents, loader: "ts" };
@@ -97,7 +99,7 @@
   };
 }
 
-/** Plays seeds until one shows that the guard is missing; returns what it showed. */
+/** Runs seeds until one detects that the guard is missing. Returns the violation, or undefined. */
 async function findViolation({ name, runSoak }, seeds) {
   const daemon = `${root}target/mutants/${name}/gladewalld.mjs`;
   for (let seed = 1; seed <= seeds; seed++) {
--- a/scripts/needSoak.mjs
+++ b/scripts/needSoak.mjs
@@ -1,6 +1,6 @@
-// Plays endpoints that name how many requests a second they take before real processes, each seed with its own events.
-// `node scripts/needSoak.mjs --seeds 50 [--former DAEMON]`; broken is where all instances together sent more than is borne. With
-// a daemon of an earlier build, every second instance runs it until it is started again.
+// Runs the soak of advertised limits: endpoints name how many requests a second they accept, with random events for each seed.
+// `node scripts/needSoak.mjs --seeds 50 [--former DAEMON]`. A seed is broken if all instances together sent more than is allowed.
+// With `--former`, every second instance runs that daemon of an earlier build until its first restart.
 import { importTest, runSeeds } from "./playSeeds.mjs";
 
 const { runEndpointLimitSoak } = await importTest("endpointLimitSoak");
--- a/scripts/playSeeds.mjs
+++ b/scripts/playSeeds.mjs
@@ -1,5 +1,5 @@
-// The command line of soaks of real processes: bundles the daemon, plays seed after seed, prints a line each, and exits with 1
-// where one was broken. `--seeds 50 [--from 1] [--instances N] [--seconds 12] [--logs FOLDER]
+// Command line of the soaks on real processes: bundles the daemon, runs one seed after another, prints a line for each, and exits
+// with 1 if one was broken. `--seeds 50 [--from 1] [--instances N] [--seconds 12] [--logs FOLDER]
 // [--former DAEMON]`.
 import { spawnSync } from "node:child_process";
 import { fileURLToPath } from "node:url";
@@ -7,12 +7,15 @@
 
 const root = fileURLToPath(new URL("..", import.meta.url));
 
-/** Imports a module of the platform's tests, as built. */
+/** Imports a built module of the platform's tests. */
 export function importTest(name) {
   return import(`${root}platform/dist/test/${name}.js`);
 }
 
-/** Plays seeds; `play` gets seed, instances, lengthMs, logFolder and earlierDaemon, and returns `isViolated` and `text`. */
+/**
+ * Runs the seeds of the command line. `runSoak` receives seed, instances, lengthMs, logFolder and earlierDaemon, and returns
+ * `isViolated` and `text`, the line to print.
+ */
 export async function runSeeds(instances, runSoak) {
   const { values } = parseArgs({
     options: {
--- a/scripts/setup.mjs
+++ b/scripts/setup.mjs
@@ -1,4 +1,4 @@
-// Prepares a fresh clone: installs the locked packages, when they changed, and builds all packages.
+// Prepares a clone: installs the locked packages if they changed, and builds all packages.
 import { spawnSync } from "node:child_process";
 import { createHash } from "node:crypto";
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
@@ -8,7 +8,7 @@
 const stampFile = `${root}node_modules/.setup-stamp`;
 
 function run(command, args) {
-  // Setup speaks on stderr, so that a command's own output stays clean on stdout.
+  // Output goes to stderr, so that stdout holds only the output of the command that follows.
   const done = spawnSync(command, args, { cwd: root, stdio: ["ignore", 2, 2] });
   if (done.status !== 0) process.exit(done.status ?? 1);
 }
--- a/scripts/storeSoak.mjs
+++ b/scripts/storeSoak.mjs
@@ -1,6 +1,6 @@
-// Plays a store that comes back from copies before real processes, each seed with its own events.
-// `node scripts/storeSoak.mjs --seeds 50`; broken is where a removed key ran, a new one was refused, a version fell, an endpoint
-// that left was used, or duties were done twice.
+// Runs the soak of store restores: the store is restored from older snapshots, with random events for each seed.
+// `node scripts/storeSoak.mjs --seeds 50`. A seed is broken if a removed key ran requests, a new key was refused, a configuration
+// version decreased, an endpoint that left received requests, or leader tasks were executed twice.
 import { importTest, runSeeds } from "./playSeeds.mjs";
 
 const { runStoreSoak } = await importTest("storeSoak");
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,5 +1,5 @@
-// Runs every check in order and ends with one plain line: `N passed, N failed`. Tests that KNOWN-RED.txt lists are run
-// and printed, and count only if they pass.
+// Runs all checks and tests in order and prints a summary line at the end: `N passed, N failed`. Tests that KNOWN-RED.txt lists are
+// run and printed; they count as failed if they pass or do not run.
 import { spawnSync } from "node:child_process";
 import { existsSync, mkdirSync, readFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
@@ -28,7 +28,7 @@
 
 const tap = "node_modules/tap/dist/esm/run.mjs";
 if (!existsSync(`${root}.tap/test-built`)) {
-  // tap generates its own module of the chosen plug-ins once per checkout.
+  // tap generates a module with the configured plug-ins once per checkout.
   runNode([tap, "build"]);
 }
 mkdirSync(`${root}.tap`, { recursive: true });
@@ -43,10 +43,10 @@
   if (!found) continue;
   const isGood = found[2] === "ok";
   const name = found[3].trim();
-  // Top-level lines are files; the named tests of a file stand one level in, before it.
+  // Top-level lines are files. The tests of a file precede its line, indented by one level.
   const isFile = found[1] === undefined;
   if (isFile) {
-    // A file that fails without a failing test of its own has crashed or run out of time.
+    // A file that fails without a failing test has crashed or timed out.
     if (!isGood && !hasRedTest) results.push({ name, isGood });
     hasRedTest = false;
     continue;
