--- a/packages/standins/src/deterministicText.ts
+++ b/packages/standins/src/deterministicText.ts
@@ -1,6 +1,6 @@
 /**
- * The text of the stand-in engine: each token is a function of the prompt and its position alone, so that an answer
- * put together from several runs can be compared with the one an undisturbed run gives.
+ * The text that the fake engine generates. Each token depends only on the prompt and its position, so that a text which was put
+ * together from several runs can be compared with the text of one uninterrupted run.
  * @module
  */
 import { createHash } from "node:crypto";
@@ -27,36 +27,36 @@
 ];
 const bytesPerToken = 4;
 
-/** Returns the digest that decides a prompt's answer. */
+/** Returns the digest of a prompt, from which its text is generated. */
 export function getPromptDigest(prompt: string): Buffer {
   return createHash("sha256").update(prompt).digest();
 }
 
-/** Returns the token at a position, with the space that ends it. */
+/** Returns the token at a position, followed by a space. */
 export function getToken(digest: Buffer, position: number): string {
   const byte = digest[position % digest.length] ?? 0;
   return `${vocabulary[(byte + position * 7) % vocabulary.length]}${position} `;
 }
 
-/** Returns the whole answer of `length` tokens to a prompt. */
+/** Returns the complete text of `length` tokens for a prompt. */
 export function getFullText(prompt: string, length: number): string {
   const digest = getPromptDigest(prompt);
   return Array.from({ length }, (_, position) => getToken(digest, position)).join("");
 }
 
-/** Estimates tokens by the project's one rule: four bytes of UTF-8 a token, rounded up. */
+/** Estimates the tokens of a text by the rule that the whole project uses: four bytes of UTF-8 per token, rounded up. */
 export function estimateTokens(text: string): number {
   return Math.ceil(Buffer.byteLength(text) / bytesPerToken);
 }
 
-/** A prompt as the engine sees it: what decides the answer, and how much of the answer it already holds. */
+/** A parsed request: the prompt, from which the text is generated, and the length of the text that the request already holds. */
 export interface ParsedPrompt {
   readonly prompt: string;
-  /** Tokens of the answer that the request itself brings, for a continued answer. */
+  /** Number of generated tokens that the request contains, if it continues a text. */
   readonly emitted: number;
 }
 
-/** Parses a chat body; a last assistant message with `continue_final_message` is the answer so far. */
+/** Parses the messages of a chat. With `continue_final_message`, a last message of the assistant is the text generated so far. */
 export function parseChat(messages: readonly ChatMessage[], isContinued: boolean): ParsedPrompt {
   const last = messages[messages.length - 1];
   const hasAnswer = isContinued && last?.role === "assistant";
@@ -65,7 +65,7 @@
   return { prompt, emitted: hasAnswer && last ? countTokens(last.content) : 0 };
 }
 
-/** Counts the tokens of an answer of this engine. */
+/** Counts the tokens of a generated text. */
 export function countTokens(answer: string): number {
   return answer.split(" ").length - 1;
 }
--- a/packages/standins/src/engineRecord.ts
+++ b/packages/standins/src/engineRecord.ts
@@ -1,9 +1,9 @@
 /**
- * What a stand-in endpoint really did: an independent record that checks compare with what callers were told.
+ * Records of what a fake engine did. Tests compare them with the responses that callers received.
  * @module
  */
 
-/** State of a run at a stand-in endpoint. */
+/** State of a run at a fake engine. */
 export enum RunState {
   Queued = 1,
   Running = 2,
@@ -12,7 +12,7 @@
   Cut = 5,
 }
 
-/** One run as the endpoint saw it. */
+/** One run, as the engine recorded it. */
 export interface RunRecord {
   readonly runId: string;
   readonly attempt: number;
@@ -21,7 +21,7 @@
   readonly promptTokens: number;
   /** Prompt tokens found in the prefix cache. */
   cachedTokens: number;
-  /** Tokens whose cache was fetched from the run that this one goes on with. */
+  /** Prompt tokens whose cache was fetched from the run that this one continues. */
   importedTokens: number;
   /** Position of the first token this run emits. */
   readonly start: number;
@@ -31,7 +31,7 @@
   state: RunState;
 }
 
-/** Recently used prompt blocks, bounded in number. */
+/** Cache of prompt blocks that evicts the least recently used ones. */
 export class PrefixCache {
   private readonly blocks = new Map<string, true>();
 
@@ -41,7 +41,7 @@
     return new PrefixCache(capacity);
   }
 
-  /** Returns how many leading blocks of a prompt are held, and holds all of them from now on. */
+  /** Returns how many leading blocks of a prompt are cached, and caches all of its blocks. */
   lookUpAndStore(keys: readonly string[]): number {
     const missing = keys.findIndex((key) => !this.blocks.has(key));
     const cached = missing < 0 ? keys.length : missing;
@@ -56,7 +56,7 @@
     return cached;
   }
 
-  /** Number of blocks held. */
+  /** Number of cached blocks. */
   get size(): number {
     return this.blocks.size;
   }
@@ -64,7 +64,7 @@
 
 const blockCharacters = 256;
 
-/** Returns the keys of a prompt's whole blocks; each key stands for the prompt up to its end. */
+/** Returns the keys of the complete blocks of a prompt. Each key is the prompt up to the end of its block. */
 export function getBlockKeys(prompt: string): readonly string[] {
   const keys: string[] = [];
   for (let end = blockCharacters; end <= prompt.length; end += blockCharacters)
--- a/packages/standins/src/fakeCloudServices.ts
+++ b/packages/standins/src/fakeCloudServices.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of the instance list and of the cloud's notices, kept by one object as the platform keeps them: the list
- * lags behind what is true, notices do not.
+ * Fake of the platform's instance list and of the cloud's reclaim notices, on one HTTP server. Changes appear in the list after a
+ * delay, notices at once.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -8,6 +8,7 @@
 import { type Clock, type Closeable, SystemClock, waitFor } from "@gladewall/kernel";
 import { FakeHttpServer, sendJson } from "./fakeHttpServer.js";
 
+/** Notice that an instance will be reclaimed at a time of the clock. */
 interface Notice {
   readonly sequence: number;
   readonly instance: string;
@@ -15,11 +16,11 @@
   readonly due: number;
 }
 
-/** The running stand-in of list and cloud. */
+/** The server of the list and the notices. */
 export class FakeCloudServices implements Closeable {
-  /** Milliseconds by which the list is behind. */
+  /** Milliseconds after which a change appears in the list. */
   listLagMs = 0;
-  /** Whether the list refuses to answer. */
+  /** Whether requests for the list are closed without a response. */
   isListDown = false;
   private readonly records = new Map<string, InstanceRecord>();
   private readonly listed = new Map<string, InstanceRecord>();
@@ -43,19 +44,19 @@
     return this.server?.address ?? "";
   }
 
-  /** Puts an instance on the list, or replaces what the list says of it; seen after the lag. */
+  /** Adds or replaces an instance in the list, after its delay. */
   publish(record: InstanceRecord): void {
     this.records.set(record.id, record);
     this.changeList(() => this.listed.set(record.id, record));
   }
 
-  /** Removes an instance; seen after the lag. */
+  /** Removes an instance from the list, after its delay. */
   remove(id: string): void {
     this.records.delete(id);
     this.changeList(() => this.listed.delete(id));
   }
 
-  /** Gives notice that an instance will be taken in `remaining` milliseconds. */
+  /** Gives notice that an instance will be reclaimed in `remaining` milliseconds. */
   reclaim(id: string, remaining: number): void {
     const record = this.records.get(id);
     if (!record) return;
@@ -74,7 +75,7 @@
     await this.server?.close();
   }
 
-  /** Changes what the list shows, after its lag. */
+  /** Applies a change to the list after its delay. */
   private changeList(change: () => void): void {
     const apply = (): void => {
       this.listVersion += 1;
--- a/packages/standins/src/fakeEngine.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a model engine with the OpenAI-compatible interface: continuous batches of a limited width, priorities,
- * a prefix cache, streams that can be resumed and cancelled by run id, and a load report.
+ * Fake model engine with the OpenAI-compatible interface: continuous batching with a limited batch size, priorities, a prefix cache,
+ * streams that can be resumed and cancelled by run id, and a load report.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -16,28 +16,28 @@
   type ParsedPrompt,
 } from "./deterministicText.js";
 
-/** How an engine misbehaves. */
+/** Fault of an engine. */
 export enum EngineFault {
   None = 0,
   /** Refuses new runs with 503 before they start. */
   Refuse = 1,
-  /** Cuts each new stream after `faultAfter` tokens. */
+  /** Closes the connection of each new stream after `faultAfter` tokens. */
   CutStream = 2,
-  /** Says that a cancel is done, but runs on. */
+  /** Confirms a cancellation, but continues the run. */
   IgnoreCancel = 3,
   /** Sends each frame twice. */
   Duplicate = 4,
-  /** Sends a frame of another attempt before each frame. */
+  /** Sends a frame of another attempt before each frame of its own. */
   Foreign = 5,
-  /** Ends the stream without its end mark after `faultAfter` tokens. */
+  /** Ends the stream after `faultAfter` tokens without its end marker. */
   NoEndMark = 6,
-  /** Takes requests and never answers. */
+  /** Accepts requests and never responds. */
   Silent = 7,
-  /** Leaves out the token at position `faultAfter`. */
+  /** Skips the token at position `faultAfter`. */
   SkipToken = 8,
 }
 
-/** Speeds and sizes of an engine. */
+/** Speeds and sizes of an engine: `width` is the maximum batch size. */
 export interface EngineOptions {
   readonly width: number;
   readonly prefillTokensPerSecond: number;
@@ -64,7 +64,7 @@
   readonly emitted_tokens?: number;
 }
 
-/** Defaults that make tests quick. */
+/** Default options, which keep tests fast. */
 export const fastEngineOptions: EngineOptions = {
   width: 8,
   prefillTokensPerSecond: 200_000,
@@ -75,9 +75,9 @@
 const defaultLength = 16;
 const millisecondsPerSecond = 1000;
 
-/** The running stand-in. */
+/** The server of the engine. */
 export class FakeEngine implements Closeable {
-  /** Every run this engine took, in order. */
+  /** All runs that the engine accepted, in order. */
   readonly records: RunRecord[] = [];
   fault = EngineFault.None;
   faultAfter = 0;
@@ -109,7 +109,7 @@
     return this.server?.address ?? "";
   }
 
-  /** Dies at once: every run stops and every stream is cut. */
+  /** Stops all runs and closes all connections at once, as a crash does. */
   async close(): Promise<void> {
     for (const run of this.runs.values()) this.stopRun(run, RunState.Cut);
     await this.server?.close();
@@ -196,14 +196,14 @@
     return run;
   }
 
-  /** Fetches the cache of the run that this one goes on with; without it the prompt is read again. */
+  /** Fetches the cache of the run that this one continues; if that fails, the prompt is processed again. */
   private async importCache(record: RunRecord, source: string): Promise<void> {
     try {
       const response = await fetch(`http://${source}`);
       const cache = (await response.json()) as { prompt?: string };
       if (response.ok && cache.prompt === record.prompt) record.importedTokens = record.promptTokens;
     } catch {
-      // The source is gone.
+      // The source no longer exists, so the prompt is processed again.
     }
   }
 
@@ -314,7 +314,7 @@
 
 function parseBody(body: CompletionBody): ParsedPrompt {
   if (body.messages) return parseChat(body.messages, body.continue_final_message === true);
-  // A text prompt that is continued ends with the answer so far; the caller says how many tokens that is.
+  // A continued text prompt ends with the text generated so far; the caller sends its number of tokens.
   const emitted = body.emitted_tokens ?? 0;
   const prompt = body.prompt ?? "";
   if (emitted === 0) return { prompt, emitted };
--- a/packages/standins/src/fakeHttpServer.ts
+++ b/packages/standins/src/fakeHttpServer.ts
@@ -1,12 +1,12 @@
 /**
- * Base of the stand-ins: one HTTP server on loopback with a port from the system, that closes with its sockets.
+ * HTTP server on a free loopback port that the fakes are built on; closing it closes its connections.
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { Closeable } from "@gladewall/kernel";
 
-/** Answers one request of a stand-in. */
+/** Handles one request of a fake. */
 export type FakeServerHandler = (
   request: IncomingMessage,
   response: ServerResponse,
@@ -34,7 +34,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Closes the server and cuts every connection, as a death does. */
+  /** Closes the server and all connections at once, as a crash does. */
   async close(): Promise<void> {
     const done = new Promise<void>((resolve) => this.server.close(() => resolve()));
     this.server.closeAllConnections();
@@ -42,19 +42,19 @@
   }
 }
 
-/** Reads a whole body as text. */
+/** Reads a complete body as text; fails if it exceeds `bodyLimit` bytes. */
 export async function readText(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > bodyLimit) throw new Error("stand-in body limit");
+    if (size > bodyLimit) throw new Error("the request body exceeds the limit of the fake");
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString("utf8");
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(response: ServerResponse, status: number, value: unknown): void {
   const body = JSON.stringify(value);
   response.writeHead(status, {
--- a/packages/standins/src/fakeKeyValueServer.ts
+++ b/packages/standins/src/fakeKeyValueServer.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's key-value service: HTTP with JSON, base64 values, blocking reads, transactions with
- * compare-and-swap, and sessions that hold locks. It can be down, slow, lose answers and miss watches.
+ * Fake of the platform's key-value service: HTTP with JSON, base64 values, blocking reads, compare-and-swap transactions, and
+ * sessions that hold locks. It can be made unavailable or slow, lose responses, or miss changes in watches.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -8,20 +8,20 @@
 import { FakeHttpServer, readText, sendJson } from "./fakeHttpServer.js";
 import { MemoryStore, type StoreEntry } from "./memoryStore.js";
 
-/** How the stand-in misbehaves until told otherwise. */
+/** Fault of the server, until it is changed. */
 export enum KeyValueFault {
   None = 0,
-  /** Connections are cut before anything happens. */
+  /** Connections are closed before a request has any effect. */
   Down = 1,
-  /** Every call waits `delay` milliseconds first. */
+  /** Every call is delayed by `delay` milliseconds. */
   Slow = 2,
-  /** Writes take effect, then the connection is cut. */
+  /** Writes take effect, then the connection is closed without a response. */
   ResponseLost = 3,
-  /** Watches sleep on although the key changed. */
+  /** Watches block until their time is over, although the key changed. */
   MissedWatches = 4,
 }
 
-/** Calls counted since the start. */
+/** Numbers of calls since the start. */
 export interface KeyValueCalls {
   reads: number;
   writes: number;
@@ -40,7 +40,7 @@
 const valueLimit = 1_048_576;
 const kvPrefix = "/v1/kv/";
 
-/** The running stand-in. */
+/** The server of the service. */
 export class FakeKeyValueServer implements Closeable {
   readonly calls: KeyValueCalls = { reads: 0, writes: 0, watches: 0 };
   private fault = KeyValueFault.None;
@@ -65,7 +65,7 @@
     return this.server?.address ?? "";
   }
 
-  /** Misbehaves from now on; `None` heals. */
+  /** Sets the fault; `None` ends it. `delay` is in milliseconds. */
   setFault(fault: KeyValueFault, delay = 0): void {
     this.fault = fault;
     this.delay = delay;
--- a/packages/standins/src/fakeMetadataStore.ts
+++ b/packages/standins/src/fakeMetadataStore.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway's store in memory, with the troubles that a platform's store has: it may be down, lose the answers of
- * writes, turn watches deaf, and forget its history.
+ * Fake of the gateway's metadata store, in memory. Tests can inject the faults of a platform's store: it can be unavailable, lose the
+ * responses to writes, return no changes to watches, compact its history, and be restored from a snapshot.
  * @module
  */
 import {
@@ -21,19 +21,19 @@
 import { type Clock, Failure, FailureCode, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** What calls meet. */
+/** Fault that calls meet. */
 export enum StoreFault {
   None = 0,
   /** Calls fail without effect. */
   Down = 1,
-  /** Writes take effect, and their answers are lost. */
+  /** Writes take effect, and their responses are lost. */
   LosesResponses = 2,
 }
 
-/** Longest time of a call, as the platform's client has it; a call that waits has that long beyond, or its wait. */
+/** Timeout of a call, as in the platform's client. A blocking call may exceed its wait by this time, or by its wait if that is shorter. */
 const callTimeoutMs = 1_200;
 
-/** An item; its lease is the store's own name of it. */
+/** An item with the store's own id of its lease. */
 interface Entry extends StoreItem {
   readonly lease: string | undefined;
 }
@@ -43,7 +43,7 @@
   endsAt: number;
 }
 
-/** All that a store holds at one moment. */
+/** The complete state of a store at one time. */
 export interface StoreSnapshot {
   readonly takenAt: number;
   readonly entries: ReadonlyMap<string, Entry>;
@@ -53,20 +53,20 @@
   readonly nextLease: number;
 }
 
-/** Time between two looks of a watch, unless the test says otherwise. */
+/** Default time between two checks of a watch. */
 const defaultPollMs = 5;
 
-/** What all instances of a test share. */
+/** State of the store, which all instances of a test share. */
 export class SharedStore {
   fault = StoreFault.None;
-  /** Whether watches hear nothing. */
+  /** Whether watches return no changes. */
   hidesChanges = false;
   reads = 0;
   writes = 0;
   readonly entries = new Map<string, Entry>();
-  /** How often the store has come back from a copy, and with which number it began. */
+  /** Number of the store's era: starts at 1 and increases with each restore. */
   era = 1;
-  /** Whether answers tell the era. */
+  /** Whether responses report the era. */
   reportsEra = true;
   private events: StoreEvent[] = [];
   private readonly leases = new Map<string, LeaseState>();
@@ -76,16 +76,16 @@
 
   private constructor(
     private readonly clock: Clock,
-    /** Milliseconds between two looks of a watch. */
+    /** Milliseconds between two checks of a watch. */
     readonly pollMs: number,
   ) {}
 
-  /** On a virtual clock each look costs turns of the event loop, so tests of long times look less often. */
+  /** On a virtual clock each check costs iterations of the event loop, so tests of long times set a higher `pollMs`. */
   static create(clock: Clock, pollMs = defaultPollMs): SharedStore {
     return new SharedStore(clock, pollMs);
   }
 
-  /** What answers tell of the era; undefined where they tell nothing. */
+  /** Era that responses report; undefined if they report none. */
   get reportedEra(): number | undefined {
     return this.reportsEra ? this.era : undefined;
   }
@@ -95,7 +95,7 @@
     return this.counter;
   }
 
-  /** Writes without a condition, as operators and endpoints do; returns the revision. */
+  /** Writes a key unconditionally, as operators and endpoints do; returns the new revision. */
   put(key: string, value: string | Uint8Array, lease?: string): number {
     this.expire();
     this.counter += 1;
@@ -111,7 +111,7 @@
     this.events.push({ key, revision: this.counter, value: undefined });
   }
 
-  /** Copies all that is held now. */
+  /** Returns a snapshot of the current state. */
   takeSnapshot(): StoreSnapshot {
     this.expire();
     return {
@@ -124,7 +124,7 @@
     };
   }
 
-  /** Comes back from a copy: what was written since is gone, and revisions and leases are given out again. */
+  /** Restores a snapshot in a new era: later writes are lost, and revisions and leases are assigned again. */
   restore({ takenAt, entries, events, leases, counter, nextLease }: StoreSnapshot): void {
     const elapsedMs = this.clock.getTime() - takenAt;
     this.era += 1;
@@ -138,7 +138,7 @@
     this.nextLease = nextLease;
   }
 
-  /** Forgets all changes up to now: watches that continue from before fail. */
+  /** Discards all changes so far: watches that continue from an earlier revision fail. */
   compactHistory(): void {
     this.oldest = this.counter;
   }
@@ -162,7 +162,7 @@
     for (const { key, lease: held } of [...this.entries.values()]) if (held === lease) this.remove(key);
   }
 
-  /** Ends every lease at once, as a store does that lost time. */
+  /** Ends all leases at once, as a store does after it lost time. */
   endAllLeases(): void {
     for (const lease of [...this.leases.keys()]) this.endLease(lease);
   }
@@ -172,7 +172,7 @@
     return this.leases.has(lease);
   }
 
-  /** Returns the changes after a revision under a prefix; undefined where they are forgotten. */
+  /** Returns the changes of a prefix after a revision; undefined if that history is compacted. */
   getChanges(prefix: string, since: number): readonly StoreEvent[] | undefined {
     this.expire();
     if (since < this.oldest || since > this.counter) return undefined;
@@ -185,16 +185,16 @@
   }
 }
 
-/** One instance's client of the shared store. */
+/** One instance's client of the shared state. */
 export class FakeMetadataStore implements MetadataStore {
   readonly eras = StoreEras.create();
-  /** Time for which answers are held back on their way; milliseconds. */
+  /** Delay of responses on their way, in milliseconds. */
   responseDelayMs = 0;
-  /** Trouble of this instance alone. */
+  /** Fault of this instance's calls only. */
   fault = StoreFault.None;
-  /** Calls of this instance, refused ones included. */
+  /** Number of calls of this instance, including refused ones. */
   calls = 0;
-  /** Watches among them. */
+  /** Number of watches among them. */
   watches = 0;
   private stalledAt = -Infinity;
 
@@ -207,7 +207,7 @@
     return new FakeMetadataStore(shared, clock);
   }
 
-  /** Lets the watches that are under way hear nothing more, without an error; new ones work. */
+  /** Lets the current watches return nothing and report no error; new ones work. */
   stallWatches(): void {
     this.stalledAt = this.clock.getTime();
   }
@@ -315,7 +315,7 @@
     return parseLeaseHandle(lease).era !== this.eras.current;
   }
 
-  /** Does a call, and passes its answer on if it is of the present era then; it may be held back on its way. */
+  /** Executes a call and delays its response; returns the response if it is still of the current era then. */
   private async respond<T>(
     act: (position: StorePosition, start: CallStart) => Result<T, Failure>,
   ): Promise<Result<T, Failure>> {
@@ -358,9 +358,9 @@
 }
 
 function createOutdatedEra(): Failure {
-  return Failure.create(FailureCode.ServiceAnswerLost, { detail: "not of the store's present era" });
+  return Failure.create(FailureCode.ServiceAnswerLost, { detail: "not of the store's current era" });
 }
 
 function createUnavailable(): Failure {
-  return Failure.create(FailureCode.ServiceUnavailable, { detail: "stand-in is down" });
+  return Failure.create(FailureCode.ServiceUnavailable, { detail: "the fake store is down" });
 }
--- a/packages/standins/src/fakePlatform.ts
+++ b/packages/standins/src/fakePlatform.ts
@@ -1,5 +1,5 @@
 /**
- * A platform for tests of the gateway: a store in memory, orders in a list, and short headers.
+ * Fake platform for tests of the gateway: a store in memory, orders collected in a list, and short header names.
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
@@ -29,28 +29,28 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import { FakeMetadataStore, SharedStore } from "./fakeMetadataStore.js";
 
-/** Name of the plug-in in the settings; the store's address names the platform of the test. */
+/** Name of the plug-in in the settings. The store's address selects the platform of the test. */
 export const fakePlatformName = "standin";
 
 const configurationKey = "operator/configuration";
 const endpointPrefix = "endpoints/";
 
-/** An order as it arrived. */
+/** An order that was accepted, and its sender. */
 export interface ReceivedOrder {
   readonly sender: OrderSender;
   readonly usage?: UsageReport;
   readonly capacity?: CapacityOrder;
 }
 
-/** Orders of all instances of a test. */
+/** Fake order service, which collects the orders of all instances of a test. */
 export class FakeOrderService implements OrderService {
   readonly taken: ReceivedOrder[] = [];
-  /** Returns what an order for endpoints meets. */
+  /** Returns the reply to a capacity order. */
   getCapacityOutcome: (order: CapacityOrder) => OrderOutcome = () => OrderOutcome.Taken;
   isDown = false;
-  /** Calls with a lower fence are refused. */
+  /** Orders with a lower fence are refused. */
   minFence = -Infinity;
-  /** Calls that were refused for their fence. */
+  /** Number of orders that were refused because of their fence. */
   refusedCount = 0;
 
   private constructor() {}
@@ -94,7 +94,7 @@
 export class FakePlatform {
   readonly shared: SharedStore;
   readonly orders = FakeOrderService.create();
-  /** Clients of the store, in the order in which instances were created. */
+  /** The instances' clients of the store, in the order of the instances' creation. */
   readonly stores: FakeMetadataStore[] = [];
   private version = 0;
 
@@ -113,7 +113,7 @@
     return platform;
   }
 
-  /** Acknowledges a configuration; what is left out stays at small defaults. */
+  /** Writes a configuration with the next version, and small defaults for missing fields. Returns the version. */
   configure(
     configuration: Partial<Omit<ServingConfiguration, "services">> & { services?: readonly Service[] },
   ): number {
@@ -130,7 +130,7 @@
     return this.version;
   }
 
-  /** Lists an endpoint, or changes its record. */
+  /** Writes an endpoint's record, with defaults for missing fields. */
   putEndpoint(record: Partial<EndpointRecord> & { readonly id: string; readonly address: string }): void {
     const endpointRecord: EndpointRecord = {
       service: "web",
@@ -175,12 +175,12 @@
   name: fakePlatformName,
   create: ({ storeAddress }) => {
     const platform = platforms.get(storeAddress);
-    if (!platform) throw new Error(`no stand-in platform at ${storeAddress}`);
+    if (!platform) throw new Error(`no fake platform at ${storeAddress}`);
     return platform.createAdapter();
   },
 });
 
-/** Creates a route with defaults for what is left out. */
+/** Creates a route, with defaults for missing fields. */
 export function createRoute(route: Partial<Route>): Route {
   return {
     name: "route",
@@ -199,12 +199,12 @@
   };
 }
 
-/** Creates a service with defaults for what is left out. */
+/** Creates a service, with defaults for missing fields. */
 export function createService(service: Partial<Service>): Service {
   return { name: "web", maxConnections: 100, engine: undefined, scaling: undefined, ...service };
 }
 
-/** Creates a workspace with defaults for what is left out. */
+/** Creates a workspace, with defaults for missing fields. */
 export function createWorkspace(workspace: Partial<Workspace>): Workspace {
   return {
     name: "workspace",
@@ -218,7 +218,7 @@
   };
 }
 
-/** JSON turns the map of prices into an empty object; tests give them as entries. */
+/** Replaces the prices by an empty map. JSON turns a map into an empty object, so that prices do not survive storage. */
 function reviveService(service: Service): Service {
   const { scaling } = service;
   if (!scaling) return service;
--- a/packages/standins/src/fakeWebService.ts
+++ b/packages/standins/src/fakeWebService.ts
@@ -1,6 +1,5 @@
 /**
- * Stand-in of a plain web service: bookings that may not be repeated, pages, an echo that streams both ways, and a
- * load report.
+ * Fake web service: bookings, which must not be retried, pages, an echo that streams in both directions, and a load report.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -8,20 +7,20 @@
 import { type Clock, type Closeable, SystemClock, waitFor } from "@gladewall/kernel";
 import { FakeHttpServer, readText, sendJson } from "./fakeHttpServer.js";
 
-/** How a web endpoint misbehaves. */
+/** Fault of a web endpoint. */
 export enum WebFault {
   None = 0,
-  /** Does the work, then cuts the connection. */
+  /** Does the work, then closes the connection without a response. */
   CutAfterWork = 1,
-  /** Refuses with 503 and says that nothing was started. */
+  /** Refuses with 503 and a header that says that the work was not started. */
   Refuse = 2,
-  /** Takes the request and never answers. */
+  /** Accepts the request and never responds. */
   Silent = 3,
-  /** Sends half of the body, then cuts. */
+  /** Sends half of the body, then closes the connection. */
   HalfBody = 4,
 }
 
-/** One call that the service worked on. */
+/** One call that the service executed. */
 export interface WebRecord {
   readonly requestId: string;
   readonly runId: string;
@@ -31,15 +30,15 @@
   readonly body: string;
 }
 
-/** Calls that the service says it works on at once. */
+/** Number of concurrent calls that the load report states as capacity. */
 const width = 64;
 
-/** The running stand-in. */
+/** The server of the service. */
 export class FakeWebService implements Closeable {
-  /** Every call that was worked on, in order. */
+  /** All executed calls, in order. */
   readonly records: WebRecord[] = [];
   fault = WebFault.None;
-  /** Milliseconds of work a call. */
+  /** Milliseconds of work per call. */
   workTimeMs = 1;
   private active = 0;
   private server: FakeHttpServer | undefined;
--- a/packages/standins/src/fakeWeightStore.ts
+++ b/packages/standins/src/fakeWeightStore.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of the weight store: sizes of models, adapters and versions, handed out under a rate limit.
+ * Fake weight store: returns the sizes of models, adapters and versions, with a rate limit.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
@@ -8,9 +8,9 @@
 
 const millisecondsPerSecond = 1000;
 
-/** The running stand-in. */
+/** The server of the store. */
 export class FakeWeightStore implements Closeable {
-  /** Fetches allowed a second; more are refused with 429. */
+  /** Number of fetches allowed per second; more are refused with 429. */
   fetchesPerSecond = 4;
   private windowStart = 0;
   private windowCount = 0;
@@ -21,7 +21,7 @@
     private readonly sizes: ReadonlyMap<string, number>,
   ) {}
 
-  /** Starts a store that holds the named weights, sizes in bytes. */
+  /** Starts a store with the given weights; sizes are in bytes. */
   static async create(
     sizes: ReadonlyMap<string, number>,
     clock: Clock = SystemClock.create(),
--- a/packages/standins/src/freePorts.ts
+++ b/packages/standins/src/freePorts.ts
@@ -1,29 +1,29 @@
 /**
- * Ports on loopback for processes that must know them before they listen. Test files that run beside each other take them from
- * blocks of their own: whoever listens at a block's first port has all of it.
+ * Finds free loopback ports for processes that must know their ports before they listen. Test files that run concurrently take them
+ * from separate blocks: the process that listens on the first port of a block owns the whole block.
  * @module
  */
 import { createServer, type Server } from "node:net";
 
-/** Below the ports that the system gives to connections, which took a port between its choice and its use. */
+/** The blocks are below the system's ephemeral ports, because a connection could take such a port between its choice and its use. */
 const lowestPort = 12_000;
 const blockPorts = 100;
 const blockCount = 180;
 
-/** Gives out the ports of blocks that nobody else has. */
+/** Allocates ports from blocks that no other process owns. */
 export class PortBlockAllocator {
-  /** Listens at the present block's first port. */
+  /** Server that listens on the first port of the current block. */
   private holder: Server | undefined;
   private nextPort = 0;
 
   private constructor(private nextBlock: number) {}
 
-  /** Begins to look for a block at one of them; any number will do. */
+  /** Starts the search for a free block at `firstBlock`, which can be any number. */
   static create(firstBlock: number): PortBlockAllocator {
     return new PortBlockAllocator(firstBlock % blockCount);
   }
 
-  /** Returns addresses (`host:port`) on loopback that nobody listens at, and that no other owner of blocks is given. */
+  /** Returns free loopback addresses (`host:port`) that no other allocator returns. */
   async findFreeAddresses(count: number): Promise<readonly string[]> {
     const addresses: string[] = [];
     while (addresses.length < count) {
@@ -34,25 +34,25 @@
     return addresses;
   }
 
-  /** Takes the next block; one that is used up is still held, as its ports may be listened at later. */
+  /** Takes the next free block. A used-up block stays owned, because processes may listen on its ports later. */
   private async takeBlock(): Promise<void> {
     for (let tried = 0; tried < blockCount; tried++) {
       const firstPort = lowestPort + this.nextBlock * blockPorts;
       this.nextBlock = (this.nextBlock + 1) % blockCount;
       const holder = await listenAt(firstPort);
       if (!holder) continue;
-      // The block is held as long as the process lives, and does not keep it alive.
+      // The block stays owned until the process exits; `unref` lets the process exit.
       this.holder = holder.unref();
       this.nextPort = firstPort + 1;
       return;
     }
-    throw new Error("no block of ports is free");
+    throw new Error("no free block of ports");
   }
 }
 
 const ownBlocks = PortBlockAllocator.create(process.pid);
 
-/** Returns addresses (`host:port`) on loopback that nobody listens at, and that no other process is given. */
+/** Returns free loopback addresses (`host:port`) that no other process gets from this function. */
 export function findFreeAddresses(count: number): Promise<readonly string[]> {
   return ownBlocks.findFreeAddresses(count);
 }
@@ -64,7 +64,7 @@
   return true;
 }
 
-/** Returns a server that listens at a port; undefined where another one does. */
+/** Returns a server that listens on a port; undefined if the port is in use. */
 function listenAt(port: number): Promise<Server | undefined> {
   const server = createServer();
   return new Promise((resolve) => {
--- a/packages/standins/src/gatewayTestBench.ts
+++ b/packages/standins/src/gatewayTestBench.ts
@@ -1,5 +1,6 @@
 /**
- * One or more gateway instances on loopback before a stand-in platform, and a caller that sees whole answers.
+ * Test bench of the gateway: one or more instances on loopback in front of a fake platform, and a caller that reads complete
+ * responses.
  * @module
  */
 import { type IncomingHttpHeaders, request } from "node:http";
@@ -8,17 +9,17 @@
 import { findFreeAddresses } from "./freePorts.js";
 import { FakePlatform, fakePlatformName } from "./fakePlatform.js";
 
-/** What a caller saw. */
+/** Result of a request as its caller saw it. */
 export interface CallResult {
-  /** 0 where no head came. */
+  /** Status of the response; 0 without a response head. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer looked whole. */
+  /** Whether the response ended as complete by its framing. */
   readonly isComplete: boolean;
 }
 
-/** What a caller sends. */
+/** A request that a caller sends, with defaults for missing fields. */
 export interface CallOptions {
   readonly id?: string;
   readonly method?: string;
@@ -27,12 +28,12 @@
   readonly key?: string;
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Called with each piece of the answer as it arrives. */
+  /** Called with each chunk of the response body. */
   readonly onData?: (text: string) => void;
   readonly signal?: AbortSignal;
 }
 
-/** An instance and where callers reach it. */
+/** An instance and its settings, which hold its addresses. */
 export interface BenchInstance {
   readonly gateway: Gateway;
   readonly settings: GatewaySettings;
@@ -40,7 +41,7 @@
 
 let nextId = 1;
 
-/** Instances of one test. */
+/** The instances of one test and their platform. */
 export class GatewayTestBench implements Closeable {
   readonly instances: BenchInstance[] = [];
 
@@ -56,7 +57,7 @@
     return new GatewayTestBench(platform, logger);
   }
 
-  /** Starts an instance; `overrides` are `section.key=value`. Resolves when its ports are open. */
+  /** Starts an instance with settings overrides of the form `section.key=value`. Resolves when its ports are open. */
   async start(overrides: readonly string[] = []): Promise<BenchInstance> {
     const [callers, readiness, peers, metrics] = await findFreeAddresses(4);
     const text = [
@@ -78,16 +79,16 @@
     ].join("\n");
     const source = { file: "bench.ini", environment: {}, overrides, renamed: renamedGatewaySettings };
     const settings = parseSettings(gatewaySchema, text, source);
-    assertThat(settings.isOk(), "the bench's settings are good");
+    assertThat(settings.isOk(), "the settings of the test bench are valid");
     const gateway = Gateway.create(settings.value, this.logger);
-    assertThat(gateway.isOk(), "the bench's platform is registered");
+    assertThat(gateway.isOk(), "the platform of the test bench is registered");
     const instance = { gateway: gateway.value, settings: settings.value };
     this.instances.push(instance);
     await instance.gateway.start();
     return instance;
   }
 
-  /** Starts an instance and waits until it takes requests and knows so many endpoints of a service. */
+  /** Starts an instance and waits until it is ready and knows the given number of endpoints of a service. */
   async startReady(
     endpoints: number,
     service = "web",
@@ -100,7 +101,7 @@
     return instance;
   }
 
-  /** Sends one request to an instance and resolves with what came of it. Never rejects. */
+  /** Sends one request to an instance and resolves with its result. Never rejects. */
   call(instance: BenchInstance, options: CallOptions = {}): Promise<CallResult> {
     const { callers } = instance.settings.listen;
     const port = Number(callers.slice(callers.lastIndexOf(":") + 1));
@@ -133,7 +134,7 @@
     });
   }
 
-  /** Reads an instance's metrics. */
+  /** Returns the text of an instance's metrics page. */
   async readMetrics({ settings }: BenchInstance): Promise<string> {
     return (await fetch(`http://${settings.listen.metrics}/metrics`)).text();
   }
@@ -143,7 +144,7 @@
   }
 }
 
-/** Resolves when a condition holds; looked at on every turn of the event loop, so no time is assumed. */
+/** Resolves when a condition holds. Checks it in each iteration of the event loop, so that no duration is assumed. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Small stand-ins of the systems outside; each can fail as the users' brief says.
+ * Fakes: small working implementations of the external systems, for tests and local runs. Each can be made to fail in the ways that
+ * the users' requirements name.
  * @module
  */
 export * from "./memoryStore.js";
--- a/packages/standins/src/memoryKeyValue.ts
+++ b/packages/standins/src/memoryKeyValue.ts
@@ -1,6 +1,6 @@
 /**
- * The key-value service's interface straight on a memory store, for focused tests: faults are drawn call by call from
- * a script instead of from a network.
+ * The key-value service without a network, directly on a memory store, for unit tests. A test's script decides the outcome of each
+ * call.
  * @module
  */
 import type { GrantedLease, KeyValueService, StoredValue } from "@gladewall/coordination";
@@ -8,28 +8,28 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import { MemoryStore } from "./memoryStore.js";
 
-/** What happens to one call. */
+/** Outcome of one call. */
 export enum CallOutcome {
   Answered = 0,
   /** Fails without effect. */
   Refused = 1,
-  /** Takes effect at once; the answer is lost. */
+  /** Takes effect at once; the response is lost. */
   ResponseLost = 2,
-  /** Is answered as lost, and takes effect later. */
+  /** Reports a lost response, and takes effect later. */
   DelayedEffect = 3,
-  /** Is answered as lost, and never takes effect. */
+  /** Reports a lost response, and never takes effect. */
   RequestLost = 4,
 }
 
-/** Returns the fate of the next call. */
+/** Returns the outcome of the next call. */
 export type CallOutcomeSource = () => CallOutcome;
 
 const callTimeMs = 1;
 const effectDelayMs = 40;
 
-/** The service without a network. Every call takes a millisecond of the clock it is given. */
+/** The service without a network. Each call takes one millisecond of the given clock. */
 export class MemoryKeyValue implements KeyValueService {
-  /** Fates of calls from now on. */
+  /** Decides the outcome of each call. */
   nextOutcome: CallOutcomeSource = () => CallOutcome.Answered;
   calls = 0;
 
--- a/packages/standins/src/memoryStore.ts
+++ b/packages/standins/src/memoryStore.ts
@@ -1,25 +1,27 @@
 /**
- * The key-value service's rules in memory: compare-and-swap, sessions with time to live, and waiting reads.
- * The stand-in server puts HTTP before it, tests may use it directly.
+ * The state and rules of the key-value service, in memory: compare-and-swap, sessions with a time to live, and blocking reads. The
+ * fake server adds HTTP; tests can also use it directly.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
 
-/** One key as the store holds it. */
+/** The entry of one key. */
 export interface StoreEntry {
   readonly value: Uint8Array;
   readonly revision: number;
-  /** Counts how often the key's lock changed hands. */
+  /** Number of times that the key's lock was acquired. */
   readonly lockCount: number;
-  /** Session that holds the lock, if one does. */
+  /** Session that holds the lock; undefined if it is free. */
   readonly session: string | undefined;
 }
 
+/** A session with its time to live and its expiry, in milliseconds of the clock. */
 interface Session {
   readonly ttl: number;
   expiresAt: number;
 }
 
+/** A blocked read of a key. */
 interface Waiter {
   readonly key: string;
   readonly wake: () => void;
@@ -27,7 +29,7 @@
 
 const empty = new Uint8Array(0);
 
-/** The store itself. Time comes from the clock it is given. */
+/** The store, with the time of the given clock. */
 export class MemoryStore {
   private readonly entries = new Map<string, StoreEntry>();
   private readonly sessions = new Map<string, Session>();
@@ -41,13 +43,13 @@
     return new MemoryStore(clock);
   }
 
-  /** Returns a key's entry, undefined where there is none. */
+  /** Returns a key's entry; undefined if the key does not exist. */
   get(key: string): StoreEntry | undefined {
     this.expireSessions();
     return this.entries.get(key);
   }
 
-  /** Writes if the revision is still `expected`; returns the new revision, undefined on a conflict. */
+  /** Writes a key if its revision is `expected`, with 0 for a missing key. Returns the new revision; undefined on a conflict. */
   tryCompareAndSwap(key: string, value: Uint8Array, expected: number): number | undefined {
     const present = this.get(key);
     if ((present?.revision ?? 0) !== expected) return undefined;
@@ -55,14 +57,14 @@
     return this.revision;
   }
 
-  /** Opens a session that lapses `ttl` milliseconds after its last renewal. */
+  /** Creates a session that expires `ttl` milliseconds after its last renewal; returns its id. */
   createSession(ttl: number): string {
     const id = `session-${++this.sessionCount}`;
     this.sessions.set(id, { ttl, expiresAt: this.clock.getTime() + ttl });
     return id;
   }
 
-  /** Renews a session; false where it has lapsed. */
+  /** Renews a session; returns false if it has expired. */
   tryRenewSession(id: string): boolean {
     this.expireSessions();
     const session = this.sessions.get(id);
@@ -71,7 +73,7 @@
     return true;
   }
 
-  /** Ends a session and frees its locks. */
+  /** Ends a session and releases its locks. */
   endSession(id: string): void {
     this.sessions.delete(id);
     for (const [key, entry] of this.entries) {
@@ -79,7 +81,7 @@
     }
   }
 
-  /** Takes a key's lock for a session; returns the lock count, undefined where another holds it. */
+  /** Acquires a key's lock for a session. Returns the lock count; undefined if another session holds the lock. */
   tryAcquireLock(key: string, value: Uint8Array, session: string): number | undefined {
     const present = this.get(key);
     if (!this.sessions.has(session)) return undefined;
@@ -90,7 +92,7 @@
     return lockCount;
   }
 
-  /** Resolves when the key's revision is above `revision` or the time is over. */
+  /** Resolves when the key's revision exceeds `revision` or after `wait` milliseconds. */
   waitForChange(key: string, revision: number, wait: number): Promise<void> {
     if ((this.get(key)?.revision ?? 0) > revision) return Promise.resolve();
     return new Promise((resolve) => {
@@ -106,7 +108,7 @@
     });
   }
 
-  /** Ends every waiting read at once, as a restart of the service does. */
+  /** Ends all blocked reads at once, as a restart of the service does. */
   wakeAll(): void {
     for (const waiter of [...this.waiters]) waiter.wake();
   }
--- a/packages/standins/src/random.ts
+++ b/packages/standins/src/random.ts
@@ -1,13 +1,13 @@
 /**
- * Draws for tests that play troubles: the same for the same seed, on any machine.
+ * Seeded random numbers for tests with injected faults; a seed gives the same sequence on every machine.
  * @module
  */
 
-/** Returns draws from 0 to 1; the seed is any whole number. */
+/** Returns a generator of numbers from 0 (included) to 1 (excluded); the seed is any integer. */
 export function createRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
-    // The linear congruential generator of Numerical Recipes.
+    // The linear congruential generator from "Numerical Recipes".
     state = (Math.imul(state, 1_664_525) + 1_013_904_223) >>> 0;
     return state / 2 ** 32;
   };
--- a/packages/standins/src/runUnitLog.ts
+++ b/packages/standins/src/runUnitLog.ts
@@ -1,20 +1,22 @@
 /**
- * What endpoints ran, by workspace: units in an exact sliding window, so that a test judges a limit as an operator sees it.
+ * Records the units that endpoints ran for each workspace, and sums them over exact sliding windows. With it a test checks a limit as
+ * an operator sees it.
  * @module
  */
 
+/** One run: its start time and its units. */
 interface RunEntry {
   readonly at: number;
   readonly units: number;
 }
 
-/** Units that ran in one window, and the time at which it ends. */
+/** Units that ran in one window, and the end of the window. */
 export interface WindowSum {
   readonly units: number;
   readonly at: number;
 }
 
-/** Runs of all endpoints of one test; times are milliseconds of any clock. */
+/** The runs at all endpoints of one test; times are in milliseconds of any clock. */
 export class RunUnitLog {
   private readonly runs = new Map<string, RunEntry[]>();
 
@@ -24,14 +26,14 @@
     return new RunUnitLog();
   }
 
-  /** Counts a run that began at a time. */
+  /** Records a run that began at a time. */
   record(workspace: string, at: number, units: number): void {
     let runs = this.runs.get(workspace);
     if (!runs) this.runs.set(workspace, (runs = []));
     runs.push({ at, units });
   }
 
-  /** Returns the largest sum of a workspace over any span of a length. */
+  /** Returns the largest sum of a workspace over any window of a length. */
   getMax(workspace: string, windowMs: number): WindowSum {
     const runs = [...(this.runs.get(workspace) ?? [])].sort((one, other) => one.at - other.at);
     let max: WindowSum = { units: 0, at: 0 };
@@ -45,7 +47,7 @@
     return max;
   }
 
-  /** Returns the units of a workspace that ran from one time to another. */
+  /** Returns the sum of a workspace from one time (included) to another (excluded). */
   getSum(workspace: string, from: number, to: number): number {
     const runs = this.runs.get(workspace) ?? [];
     return runs.reduce((sum, { at, units }) => (at >= from && at < to ? sum + units : sum), 0);
--- a/packages/standins/src/scriptedEndpoint.ts
+++ b/packages/standins/src/scriptedEndpoint.ts
@@ -1,12 +1,12 @@
 /**
- * An endpoint that answers as a test's script says, down to the bytes on its connections.
+ * HTTP endpoint whose responses come from a script of the test, which can also write raw bytes to the connections.
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 import type { Closeable } from "@gladewall/kernel";
 
-/** A request as the endpoint got it. */
+/** A request that the endpoint received, and the means to respond to it. */
 export interface EndpointRequest {
   readonly id: string;
   readonly method: string;
@@ -15,14 +15,14 @@
   readonly body: string;
   readonly message: IncomingMessage;
   readonly response: ServerResponse;
-  /** For bytes that no HTTP library would send. */
+  /** Connection of the request, for bytes that an HTTP library does not send. */
   readonly socket: Socket;
 }
 
-/** Answers one request. */
+/** Responds to one request. */
 export type EndpointScript = (call: EndpointRequest) => void;
 
-/** One scripted endpoint on loopback. */
+/** A scripted endpoint on loopback. */
 export class ScriptedEndpoint implements Closeable {
   readonly requests: EndpointRequest[] = [];
   connections = 0;
@@ -61,14 +61,14 @@
     return endpoint;
   }
 
-  /** Replaces the script given at creation. */
+  /** Script that replaces the one given at creation. */
   script: EndpointScript | undefined;
 
   get address(): string {
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Resolves when so many requests have arrived. */
+  /** Resolves when at least `count` requests have arrived in all. */
   async waitForRequests(count: number): Promise<void> {
     while (this.requests.length < count) await new Promise<void>((resolve) => this.waiters.push(resolve));
   }
@@ -80,26 +80,26 @@
   }
 }
 
-/** Answers with a signed body that names the endpoint's request. */
+/** Responds 200 with a server stamp and a body that contains the request's id. */
 export function respondSuccess({ id, response }: EndpointRequest): void {
   const body = `answer to ${id}`;
   response.writeHead(200, { "x-id": id, "x-stamp": "signed", "content-length": body.length });
   response.end(body);
 }
 
-/** Answers that the request was not run. */
+/** Responds 503 with the header which says that the request was not run. */
 export function respondNotRun({ id, response }: EndpointRequest): void {
   response.writeHead(503, { "x-id": id, "x-not-run": "1", "content-length": 0 });
   response.end();
 }
 
-/** Begins a stream; the test writes events and ends it. */
+/** Starts an event stream; the test writes the events and ends it. */
 export function startEventStream({ id, response }: EndpointRequest): void {
   response.writeHead(200, { "x-id": id, "x-stamp": "signed", "content-type": "text/event-stream" });
   response.flushHeaders();
 }
 
-/** Answers well, and says that the endpoint leaves. */
+/** Responds as `respondSuccess` does, and announces that the endpoint leaves. */
 export function respondLeaving(call: EndpointRequest): void {
   call.response.setHeader("x-leaving", "1");
   respondSuccess(call);
