--- a/packages/standins/src/deterministicText.ts
+++ b/packages/standins/src/deterministicText.ts
@@ -66,6 +66,6 @@
 }
 
 /** Counts the tokens of a generated text. */
-export function countTokens(answer: string): number {
-  return answer.split(" ").length - 1;
+export function countTokens(text: string): number {
+  return text.split(" ").length - 1;
 }
--- a/packages/standins/src/engineRecord.ts
+++ b/packages/standins/src/engineRecord.ts
@@ -9,7 +9,7 @@
   Running = 2,
   Finished = 3,
   Cancelled = 4,
-  Cut = 5,
+  Interrupted = 5,
 }
 
 /** One run, as the engine recorded it. */
--- a/packages/standins/src/fakeEngine.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -111,7 +111,7 @@
 
   /** Stops all runs and closes all connections at once, as a crash does. */
   async close(): Promise<void> {
-    for (const run of this.runs.values()) this.stopRun(run, RunState.Cut);
+    for (const run of this.runs.values()) this.stopRun(run, RunState.Interrupted);
     await this.server?.close();
   }
 
@@ -274,7 +274,7 @@
     });
     let position = Math.max(from, record.start);
     while (!isClosed) {
-      const limit = this.getCutPosition(record);
+      const limit = this.getFaultPosition(record);
       if (position >= limit && this.fault === EngineFault.CutStream) return void response.destroy();
       if (position >= limit && this.fault === EngineFault.NoEndMark) return void response.end();
       if (position < record.position) {
@@ -290,7 +290,7 @@
         const chunk = formatChunk(record.runId, model, isChat, "", "length", formatUsage(record));
         response.write(`id: ${record.attempt}:${position}\ndata: ${chunk}\n\ndata: [DONE]\n\n`);
         return void response.end();
-      } else if (record.state === RunState.Cancelled || record.state === RunState.Cut) {
+      } else if (record.state === RunState.Cancelled || record.state === RunState.Interrupted) {
         return void response.destroy();
       } else {
         await waitForProgress(run);
@@ -298,7 +298,7 @@
     }
   }
 
-  private getCutPosition(record: RunRecord): number {
+  private getFaultPosition(record: RunRecord): number {
     return record.start + this.faultAfter;
   }
 
