--- a/packages/standins/src/engineRecord.ts
+++ b/packages/standins/src/engineRecord.ts
@@ -9,6 +9,7 @@
   Running = 2,
   Finished = 3,
   Cancelled = 4,
+  /** Stopped because the engine was closed. */
   Interrupted = 5,
 }
 
@@ -27,6 +28,7 @@
   readonly start: number;
   /** Position after the last token emitted so far. */
   position: number;
+  /** Position after the last token that this run is to emit. */
   readonly length: number;
   state: RunState;
 }
--- a/packages/standins/src/fakeEngine.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -142,6 +142,7 @@
     };
   }
 
+  /** Handles requests for one run: its cache (`/kv`), its cancellation (DELETE), and its stream from a position. */
   private async handleRun(request: IncomingMessage, response: ServerResponse, url: URL): Promise<void> {
     const [, name = "", part] = /^\/v1\/runs\/([^/]+)(\/kv)?$/.exec(url.pathname) ?? [];
     const run = this.runs.get(decodeURIComponent(name));
@@ -153,12 +154,14 @@
     await this.streamRun(run, response, after, url.searchParams.get("form") !== "text", "");
   }
 
+  /** Cancels a run; returns whether it had started and how many tokens it has emitted. */
   private cancelRun(run: Run): unknown {
     const wasStarted = run.record.state !== RunState.Queued;
     if (this.fault !== EngineFault.IgnoreCancel) this.stopRun(run, RunState.Cancelled);
     return { state: wasStarted ? "started" : "not-started", emitted: run.record.position };
   }
 
+  /** Ends a run that is queued or running. */
   private stopRun(run: Run, state: RunState): void {
     if (run.record.state !== RunState.Queued && run.record.state !== RunState.Running) return;
     run.record.state = state;
@@ -207,6 +210,7 @@
     }
   }
 
+  /** Runs a request as soon as the batch has room, then starts the next one in the queue. */
   private async executeRun(run: Run): Promise<void> {
     await this.waitForSlot(run);
     if (run.record.state !== RunState.Queued) return;
@@ -217,6 +221,7 @@
     this.queue.shift()?.start?.();
   }
 
+  /** Queues a run by priority until the batch has room. */
   private async waitForSlot(run: Run): Promise<void> {
     if (this.running < this.options.width) return;
     const place = this.queue.findIndex((other) => other.priority < run.priority);
@@ -226,6 +231,7 @@
     if (left >= 0) this.queue.splice(left, 1);
   }
 
+  /** Processes the part of the prompt that is not cached, then emits one token per interval. */
   private async generate(run: Run): Promise<void> {
     const { record } = run;
     const keys = getBlockKeys(record.prompt);
@@ -252,6 +258,7 @@
     notifyProgress(run);
   }
 
+  /** Streams the tokens of a run from a position, with the injected fault. */
   private async streamRun(
     run: Run,
     response: ServerResponse,
@@ -298,6 +305,7 @@
     }
   }
 
+  /** Returns the position at which `CutStream` and `NoEndMark` take effect. */
   private getFaultPosition(record: RunRecord): number {
     return record.start + this.faultAfter;
   }
--- a/packages/standins/src/fakeMetadataStore.ts
+++ b/packages/standins/src/fakeMetadataStore.ts
@@ -143,12 +143,14 @@
     this.oldest = this.counter;
   }
 
+  /** Grants a lease with a time to live in milliseconds; returns the store's id of it. */
   grant(ttlMs: number): string {
     const lease = String(this.nextLease++);
     this.leases.set(lease, { ttlMs, endsAt: this.clock.getTime() + ttlMs });
     return lease;
   }
 
+  /** Renews a lease; returns false if it has ended. */
   renew(lease: string): boolean {
     this.expire();
     const found = this.leases.get(lease);
@@ -157,6 +159,7 @@
     return true;
   }
 
+  /** Ends a lease and removes its keys. */
   endLease(lease: string): void {
     this.leases.delete(lease);
     for (const { key, lease: held } of [...this.entries.values()]) if (held === lease) this.remove(key);
@@ -311,6 +314,7 @@
     this.fault = StoreFault.Down;
   }
 
+  /** Whether a lease handle is of another era than the current one. */
   private isLeaseOver(lease: string): boolean {
     return parseLeaseHandle(lease).era !== this.eras.current;
   }
@@ -334,6 +338,7 @@
     return this.place(start, revision, reportedEra) ? result : Err(createOutdatedEra());
   }
 
+  /** Returns the position of a response; undefined if the response is discarded because of its era. */
   private place(
     start: CallStart,
     revision: number,
--- a/packages/standins/src/fakePlatform.ts
+++ b/packages/standins/src/fakePlatform.ts
@@ -143,10 +143,12 @@
     this.shared.put(`${endpointPrefix}${record.id}`, JSON.stringify(endpointRecord));
   }
 
+  /** Removes an endpoint's record. */
   removeEndpoint(id: string): void {
     this.shared.remove(`${endpointPrefix}${id}`);
   }
 
+  /** Creates the adapter of one instance, with its own client of the store. */
   createAdapter(): PlatformAdapter {
     const store = FakeMetadataStore.create(this.shared, this.clock);
     this.stores.push(store);
