--- a/packages/entry/src/admission.ts
+++ b/packages/entry/src/admission.ts
@@ -20,14 +20,14 @@
 /** An admitted request's hold on its row. */
 export interface Admission {
   /** Gives the row's concurrency back, and tokens that were charged but not used. */
-  leave(unused: number): void;
+  release(unused: number): void;
 }
 
 /** Counts an arrival of so many tokens and returns this entry's share of its row. */
 export type ShareSource = (row: PolicyRow, active: number, tokens: number) => RowShare;
 
-const noEndpointRetryAfter = 1_000;
-const leastRetryAfter = 1;
+const noEndpointRetryAfterMs = 1_000;
+const minRetryAfterMs = 1;
 
 /** Decides who comes in. */
 export class AdmissionControl {
@@ -51,47 +51,47 @@
 
   /** Admits a request under its row or says why not. */
   admit(row: PolicyRow, request: AdmissionRequest): Result<Admission, Failure> {
-    const late = this.findLateness(row, request);
-    if (late) return Err(late);
-    const gate = this.getLimiter(row, getRowName(row), request.work);
-    const entered = gate.tryAcquire(request.work);
+    const refusal = this.checkLatencyTarget(row, request);
+    if (refusal) return Err(refusal);
+    const limiter = this.getLimiter(row, getRowName(row), request.work);
+    const entered = limiter.tryAcquire(request.work);
     if (entered.isErr()) return entered;
-    let isInside = true;
-    const leave = (unused: number): void => {
-      if (isInside) gate.release(unused);
-      isInside = false;
+    let isHeld = true;
+    const release = (unused: number): void => {
+      if (isHeld) limiter.release(unused);
+      isHeld = false;
     };
-    return Ok({ leave });
+    return Ok({ release });
   }
 
   /** Requests of each row that are inside. */
   getActive(): ReadonlyMap<string, number> {
-    return new Map([...this.limiters].map(([name, gate]) => [name, gate.getActiveCount()]));
+    return new Map([...this.limiters].map(([name, limiter]) => [name, limiter.getActiveCount()]));
   }
 
   /** Refuses what could only be late: the caller learns now, and when to come back. */
-  private findLateness(row: PolicyRow, request: AdmissionRequest): Failure | undefined {
-    const wait = this.dispatcher.getExpectedWait(request.service, row.priority, request.promptTokens);
-    if (wait === Infinity) {
-      return Failure.create(FailureCode.NoEndpoint, { service: request.service }, noEndpointRetryAfter);
+  private checkLatencyTarget(row: PolicyRow, request: AdmissionRequest): Failure | undefined {
+    const waitMs = this.dispatcher.getExpectedWaitMs(request.service, row.priority, request.promptTokens);
+    if (waitMs === Infinity) {
+      return Failure.create(FailureCode.NoEndpoint, { service: request.service }, noEndpointRetryAfterMs);
     }
-    if (!this.settings.refuse_late || wait <= row.latencyTarget) return undefined;
+    if (!this.settings.refuse_late || waitMs <= row.latencyTarget) return undefined;
     // A request that would be late even on idle endpoints is not refused: coming back would not help it.
     const isBacklog = this.dispatcher.hasBacklog(request.service);
     if (!isBacklog) return undefined;
-    const values = { wait: Math.round(wait), target: row.latencyTarget };
+    const values = { wait: Math.round(waitMs), target: row.latencyTarget };
     return Failure.create(
       FailureCode.TargetUnreachable,
       values,
-      Math.max(leastRetryAfter, wait - row.latencyTarget),
+      Math.max(minRetryAfterMs, waitMs - row.latencyTarget),
     );
   }
 
   private getLimiter(row: PolicyRow, rowName: string, tokens: number): RowLimiter {
-    let gate = this.limiters.get(rowName);
-    const share = this.getShare(row, gate?.getActiveCount() ?? 0, tokens);
-    if (gate) gate.setShare(share);
-    else this.limiters.set(rowName, (gate = RowLimiter.create(this.clock, rowName, share)));
-    return gate;
+    let limiter = this.limiters.get(rowName);
+    const share = this.getShare(row, limiter?.getActiveCount() ?? 0, tokens);
+    if (limiter) limiter.setShare(share);
+    else this.limiters.set(rowName, (limiter = RowLimiter.create(this.clock, rowName, share)));
+    return limiter;
   }
 }
--- a/packages/entry/src/afterFailure.ts
+++ b/packages/entry/src/afterFailure.ts
@@ -11,9 +11,9 @@
   readonly request: ActiveRequest;
   readonly failure: Failure;
   readonly attempts: number;
-  readonly highestAttempts: number;
+  readonly maxAttempts: number;
   /** Milliseconds left to the deadline. */
-  readonly remaining: number;
+  readonly remainingMs: number;
   readonly budget: RetryBudget;
   /** The body was streamed and cannot be sent again. */
   readonly isStreamedBody: boolean;
@@ -21,10 +21,10 @@
 
 /** Decides whether a request is sent again. */
 export function decideAfterFailure(input: AfterFailureInput): RetryDecision {
-  const { request, failure, budget, remaining } = input;
+  const { request, failure, budget, remainingMs: remaining } = input;
   const { repeat } = request.envelope;
-  if (input.attempts >= input.highestAttempts) return RetryDecision.GiveUp;
-  if (input.isStreamedBody || !canGoOn(request)) return RetryDecision.GiveUp;
+  if (input.attempts >= input.maxAttempts) return RetryDecision.GiveUp;
+  if (input.isStreamedBody || !canContinue(request)) return RetryDecision.GiveUp;
   // A run that was stopped here to be moved is no failure of an endpoint, and costs no budget.
   const wasMoved = request.attemptStop.signal.aborted;
   if (wasMoved && repeat === RepeatRule.Allowed) return RetryDecision.Retry;
@@ -32,22 +32,22 @@
 }
 
 /** Whether an answer that has begun can be carried on by another run. */
-export function canGoOn(request: ActiveRequest): boolean {
+export function canContinue(request: ActiveRequest): boolean {
   const { envelope, log } = request;
   if (log.count === 0 && !log.head) return true;
   return envelope.model?.isContinuable === true && log.isWhole;
 }
 
 /** Returns the failure with the outcome that is true over all attempts of the request. */
-export function describeOutcome(request: ActiveRequest, failure: Failure): Failure {
+export function applyRequestOutcome(request: ActiveRequest, failure: Failure): Failure {
   if (request.log.count > 0 || request.log.head) return failure.withOutcome(Outcome.Ran);
   if (failure.outcome === Outcome.NotRun && request.mayHaveRun) return failure.withOutcome(Outcome.Unknown);
   return failure;
 }
 
 /** Returns the failure of a request that was stopped from here, which hides what its endpoint said. */
-export function describeStop(request: ActiveRequest, failure: Failure): Failure {
+export function createStopFailure(request: ActiveRequest, failure: Failure): Failure {
   const code =
     request.stopReason === StopReason.DeadlinePassed ? FailureCode.DeadlinePassed : FailureCode.CallerGone;
-  return Failure.create(code).withOutcome(describeOutcome(request, failure).outcome);
+  return Failure.create(code).withOutcome(applyRequestOutcome(request, failure).outcome);
 }
--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -26,7 +26,7 @@
   readonly endpoint: Endpoint;
   readonly attempt: number;
   /** Prompt tokens that the endpoint has to read, as placement believed. */
-  readonly prefill: number;
+  readonly prefillTokens: number;
   readonly cacheSource: string | undefined;
   readonly rest: AsyncIterable<Uint8Array> | undefined;
 }
@@ -50,26 +50,26 @@
     const runId = this.getRunId(request, attempt);
     request.run = { runId, attempt, endpoint: endpoint.load.record.id };
     request.attemptStop = new AbortController();
-    this.parts.backups.report(request);
+    this.parts.backups.reportProgress(request);
     const dispatch = createDispatch(request, runId, attempt, cacheSource, rest);
-    const intake = Intake.create(request, options, this.parts);
-    let result = await endpoint.client.run(dispatch, intake.sink, getAttemptSignal(request));
-    if (result.isErr() && mayResume(request, result.error))
-      result = await this.resume(request, endpoint, intake.sink);
-    intake.end(dispatch.emitted, result.isOk());
+    const receiver = ResponseReceiver.create(request, options, this.parts);
+    let result = await endpoint.client.run(dispatch, receiver.sink, getAttemptSignal(request));
+    if (result.isErr() && canResume(request, result.error))
+      result = await this.resume(request, endpoint, receiver.sink);
+    receiver.end(dispatch.emitted, result.isOk());
     return result;
   }
 
   /** Attaches to the run that a request has at an endpoint: that repeats nothing. */
   async attach(request: ActiveRequest, endpoint: Endpoint): Promise<Result<void, Failure>> {
     const attempt = request.run?.attempt ?? 1;
-    const options = { endpoint, attempt, prefill: 0, cacheSource: undefined, rest: undefined };
+    const options = { endpoint, attempt, prefillTokens: 0, cacheSource: undefined, rest: undefined };
     endpoint.load.recordDispatch(0);
     request.attemptStop = new AbortController();
-    const intake = Intake.create(request, options, this.parts);
+    const receiver = ResponseReceiver.create(request, options, this.parts);
     const emitted = request.log.end;
-    const result = await this.resumeOnce(request, endpoint, intake.sink);
-    intake.end(emitted, result.isOk());
+    const result = await this.resumeOnce(request, endpoint, receiver.sink);
+    receiver.end(emitted, result.isOk());
     if (result.isOk()) this.parts.metrics.resumes.add();
     return result;
   }
@@ -99,20 +99,20 @@
 }
 
 /** Takes one attempt's answer in and learns from it. */
-class Intake {
-  private isFirst = true;
-  private readonly started: number;
+class ResponseReceiver {
+  private isFirstChunk = true;
+  private readonly startedAt: number;
 
   private constructor(
     private readonly request: ActiveRequest,
     private readonly options: AttemptOptions,
     private readonly parts: AttemptParts,
   ) {
-    this.started = parts.clock.getTime();
+    this.startedAt = parts.clock.getTime();
   }
 
-  static create(request: ActiveRequest, options: AttemptOptions, parts: AttemptParts): Intake {
-    return new Intake(request, options, parts);
+  static create(request: ActiveRequest, options: AttemptOptions, parts: AttemptParts): ResponseReceiver {
+    return new ResponseReceiver(request, options, parts);
   }
 
   readonly sink: RunSink = {
@@ -123,29 +123,29 @@
 
   /** Counts the end of the attempt. */
   end(emittedBefore: number, isGood: boolean): void {
-    const { endpoint, prefill } = this.options;
+    const { endpoint, prefillTokens } = this.options;
     const { envelope, log } = this.request;
-    if (this.isFirst) endpoint.load.recordFirstToken(prefill, 0);
+    if (this.isFirstChunk) endpoint.load.recordFirstToken(prefillTokens, 0);
     const tokens = (envelope.model?.promptTokens ?? 0) + log.end - emittedBefore;
-    endpoint.load.recordEnd(this.parts.clock.getTime() - this.started, tokens, isGood);
-    this.parts.fleet.announceRoom(envelope.service);
+    endpoint.load.recordEnd(this.parts.clock.getTime() - this.startedAt, tokens, isGood);
+    this.parts.fleet.notifyCapacity(envelope.service);
   }
 
   private add(chunk: ResponseChunk): Promise<void> {
     const now = this.parts.clock.getTime();
-    if (this.isFirst) {
-      this.isFirst = false;
+    if (this.isFirstChunk) {
+      this.isFirstChunk = false;
       this.request.firstAt ??= now;
-      this.options.endpoint.load.recordFirstToken(this.options.prefill, now - this.started);
+      this.options.endpoint.load.recordFirstToken(this.options.prefillTokens, now - this.startedAt);
     }
-    if (chunk.usage) this.learn(chunk);
+    if (chunk.usage) this.recordUsage(chunk);
     const added = this.request.log.add(chunk);
-    this.parts.backups.report(this.request);
+    this.parts.backups.reportProgress(this.request);
     return added;
   }
 
   /** Learns which part of the prompt the endpoint held; it holds all of it now. */
-  private learn(chunk: ResponseChunk): void {
+  private recordUsage(chunk: ResponseChunk): void {
     const { model } = this.request.envelope;
     const { metrics, prefixes } = this.parts;
     prefixes.add(model?.blocks ?? [], this.options.endpoint.load.record.id);
@@ -156,11 +156,11 @@
 }
 
 /** Returns the tokens that an endpoint must read for a placement. */
-export function getPrefill(request: ActiveRequest, placement: Placement): number {
+export function getPrefillTokens(request: ActiveRequest, placement: Placement): number {
   return Math.max(0, (request.envelope.model?.promptTokens ?? 0) - placement.cachedTokens);
 }
 
-function mayResume(request: ActiveRequest, failure: Failure): boolean {
+function canResume(request: ActiveRequest, failure: Failure): boolean {
   const isCut = failure.code === FailureCode.EndpointCut;
   return isCut && request.envelope.model !== undefined && !getAttemptSignal(request).aborted;
 }
--- a/packages/entry/src/backupStore.ts
+++ b/packages/entry/src/backupStore.ts
@@ -7,7 +7,7 @@
 import { DecisionRule, DecisionStage } from "@gladewall/policy";
 import type { DecisionWriter } from "./decisions.js";
 import type { EntrySettings } from "./entrySettings.js";
-import type { ExplainRing } from "./explainRing.js";
+import type { DecisionHistory } from "./decisionHistory.js";
 import {
   type CopyMessage,
   type CopyReply,
@@ -21,19 +21,19 @@
   type ProgressMessage,
   type ProgressReply,
 } from "./peerKinds.js";
-import type { ActiveRequest, Requests } from "./requests.js";
+import type { ActiveRequest, RequestRegistry } from "./requests.js";
 import type { ResponseChunk, Envelope } from "./types.js";
 import { decodeFailure } from "./wireFailure.js";
 
 /** What the store works with. */
-export interface StoreParts {
+export interface BackupStoreParts {
   readonly settings: EntrySettings;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly links: PeerLinks;
-  readonly requests: Requests;
+  readonly requests: RequestRegistry;
   readonly decisions: DecisionWriter;
-  readonly ring: ExplainRing;
+  readonly history: DecisionHistory;
   /** Goes on with a request that this entry holds from now on. */
   readonly resume: (request: ActiveRequest, options: ResumeOptions) => void;
 }
@@ -52,7 +52,7 @@
   readonly deadline: number;
   readonly chunks: ResponseChunk[];
   /** Index of the first chunk held. */
-  readonly first: number;
+  readonly firstIndex: number;
   progress: ProgressItem;
   mayStart: boolean;
 }
@@ -71,20 +71,20 @@
 /** Copies held for peers. */
 export class BackupStore {
   private readonly copies = new Map<string, Copy>();
-  private readonly keys = new Map<string, string>();
+  private readonly idsByKey = new Map<string, string>();
   private isClosed = false;
 
-  private constructor(private readonly parts: StoreParts) {
+  private constructor(private readonly parts: BackupStoreParts) {
     const { links } = parts;
     links.setHandler(PeerKind.Copy, (message, peer) => this.handleCopy(message as CopyMessage, peer));
     links.setHandler(PeerKind.Progress, (message) => this.handleProgress(message as ProgressMessage));
     links.setHandler(PeerKind.Handover, (message) => this.handleHandover(message as HandoverMessage));
     links.setHandler(PeerKind.NeverStart, (message) => this.handleNeverStart(message as NeverStartMessage));
     links.setHandler(PeerKind.Drop, (message, peer) => this.handleDrop(message as DropMessage, peer));
-    links.onLinkDown((peer) => void this.handleDown(peer));
+    links.onLinkDown((peer) => void this.handleHolderDown(peer));
   }
 
-  static create(parts: StoreParts): BackupStore {
+  static create(parts: BackupStoreParts): BackupStore {
     return new BackupStore(parts);
   }
 
@@ -112,18 +112,18 @@
     if (existing && existing.id !== envelope.id) {
       return { isHeld: false, existing: existing.id, existingBody: existing.bodyDigest };
     }
-    this.removeOverdue();
+    this.removeExpired();
     const copy: Copy = {
       envelope,
       holder,
       deadline: this.parts.clock.getTime() + message.remaining,
       chunks: message.progress.chunks.map(decodeChunk),
-      first: message.progress.from,
+      firstIndex: message.progress.from,
       progress: message.progress,
       mayStart: true,
     };
     this.copies.set(envelope.id, copy);
-    if (envelope.keyDigest !== undefined) this.keys.set(envelope.keyDigest, envelope.id);
+    if (envelope.keyDigest !== undefined) this.idsByKey.set(envelope.keyDigest, envelope.id);
     this.addDecisions(envelope.id, message.progress);
     return { isHeld: true, existing: undefined, existingBody: undefined };
   }
@@ -137,7 +137,7 @@
   /** Finds the request of a key among the copies alone. */
   findCopy(keyDigest: string | undefined): Envelope | undefined {
     if (keyDigest === undefined) return undefined;
-    return this.copies.get(this.keys.get(keyDigest) ?? "")?.envelope;
+    return this.copies.get(this.idsByKey.get(keyDigest) ?? "")?.envelope;
   }
 
   private handleProgress(message: ProgressMessage): ProgressReply {
@@ -145,7 +145,7 @@
     for (const item of message.items) {
       const copy = this.copies.get(item.request);
       // A part that is missing makes the copy useless: its holder has to send it whole again.
-      const isUsable = copy !== undefined && item.from <= copy.first + copy.chunks.length;
+      const isUsable = copy !== undefined && item.from <= copy.firstIndex + copy.chunks.length;
       if (copy && isUsable) this.addProgress(copy, item);
       else unknown.push(item.request);
     }
@@ -155,7 +155,7 @@
   private addProgress(copy: Copy, item: ProgressItem): void {
     const { id } = copy.envelope;
     // What is sent twice, because an acknowledgement was late, is added once.
-    const known = copy.first + copy.chunks.length;
+    const known = copy.firstIndex + copy.chunks.length;
     for (const chunk of item.chunks.slice(Math.max(0, known - item.from)))
       copy.chunks.push(decodeChunk(chunk));
     copy.progress = { ...item, head: item.head ?? copy.progress.head, run: item.run ?? copy.progress.run };
@@ -165,17 +165,17 @@
     this.removeCopy(copy);
     // The end is held here too: its holder may be gone before its caller has taken it, or the key may come back.
     const wasNotRun = item.failure?.outcome === Outcome.NotRun;
-    if (!wasNotRun) this.holdEnded(copy);
+    if (!wasNotRun) this.storeEnded(copy);
   }
 
-  private holdEnded(copy: Copy): void {
+  private storeEnded(copy: Copy): void {
     if (this.parts.requests.isHeld(copy.envelope.id)) return;
     const request = this.createRequest(copy);
     this.parts.requests.finish(request);
   }
 
   private addDecisions(id: string, item: ProgressItem): void {
-    for (const decision of item.decisions) this.parts.ring.add(id, decision);
+    for (const decision of item.decisions) this.parts.history.add(id, decision);
   }
 
   private handleDrop(message: DropMessage, peer: PeerIdentity): void {
@@ -195,7 +195,7 @@
   }
 
   /** Goes on with a lost holder's requests, unless it is back in time. */
-  private async handleDown(peer: PeerIdentity): Promise<void> {
+  private async handleHolderDown(peer: PeerIdentity): Promise<void> {
     const { clock, settings, links } = this.parts;
     await waitFor(clock, settings.backups.takeover_after);
     if (this.isClosed || links.isLinked(peer.name)) return;
@@ -230,14 +230,14 @@
     const { envelope, deadline, chunks, progress } = copy;
     const request = this.parts.requests.adopt(envelope, deadline);
     request.run = progress.run;
-    request.log.load(progress.head, chunks);
+    request.log.restore(progress.head, chunks);
     if (progress.isComplete) request.log.complete();
     if (progress.failure) request.log.fail(decodeFailure(progress.failure));
     return request;
   }
 
   /** A copy whose holder said nothing to its end, because it chose another backup meanwhile, goes with its deadline. */
-  private removeOverdue(): void {
+  private removeExpired(): void {
     const now = this.parts.clock.getTime();
     for (const copy of this.copies.values()) {
       if (copy.deadline > now) break;
@@ -248,6 +248,6 @@
   private removeCopy(copy: Copy): void {
     const { id, keyDigest } = copy.envelope;
     this.copies.delete(id);
-    if (keyDigest !== undefined && this.keys.get(keyDigest) === id) this.keys.delete(keyDigest);
+    if (keyDigest !== undefined && this.idsByKey.get(keyDigest) === id) this.idsByKey.delete(keyDigest);
   }
 }
--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -16,7 +16,7 @@
 import type { DecisionWriter } from "./decisions.js";
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
-import type { ExplainRing } from "./explainRing.js";
+import type { DecisionHistory } from "./decisionHistory.js";
 import {
   type CopyMessage,
   type CopyReply,
@@ -41,7 +41,7 @@
   readonly view: MembershipView;
   readonly decisions: DecisionWriter;
   readonly metrics: EntryMetrics;
-  readonly ring: ExplainRing;
+  readonly history: DecisionHistory;
 }
 
 /** Another request that has the same key. */
@@ -51,35 +51,35 @@
 }
 
 /** What one backup has of a request, as it acknowledged it. */
-interface Held {
+interface BackupProgress {
   chunks: number;
   decisions: number;
 }
 
 /** One request's backups, as its holder keeps them. */
-interface Protection {
+interface ReplicatedRequest {
   readonly request: ActiveRequest;
   /** Peers that hold a copy, each with what it has: no two have the same. */
-  readonly peers: Map<string, Held>;
+  readonly peers: Map<string, BackupProgress>;
   /** Its backup is being asked to go on with it: until that is settled no other is looked for. */
-  isHandedOver: boolean;
+  isHandoverPending: boolean;
 }
 
 interface Flusher {
-  readonly dirty: Set<Protection>;
+  readonly dirty: Set<ReplicatedRequest>;
   isRunning: boolean;
 }
 
-const candidatesTried = 3;
+const maxCopyAttempts = 3;
 
 /** Keeps copies of this entry's requests at peers. */
 export class BackupWriter {
-  private readonly protections = new Map<string, Protection>();
+  private readonly replicated = new Map<string, ReplicatedRequest>();
   private readonly flushers = new Map<string, Flusher>();
 
   private constructor(private readonly parts: BackupParts) {
-    parts.links.onLinkDown((peer) => this.handleDown(peer.name));
-    parts.links.onLinkUp(() => this.protectBare());
+    parts.links.onLinkDown((peer) => this.handlePeerLost(peer.name));
+    parts.links.onLinkUp(() => this.replaceMissingBackups());
   }
 
   static create(parts: BackupParts): BackupWriter {
@@ -90,38 +90,38 @@
    * Puts a copy at a peer. Resolves when it is held, when no peer could take it, or with the request that has the
    * same key.
    */
-  async protect(request: ActiveRequest): Promise<KeyConflict | undefined> {
-    const protection: Protection = {
+  async replicate(request: ActiveRequest): Promise<KeyConflict | undefined> {
+    const replicated: ReplicatedRequest = {
       request,
       peers: new Map(),
-      isHandedOver: false,
+      isHandoverPending: false,
     };
-    this.protections.set(request.envelope.id, protection);
+    this.replicated.set(request.envelope.id, replicated);
     if (this.parts.settings.backups.commit_output) request.log.release(request.log.count);
-    const conflict = await this.findBackups(protection);
-    if (protection.peers.size === 0) request.log.release(Infinity);
+    const conflict = await this.findBackups(replicated);
+    if (replicated.peers.size === 0) request.log.release(Infinity);
     return conflict;
   }
 
   /** Says that something about a request is new. */
-  report(request: ActiveRequest): void {
-    const protection = this.protections.get(request.envelope.id);
-    if (!protection) return;
+  reportProgress(request: ActiveRequest): void {
+    const replicated = this.replicated.get(request.envelope.id);
+    if (!replicated) return;
     // Nobody is left to wait for.
-    if (protection.peers.size === 0) request.log.release(Infinity);
-    for (const peer of protection.peers.keys()) this.flush(peer, protection);
+    if (replicated.peers.size === 0) request.log.release(Infinity);
+    for (const peer of replicated.peers.keys()) this.flush(peer, replicated);
   }
 
   /** Says that a request has ended: its backups learn the end and are then let go. */
   finish(request: ActiveRequest): void {
-    this.report(request);
-    const protection = this.protections.get(request.envelope.id);
-    if (protection?.peers.size === 0) this.protections.delete(request.envelope.id);
+    this.reportProgress(request);
+    const replicated = this.replicated.get(request.envelope.id);
+    if (replicated?.peers.size === 0) this.replicated.delete(request.envelope.id);
   }
 
   /** Tells the backups never to start a request; true where all of them know. */
   async forbidStart(request: ActiveRequest): Promise<boolean> {
-    const peers = [...(this.protections.get(request.envelope.id)?.peers.keys() ?? [])];
+    const peers = [...(this.replicated.get(request.envelope.id)?.peers.keys() ?? [])];
     const message = { kind: PeerKind.NeverStart, request: request.envelope.id };
     const { ack_timeout: timeout } = this.parts.settings.backups;
     const answers = await Promise.all(peers.map((peer) => this.parts.links.call(peer, message, timeout)));
@@ -133,11 +133,11 @@
     const taken = new Map<string, string>();
     const byPeer = new Map<string, string[]>();
     for (const request of requests) {
-      const protection = this.protections.get(request.envelope.id);
-      const [peer] = protection?.peers.keys() ?? [];
-      if (!protection || peer === undefined) continue;
-      protection.isHandedOver = true;
-      await this.sendProgress(peer, [protection]);
+      const replicated = this.replicated.get(request.envelope.id);
+      const [peer] = replicated?.peers.keys() ?? [];
+      if (!replicated || peer === undefined) continue;
+      replicated.isHandoverPending = true;
+      await this.sendProgress(peer, [replicated]);
       byPeer.set(peer, [...(byPeer.get(peer) ?? []), request.envelope.id]);
     }
     for (const [peer, ids] of byPeer) {
@@ -146,68 +146,68 @@
       if (answer.isErr()) continue;
       for (const id of (answer.value as HandoverReply).taken) taken.set(id, peer);
     }
-    for (const request of requests) this.keepUnlessTaken(request, taken);
+    for (const request of requests) this.resumeUnlessTaken(request, taken);
     return taken;
   }
 
   /** A request that nobody took stays this entry's own. */
-  private keepUnlessTaken(request: ActiveRequest, taken: ReadonlyMap<string, string>): void {
-    const protection = this.protections.get(request.envelope.id);
-    if (!protection || taken.has(request.envelope.id)) return;
-    protection.isHandedOver = false;
-    this.report(request);
+  private resumeUnlessTaken(request: ActiveRequest, taken: ReadonlyMap<string, string>): void {
+    const replicated = this.replicated.get(request.envelope.id);
+    if (!replicated || taken.has(request.envelope.id)) return;
+    replicated.isHandoverPending = false;
+    this.reportProgress(request);
   }
 
   /** Number of requests that have a copy elsewhere. */
-  getProtectedCount(): number {
-    return this.protections.size;
+  getReplicatedCount(): number {
+    return this.replicated.size;
   }
 
   /** A peer that is leaving or lost is no backup any more: another is found at once. */
-  private handleDown(peer: string): void {
-    for (const protection of this.protections.values()) {
-      if (protection.peers.delete(peer)) this.handleLoss(protection);
+  private handlePeerLost(peer: string): void {
+    for (const replicated of this.replicated.values()) {
+      if (replicated.peers.delete(peer)) this.handleBackupLost(replicated);
     }
   }
 
   /** A request that goes on gets another backup; what has ended is given to its callers as it is. */
-  private handleLoss(protection: Protection): void {
-    if (protection.isHandedOver) return;
-    if (protection.request.isOpen) {
-      void this.replace(protection);
+  private handleBackupLost(replicated: ReplicatedRequest): void {
+    if (replicated.isHandoverPending) return;
+    if (replicated.request.isOpen) {
+      void this.replaceBackup(replicated);
       return;
     }
-    if (protection.peers.size > 0) return;
-    protection.request.log.release(Infinity);
-    this.protections.delete(protection.request.envelope.id);
+    if (replicated.peers.size > 0) return;
+    replicated.request.log.release(Infinity);
+    this.replicated.delete(replicated.request.envelope.id);
   }
 
   /** Finds backups for requests that have none, now that there is another peer. */
-  protectBare(): void {
-    for (const protection of this.protections.values()) {
-      if (protection.peers.size === 0 && protection.request.isOpen) void this.findBackups(protection);
+  replaceMissingBackups(): void {
+    for (const replicated of this.replicated.values()) {
+      if (replicated.peers.size === 0 && replicated.request.isOpen) void this.findBackups(replicated);
     }
   }
 
   /** Says that a peer is leaving: requests copied there get another backup now. */
   handleLeaving(peer: string): void {
-    this.handleDown(peer);
+    this.handlePeerLost(peer);
   }
 
-  private async replace(protection: Protection): Promise<void> {
+  private async replaceBackup(replicated: ReplicatedRequest): Promise<void> {
     // Nobody may hold the latest chunks now; callers are not kept waiting for the search.
-    if (protection.peers.size === 0) protection.request.log.release(Infinity);
-    await this.findBackups(protection);
+    if (replicated.peers.size === 0) replicated.request.log.release(Infinity);
+    await this.findBackups(replicated);
   }
 
-  private async findBackups(protection: Protection): Promise<KeyConflict | undefined> {
-    const { envelope } = protection.request;
-    const peers = this.selectPeers(protection.request);
+  private async findBackups(replicated: ReplicatedRequest): Promise<KeyConflict | undefined> {
+    const { envelope } = replicated.request;
+    const peers = this.selectPeers(replicated.request);
     let needsOtherHall = true;
-    for (const peer of peers.slice(0, candidatesTried)) {
+    for (const peer of peers.slice(0, maxCopyAttempts)) {
       if (!needsOtherHall) break;
-      if (protection.peers.has(peer.id)) continue;
-      const reply = await this.copy(peer.id, protection);
+      if (replicated.peers.has(peer.id)) continue;
+      const reply = await this.sendCopy(peer.id, replicated);
       if (reply?.existing !== undefined) return { request: reply.existing, body: reply.existingBody ?? "" };
       if (!reply?.isHeld) continue;
       // The home of a key may stand in this hall; a second copy then goes to another.
@@ -216,8 +216,8 @@
       const inputs = { backup: peer.id, hall: peer.hall };
       this.parts.decisions.add(envelope.id, DecisionStage.Backup, DecisionRule.CopyHeld, inputs);
     }
-    if (protection.peers.size > 0) {
-      this.report(protection.request);
+    if (replicated.peers.size > 0) {
+      this.reportProgress(replicated.request);
       return undefined;
     }
     this.parts.metrics.unprotected.add();
@@ -252,32 +252,32 @@
     return sortByRendezvous(keyDigest, names, (name) => name)[0] === own;
   }
 
-  private async copy(peer: string, protection: Protection): Promise<CopyReply | undefined> {
-    const { request } = protection;
+  private async sendCopy(peer: string, replicated: ReplicatedRequest): Promise<CopyReply | undefined> {
+    const { request } = replicated;
     const { clock, links, settings, metrics } = this.parts;
-    const held: Held = { chunks: 0, decisions: 0 };
+    const acknowledged: BackupProgress = { chunks: 0, decisions: 0 };
     const message: CopyMessage = {
       kind: PeerKind.Copy,
       envelope: request.envelope,
       remaining: request.deadline - clock.getTime(),
       isHome: this.isHome(request),
-      progress: this.createItem(request, held),
+      progress: this.createProgressItem(request, acknowledged),
     };
-    const next = this.getPresent(request);
+    const progress = this.getProgress(request);
     const started = clock.getTime();
     const answer = await links.call(peer, message, settings.backups.ack_timeout);
     metrics.copyTime.record(clock.getTime() - started);
     if (answer.isErr()) return undefined;
     metrics.copiedBytes.add(request.envelope.body.length);
     const reply = answer.value as CopyReply;
-    if (reply.isHeld) protection.peers.set(peer, next);
+    if (reply.isHeld) replicated.peers.set(peer, progress);
     return reply;
   }
 
-  private flush(peer: string, protection: Protection): void {
+  private flush(peer: string, replicated: ReplicatedRequest): void {
     let flusher = this.flushers.get(peer);
     if (!flusher) this.flushers.set(peer, (flusher = { dirty: new Set(), isRunning: false }));
-    flusher.dirty.add(protection);
+    flusher.dirty.add(replicated);
     if (!flusher.isRunning) void this.runFlusher(peer, flusher);
   }
 
@@ -290,30 +290,30 @@
       flusher.dirty.clear();
       const isSent = await this.sendProgress(peer, group);
       if (isSent) continue;
-      for (const protection of group) this.dropPeer(peer, protection);
+      for (const replicated of group) this.dropPeer(peer, replicated);
     }
     flusher.isRunning = false;
   }
 
   /** A peer that did not answer may hold its copy still: it is told that it is the backup no more. */
-  private dropPeer(peer: string, protection: Protection): void {
-    const message: DropMessage = { kind: PeerKind.Drop, request: protection.request.envelope.id };
+  private dropPeer(peer: string, replicated: ReplicatedRequest): void {
+    const message: DropMessage = { kind: PeerKind.Drop, request: replicated.request.envelope.id };
     this.parts.links.send(peer, message);
-    if (protection.peers.delete(peer)) this.handleLoss(protection);
+    if (replicated.peers.delete(peer)) this.handleBackupLost(replicated);
   }
 
-  private async sendProgress(peer: string, group: readonly Protection[]): Promise<boolean> {
+  private async sendProgress(peer: string, group: readonly ReplicatedRequest[]): Promise<boolean> {
     const { links, settings, metrics } = this.parts;
-    const sent: Sent[] = [];
+    const sent: SentProgress[] = [];
     const items: ProgressItem[] = [];
-    for (const protection of group) {
-      const held = protection.peers.get(peer);
-      if (!held) continue;
-      items.push(this.createItem(protection.request, held));
+    for (const replicated of group) {
+      const acknowledged = replicated.peers.get(peer);
+      if (!acknowledged) continue;
+      items.push(this.createProgressItem(replicated.request, acknowledged));
       sent.push({
-        protection,
-        next: this.getPresent(protection.request),
-        state: protection.request.log.state,
+        replicated,
+        progress: this.getProgress(replicated.request),
+        state: replicated.request.log.state,
       });
     }
     if (items.length === 0) return true;
@@ -322,63 +322,67 @@
     if (answer.isErr()) return false;
     metrics.progressFrames.add();
     const unknown = new Set((answer.value as ProgressReply).unknown);
-    for (const each of sent) this.acknowledge(each, peer, unknown.has(each.protection.request.envelope.id));
+    for (const each of sent) this.acknowledge(each, peer, unknown.has(each.replicated.request.envelope.id));
     return true;
   }
 
-  private acknowledge({ protection, next, state }: Sent, peer: string, isUnknown: boolean): void {
-    const { request, peers } = protection;
-    if (isUnknown && protection.isHandedOver) return;
+  private acknowledge({ replicated, progress, state }: SentProgress, peer: string, isUnknown: boolean): void {
+    const { request, peers } = replicated;
+    if (isUnknown && replicated.isHandoverPending) return;
     if (isUnknown && request.isOpen) {
       // The backup has lost the copy, taken it over or missed a part: it does not protect this request any more.
       peers.delete(peer);
-      void this.replace(protection);
+      void this.replaceBackup(replicated);
       return;
     }
-    const held = peers.get(peer);
+    const acknowledged = peers.get(peer);
     // Groups to one backup may be acknowledged out of order: what it once had it still has.
-    if (held) peers.set(peer, { chunks: Math.max(held.chunks, next.chunks), decisions: next.decisions });
+    if (acknowledged)
+      peers.set(peer, {
+        chunks: Math.max(acknowledged.chunks, progress.chunks),
+        decisions: progress.decisions,
+      });
     if (state === ResponseState.Open) {
-      request.log.release(getLeastHeld(peers));
+      request.log.release(getMinChunks(peers));
       return;
     }
     request.log.release(Infinity);
     peers.delete(peer);
-    if (peers.size === 0) this.protections.delete(request.envelope.id);
+    if (peers.size === 0) this.replicated.delete(request.envelope.id);
   }
 
   /** All that there is of a request now. */
-  private getPresent(request: ActiveRequest): Held {
-    const decisions = this.parts.ring.get(request.envelope.id)?.length ?? 0;
+  private getProgress(request: ActiveRequest): BackupProgress {
+    const decisions = this.parts.history.get(request.envelope.id)?.length ?? 0;
     return { chunks: request.log.count, decisions };
   }
 
   /** What is there of a request beyond what a backup has. */
-  private createItem(request: ActiveRequest, held: Held): ProgressItem {
+  private createProgressItem(request: ActiveRequest, acknowledged: BackupProgress): ProgressItem {
     const { log, envelope } = request;
-    const decisions = this.parts.ring.get(envelope.id) ?? [];
+    const decisions = this.parts.history.get(envelope.id) ?? [];
     return {
       request: envelope.id,
       run: request.run,
       head: log.head,
-      from: held.chunks,
-      chunks: log.getChunksFrom(held.chunks).map(encodeChunk),
+      from: acknowledged.chunks,
+      chunks: log.getChunksFrom(acknowledged.chunks).map(encodeChunk),
       isComplete: log.state === ResponseState.Complete,
       failure: log.failure && encodeFailure(log.failure),
-      decisions: decisions.slice(held.decisions),
+      decisions: decisions.slice(acknowledged.decisions),
     };
   }
 }
 
 /** What was sent about one request, and what its backup has once it acknowledges. */
-interface Sent {
-  readonly protection: Protection;
-  readonly next: Held;
+interface SentProgress {
+  readonly replicated: ReplicatedRequest;
+  readonly progress: BackupProgress;
   readonly state: ResponseState;
 }
 
 /** Chunks that every backup has: any of them may be the one that goes on. */
-function getLeastHeld(peers: ReadonlyMap<string, Held>): number {
+function getMinChunks(peers: ReadonlyMap<string, BackupProgress>): number {
   let least = Infinity;
   for (const { chunks } of peers.values()) least = Math.min(least, chunks);
   return least;
--- a/packages/entry/src/claimClient.ts
+++ b/packages/entry/src/claimClient.ts
@@ -22,7 +22,7 @@
     private readonly store: ClaimStore,
     private readonly links: PeerLinks,
     private readonly view: MembershipView,
-    private readonly peerTimeout: number,
+    private readonly peerTimeoutMs: number,
   ) {
     links.setHandler(PeerKind.Claim, (message) => this.handleClaim((message as ClaimMessage).claim));
   }
@@ -30,12 +30,12 @@
   /** `peerTimeout`: milliseconds for the usual writer's answer. */
   static create(
     own: string,
-    ledger: ClaimStore,
+    store: ClaimStore,
     links: PeerLinks,
     view: MembershipView,
     peerTimeout: number,
   ): ClaimClient {
-    return new ClaimClient(own, ledger, links, view, peerTimeout);
+    return new ClaimClient(own, store, links, view, peerTimeout);
   }
 
   /** Claims a key; fails with `ClaimUnavailable`. */
@@ -43,7 +43,7 @@
     const writer = this.getPreferredWriter(claim.key);
     if (writer !== this.own && this.links.isLinked(writer)) {
       const message: ClaimMessage = { kind: PeerKind.Claim, claim };
-      const answer = await this.links.call(writer, message, this.peerTimeout);
+      const answer = await this.links.call(writer, message, this.peerTimeoutMs);
       const reply = answer.isOk() ? (answer.value as ClaimReply) : undefined;
       if (reply?.claim) return Ok({ isWon: reply.isWon, claim: reply.claim });
     }
--- a/packages/entry/src/claimGuard.ts
+++ b/packages/entry/src/claimGuard.ts
@@ -21,12 +21,12 @@
 
 /** A verdict and, where it is `Lost`, the claim that stands. */
 export interface SendCheck {
-  readonly verdict: SendDecision;
-  readonly standing: Claim | undefined;
+  readonly decision: SendDecision;
+  readonly currentClaim: Claim | undefined;
 }
 
-const sendOutcome: SendCheck = { verdict: SendDecision.Send, standing: undefined };
-const claimRetryAfter = 2_000;
+const sendAllowed: SendCheck = { decision: SendDecision.Send, currentClaim: undefined };
+const claimRetryAfterMs = 2_000;
 
 /** Decides who may send. */
 export class ClaimGuard {
@@ -55,10 +55,10 @@
     request: ActiveRequest,
     endpoint: string,
     run: string,
-    isBackup: boolean,
+    isTakenOver: boolean,
   ): Promise<Result<SendCheck, Failure>> {
     const { envelope } = request;
-    if (envelope.repeat === RepeatRule.Allowed || request.isClaimed) return Ok(sendOutcome);
+    if (envelope.repeat === RepeatRule.Allowed || request.isClaimed) return Ok(sendAllowed);
     const claim: Claim = {
       key: getClaimKey(request),
       request: envelope.id,
@@ -68,12 +68,12 @@
       run,
     };
     const outcome = await this.claims.claim(claim);
-    if (outcome.isErr()) return this.proceedWithoutClaim(request, isBackup);
-    if (!outcome.value.isWon) return Ok({ verdict: SendDecision.Lost, standing: outcome.value.claim });
+    if (outcome.isErr()) return this.proceedWithoutClaim(request, isTakenOver);
+    if (!outcome.value.isWon) return Ok({ decision: SendDecision.Lost, currentClaim: outcome.value.claim });
     request.isClaimed = true;
     request.claim = claim;
     this.decisions.add(envelope.id, DecisionStage.Claim, DecisionRule.ClaimWon, {});
-    return Ok(sendOutcome);
+    return Ok(sendAllowed);
   }
 
   /** Gives the claim of a request back that is about to be told "not run", so that its key can be used again. */
@@ -89,16 +89,16 @@
    */
   private async proceedWithoutClaim(
     request: ActiveRequest,
-    isBackup: boolean,
+    isTakenOver: boolean,
   ): Promise<Result<SendCheck, Failure>> {
-    const refusal = Failure.create(FailureCode.ClaimUnavailable, {}, claimRetryAfter);
-    if (isBackup) return Err(refusal.withOutcome(Outcome.Unknown));
+    const refusal = Failure.create(FailureCode.ClaimUnavailable, {}, claimRetryAfterMs);
+    if (isTakenOver) return Err(refusal.withOutcome(Outcome.Unknown));
     if (request.envelope.keyDigest !== undefined) return Err(refusal);
-    const isForbidden = await this.backups.forbidStart(request);
-    if (!isForbidden) return Err(refusal);
+    const isStartForbidden = await this.backups.forbidStart(request);
+    if (!isStartForbidden) return Err(refusal);
     request.isClaimed = true;
     this.decisions.add(request.envelope.id, DecisionStage.Claim, DecisionRule.SentWithoutClaim, {});
-    return Ok(sendOutcome);
+    return Ok(sendAllowed);
   }
 }
 
--- a/packages/entry/src/explainRing.ts
+++ b/packages/entry/src/decisionHistory.ts
@@ -5,14 +5,14 @@
 import type { DecisionRecord } from "@gladewall/policy";
 
 /** The ring. */
-export class ExplainRing {
+export class DecisionHistory {
   private readonly decisions = new Map<string, DecisionRecord[]>();
 
   private constructor(private readonly capacity: number) {}
 
   /** `capacity`: requests remembered. */
-  static create(capacity: number): ExplainRing {
-    return new ExplainRing(capacity);
+  static create(capacity: number): DecisionHistory {
+    return new DecisionHistory(capacity);
   }
 
   /** Adds a decision about a request. */
--- a/packages/entry/src/decisions.ts
+++ b/packages/entry/src/decisions.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock, Failure, FailureCode } from "@gladewall/kernel";
 import type { PlacementAlternative, DecisionRecord, DecisionRule, DecisionStage } from "@gladewall/policy";
-import type { ExplainRing } from "./explainRing.js";
+import type { DecisionHistory } from "./decisionHistory.js";
 
 /** Figures and names of a decision. */
 export type DecisionInputs = Readonly<Record<string, string | number>>;
@@ -14,11 +14,11 @@
   private constructor(
     private readonly entry: string,
     private readonly clock: Clock,
-    private readonly ring: ExplainRing,
+    private readonly history: DecisionHistory,
   ) {}
 
-  static create(entry: string, clock: Clock, ring: ExplainRing): DecisionWriter {
-    return new DecisionWriter(entry, clock, ring);
+  static create(entry: string, clock: Clock, history: DecisionHistory): DecisionWriter {
+    return new DecisionWriter(entry, clock, history);
   }
 
   /** Records a decision about a request. */
@@ -29,7 +29,7 @@
     inputs: DecisionInputs,
     alternatives: readonly PlacementAlternative[] = [],
   ): void {
-    this.put(request, stage, rule, inputs, alternatives, undefined);
+    this.write(request, stage, rule, inputs, alternatives, undefined);
   }
 
   /** Records a decision that rests on a failure. */
@@ -40,10 +40,10 @@
     failure: Failure,
     inputs: DecisionInputs = {},
   ): void {
-    this.put(request, stage, rule, { ...inputs, text: failure.text }, [], failure.code);
+    this.write(request, stage, rule, { ...inputs, text: failure.text }, [], failure.code);
   }
 
-  private put(
+  private write(
     request: string,
     stage: DecisionStage,
     rule: DecisionRule,
@@ -53,6 +53,6 @@
   ): void {
     const time = this.clock.getWallTime();
     const decision: DecisionRecord = { stage, rule, time, entry: this.entry, inputs, alternatives, failure };
-    this.ring.add(request, decision);
+    this.history.add(request, decision);
   }
 }
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -19,26 +19,26 @@
 import type { Fleet } from "./fleet.js";
 
 /** A placement and how long it took to get. */
-export interface Placed {
+export interface QueuedPlacement {
   readonly placement: Placement;
   /** Milliseconds in the queue. */
-  readonly waited: number;
+  readonly waitMs: number;
   /** Requests that waited when it came. */
   readonly ahead: number;
 }
 
-interface Waiting extends QueueItem {
+interface QueuedRequest extends QueueItem {
   readonly request: PlacementRequest;
-  readonly since: number;
+  readonly queuedAt: number;
   readonly ahead: number;
-  readonly settle: (result: Result<Placed, Failure>) => void;
+  readonly settle: (result: Result<QueuedPlacement, Failure>) => void;
 }
 
-const noEndpointRetryAfter = 1_000;
+const noEndpointRetryAfterMs = 1_000;
 
 /** The queues of all services. */
 export class Dispatcher {
-  private readonly queues = new Map<string, FairQueue<Waiting>>();
+  private readonly queues = new Map<string, FairQueue<QueuedRequest>>();
 
   private constructor(
     private readonly settings: EntrySettings["requests"],
@@ -47,7 +47,7 @@
     private readonly prefixes: PrefixIndex,
     private readonly getOptions: () => PlacementOptions,
   ) {
-    fleet.onRoom((service) => this.pump(service));
+    fleet.onCapacity((service) => this.placeQueued(service));
   }
 
   static create(
@@ -61,31 +61,34 @@
   }
 
   /** Requests that wait for a service. */
-  getWaiting(service: string): number {
+  getQueuedCount(service: string): number {
     return this.queues.get(service)?.size ?? 0;
   }
 
   /** Requests that wait in all. */
-  getTotal(): number {
+  getTotalQueuedCount(): number {
     let total = 0;
     for (const queue of this.queues.values()) total += queue.size;
     return total;
   }
 
   /** Expected milliseconds until a new request would give its first token or byte. */
-  getExpectedWait(service: string, priority: number, tokens: number): number {
+  getExpectedWaitMs(service: string, priority: number, tokens: number): number {
     const loads = this.fleet.getLoads(service).filter((load) => !load.isLeaving);
     if (loads.length === 0) return Infinity;
-    const direct = loads.reduce((least, load) => Math.min(least, load.estimateWaitMs(tokens)), Infinity);
-    const ahead = this.queues.get(service)?.getWorkAhead(priority) ?? 0;
-    const perToken = loads.reduce((sum, load) => sum + load.getWorkRate(), 0);
-    return direct + (perToken > 0 ? ahead / perToken : 0);
+    const shortestWaitMs = loads.reduce(
+      (least, load) => Math.min(least, load.estimateWaitMs(tokens)),
+      Infinity,
+    );
+    const workAhead = this.queues.get(service)?.getWorkAhead(priority) ?? 0;
+    const tokensPerMs = loads.reduce((sum, load) => sum + load.getWorkRate(), 0);
+    return shortestWaitMs + (tokensPerMs > 0 ? workAhead / tokensPerMs : 0);
   }
 
   /** Tells whether requests wait, or every endpoint of the service is full. */
   hasBacklog(service: string): boolean {
-    if (this.getWaiting(service) > 0) return true;
-    return !this.fleet.getLoads(service).some((load) => !load.isLeaving && this.hasRoom(load));
+    if (this.getQueuedCount(service) > 0) return true;
+    return !this.fleet.getLoads(service).some((load) => !load.isLeaving && this.hasCapacity(load));
   }
 
   /** Waits for an endpoint. Fails with `QueueFull`, `NoEndpoint`, `DeadlinePassed` or `CallerGone`. */
@@ -94,68 +97,74 @@
     item: QueueItem,
     remaining: number,
     signal: AbortSignal,
-  ): Promise<Result<Placed, Failure>> {
+  ): Promise<Result<QueuedPlacement, Failure>> {
     return new Promise((resolve) => {
       const queue = this.getQueue(request.service);
-      const timer = this.clock.startTimer(remaining, () => abandon(FailureCode.DeadlinePassed));
-      const leave = (): void => abandon(FailureCode.CallerGone);
-      const settle = (result: Result<Placed, Failure>): void => {
+      const timer = this.clock.startTimer(remaining, () => failQueued(FailureCode.DeadlinePassed));
+      const handleAbort = (): void => failQueued(FailureCode.CallerGone);
+      const settle = (result: Result<QueuedPlacement, Failure>): void => {
         timer.cancel();
-        signal.removeEventListener("abort", leave);
+        signal.removeEventListener("abort", handleAbort);
         resolve(result);
       };
-      const waiting: Waiting = { ...item, request, since: this.clock.getTime(), ahead: queue.size, settle };
-      function abandon(code: FailureCode): void {
-        if (queue.cancel(waiting)) settle(Err(Failure.create(code)));
+      const queued: QueuedRequest = {
+        ...item,
+        request,
+        queuedAt: this.clock.getTime(),
+        ahead: queue.size,
+        settle,
+      };
+      function failQueued(code: FailureCode): void {
+        if (queue.cancel(queued)) settle(Err(Failure.create(code)));
       }
-      signal.addEventListener("abort", leave);
+      signal.addEventListener("abort", handleAbort);
       if (signal.aborted) return settle(Err(Failure.create(FailureCode.CallerGone)));
-      if (!queue.tryAdd(waiting)) {
+      if (!queue.tryAdd(queued)) {
         return settle(
-          Err(Failure.create(FailureCode.QueueFull, { service: request.service }, noEndpointRetryAfter)),
+          Err(Failure.create(FailureCode.QueueFull, { service: request.service }, noEndpointRetryAfterMs)),
         );
       }
-      this.pump(request.service);
+      this.placeQueued(request.service);
     });
   }
 
   /** Places waiting requests while there is room. */
-  private pump(service: string): void {
+  private placeQueued(service: string): void {
     const queue = this.queues.get(service);
     while (queue && queue.size > 0) {
       const loads = this.fleet.getLoads(service);
-      const withRoom = loads.filter((load) => !load.isLeaving && this.hasRoom(load));
-      const isAnyLeft = loads.some((load) => !load.isLeaving);
-      if (withRoom.length === 0 && isAnyLeft) return;
-      const waiting = queue.take();
-      if (!waiting) return;
-      waiting.settle(this.placeWaiting(waiting, withRoom, loads));
+      const withCapacity = loads.filter((load) => !load.isLeaving && this.hasCapacity(load));
+      const hasUsableEndpoint = loads.some((load) => !load.isLeaving);
+      if (withCapacity.length === 0 && hasUsableEndpoint) return;
+      const queued = queue.take();
+      if (!queued) return;
+      queued.settle(this.placeWaiting(queued, withCapacity, loads));
     }
   }
 
   private placeWaiting(
-    waiting: Waiting,
-    withRoom: readonly EndpointLoadEstimate[],
+    queued: QueuedRequest,
+    withCapacity: readonly EndpointLoadEstimate[],
     loads: readonly EndpointLoadEstimate[],
-  ): Result<Placed, Failure> {
-    const hasOthers = withRoom.some((load) => !waiting.request.excluded.has(load.record.id));
-    const candidates = hasOthers ? withRoom : loads;
-    const placement = placeRequest(waiting.request, candidates, this.prefixes, this.getOptions());
-    if (placement.isErr()) return Err(placement.error.withRetryAfter(noEndpointRetryAfter));
+  ): Result<QueuedPlacement, Failure> {
+    const hasOthers = withCapacity.some((load) => !queued.request.excluded.has(load.record.id));
+    const candidates = hasOthers ? withCapacity : loads;
+    const placement = placeRequest(queued.request, candidates, this.prefixes, this.getOptions());
+    if (placement.isErr()) return Err(placement.error.withRetryAfter(noEndpointRetryAfterMs));
     const { endpoint, cachedTokens } = placement.value;
-    endpoint.recordDispatch(Math.max(0, waiting.request.tokens - cachedTokens));
+    endpoint.recordDispatch(Math.max(0, queued.request.tokens - cachedTokens));
     return Ok({
       placement: placement.value,
-      waited: this.clock.getTime() - waiting.since,
-      ahead: waiting.ahead,
+      waitMs: this.clock.getTime() - queued.queuedAt,
+      ahead: queued.ahead,
     });
   }
 
-  private hasRoom(load: EndpointLoadEstimate): boolean {
+  private hasCapacity(load: EndpointLoadEstimate): boolean {
     return load.getActiveCount() < load.getWidth() * (1 + this.settings.engine_slack);
   }
 
-  private getQueue(service: string): FairQueue<Waiting> {
+  private getQueue(service: string): FairQueue<QueuedRequest> {
     let queue = this.queues.get(service);
     if (!queue) {
       const { queue: capacity, starvation_bound: starvationBound } = this.settings;
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -16,7 +16,7 @@
 import { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
 import { createRequestId } from "./envelope.js";
-import { ExplainRing } from "./explainRing.js";
+import { DecisionHistory } from "./decisionHistory.js";
 import { Front } from "./front.js";
 import { Membership } from "./membership.js";
 import { OperatorPort } from "./operatorPort.js";
@@ -35,7 +35,7 @@
 /** A running entry. */
 export class Entry {
   readonly metrics = EntryMetrics.create();
-  readonly ring: ExplainRing;
+  readonly history: DecisionHistory;
   private isLeaving = false;
   /** The one way this entry ends, once it has begun to. */
   private ending: Promise<void> | undefined;
@@ -52,20 +52,20 @@
   ) {
     const { metrics } = this;
     const { platform, entry } = settings;
-    this.ring = ExplainRing.create(settings.logs.decisions);
+    this.history = DecisionHistory.create(settings.logs.decisions);
     const incarnation = entry.incarnation || clock.getWallTime();
     const budget = ServiceBudget.create(clock, platform.calls_per_second, platform.timeout, metrics.registry);
     const getSettings = (): EntrySettings => this.settings;
     const base = { getSettings, incarnation, clock, logger, clients, budget };
     this.membership = Membership.create(base);
-    const { membership, ring } = this;
+    const { membership, history } = this;
     const getTable = (): Result<PolicyTable, Failure> => this.getTable();
-    this.serving = Serving.create({ ...base, membership, metrics, ring, getTable });
+    this.serving = Serving.create({ ...base, membership, metrics, history, getTable });
     this.front = Front.create(settings.front, logger, this.serving.routes, () => createRequestId(entry.name));
     this.operators = OperatorPort.create({
       settings: settings.operators,
       metrics,
-      ring,
+      history,
       getUnready: () => this.getUnready(),
       getStatus: () => this.getStatus(),
     });
--- a/packages/entry/src/fleet.ts
+++ b/packages/entry/src/fleet.ts
@@ -26,13 +26,13 @@
 }
 
 /** Called when an endpoint starts to leave or is gone. */
-export type LeavingListener = (endpoint: Endpoint, view: InstanceStatus) => void;
+export type LeavingListener = (endpoint: Endpoint, status: InstanceStatus) => void;
 
 /** All endpoints that this entry knows. */
 export class Fleet {
   private readonly endpoints = new Map<string, Endpoint>();
   private readonly loadsByService = new Map<string, EndpointLoadEstimate[]>();
-  private readonly roomListeners = new Set<(service: string) => void>();
+  private readonly capacityListeners = new Set<(service: string) => void>();
   private readonly leavingListeners = new Set<LeavingListener>();
   private readonly stopWatching: () => void;
 
@@ -71,8 +71,8 @@
   }
 
   /** Calls back when a service's endpoints may have room. */
-  onRoom(listener: (service: string) => void): void {
-    this.roomListeners.add(listener);
+  onCapacity(listener: (service: string) => void): void {
+    this.capacityListeners.add(listener);
   }
 
   /** Calls back when an endpoint starts to leave. */
@@ -81,8 +81,8 @@
   }
 
   /** Tells the waiting that a service's endpoints may have room. */
-  announceRoom(service: string): void {
-    for (const listener of this.roomListeners) listener(service);
+  notifyCapacity(service: string): void {
+    for (const listener of this.capacityListeners) listener(service);
   }
 
   /** Ends all clients. */
@@ -95,20 +95,20 @@
     await Promise.all(endpoints.map((endpoint) => endpoint.client.close()));
   }
 
-  private handleChange(view: InstanceStatus): void {
-    if (view.record.role !== InstanceRole.Endpoint) return;
-    const present = this.endpoints.get(view.record.id);
-    const isSame = present && isSameInstance(present.load.record, view.record);
-    if (!isSame && !isUsable(view)) return;
-    const endpoint = isSame ? present : this.addEndpoint(view.record, present);
+  private handleChange(status: InstanceStatus): void {
+    if (status.record.role !== InstanceRole.Endpoint) return;
+    const present = this.endpoints.get(status.record.id);
+    const isSameIncarnation = present && isSameInstance(present.load.record, status.record);
+    if (!isSameIncarnation && !isUsable(status)) return;
+    const endpoint = isSameIncarnation ? present : this.addEndpoint(status.record, present);
     if (!endpoint) return;
     const wasLeaving = endpoint.load.isLeaving;
-    endpoint.load.isLeaving = !isUsable(view);
+    endpoint.load.isLeaving = !isUsable(status);
     if (endpoint.load.isLeaving && !wasLeaving) {
-      this.logger.info("endpoint.leaving", { endpoint: view.record.id, hall: view.record.hall });
-      for (const listener of this.leavingListeners) listener(endpoint, view);
+      this.logger.info("endpoint.leaving", { endpoint: status.record.id, hall: status.record.hall });
+      for (const listener of this.leavingListeners) listener(endpoint, status);
     }
-    if (!endpoint.load.isLeaving) this.announceRoom(view.record.service);
+    if (!endpoint.load.isLeaving) this.notifyCapacity(status.record.service);
   }
 
   private addEndpoint(record: InstanceRecord, replaced: Endpoint | undefined): Endpoint | undefined {
@@ -149,7 +149,7 @@
   }
 
   /** With many endpoints each is asked less often: answers tell their loads too, and cost nothing. */
-  private getPollInterval(): number {
+  private getPollIntervalMs(): number {
     const { load_interval: interval, load_polls: polls } = this.settings;
     return Math.max(interval, (this.endpoints.size / polls) * millisecondsPerSecond);
   }
@@ -157,15 +157,15 @@
   private async followLoad(endpoint: Endpoint): Promise<void> {
     const { signal } = endpoint.stop;
     // Many endpoints that appear together are not all asked at once.
-    const spread = this.getPollInterval() - this.settings.load_interval;
-    await waitFor(this.clock, (endpoint.load.idHash / hashRange) * spread, signal);
+    const spreadMs = this.getPollIntervalMs() - this.settings.load_interval;
+    await waitFor(this.clock, (endpoint.load.idHash / hashRange) * spreadMs, signal);
     while (!signal.aborted && !endpoint.load.isLeaving) {
       const report = await endpoint.client.readLoad();
       if (report.isOk()) {
         endpoint.load.applyReport(report.value);
-        this.announceRoom(endpoint.load.record.service);
+        this.notifyCapacity(endpoint.load.record.service);
       }
-      await waitFor(this.clock, this.getPollInterval(), signal);
+      await waitFor(this.clock, this.getPollIntervalMs(), signal);
     }
   }
 }
--- a/packages/entry/src/gossip.ts
+++ b/packages/entry/src/gossip.ts
@@ -23,14 +23,14 @@
   type InstanceUpdateMessage,
 } from "./peerKinds.js";
 
-const askTimeout = 2_000;
+const configurationTimeoutMs = 2_000;
 /** Age that a peer gives which has never heard from anybody. */
-const neverHeard = 1e12;
+const unknownAgeMs = 1e12;
 
 /** Passes configuration and words on. */
 export class Gossip {
   /** Peers that are being asked for their configuration. */
-  private readonly asking = new Set<string>();
+  private readonly pendingPeers = new Set<string>();
 
   private constructor(
     private readonly own: string,
@@ -46,7 +46,7 @@
     );
     links.onLinkUp((peer) => this.sendInstanceUpdates(peer));
     follower.onChange(() => links.broadcast({ kind: LinkMessageKind.Ping, ...this.createPing() }));
-    view.onChange((instance) => this.passOn(instance));
+    view.onChange((instance) => this.forwardUpdate(instance));
   }
 
   static create(
@@ -71,17 +71,21 @@
   }
 
   private async askConfiguration(peer: PeerIdentity): Promise<void> {
-    if (this.asking.has(peer.name)) return;
-    this.asking.add(peer.name);
-    const answer = await this.links.call(peer.name, { kind: PeerKind.AskConfiguration }, askTimeout);
-    this.asking.delete(peer.name);
+    if (this.pendingPeers.has(peer.name)) return;
+    this.pendingPeers.add(peer.name);
+    const answer = await this.links.call(
+      peer.name,
+      { kind: PeerKind.AskConfiguration },
+      configurationTimeoutMs,
+    );
+    this.pendingPeers.delete(peer.name);
     if (answer.isErr()) return;
     const { bytes, age } = answer.value as ConfigurationReply;
     if (bytes) this.follower.offer(bytes, age);
   }
 
   private createConfigurationReply(): ConfigurationReply {
-    return { bytes: this.follower.get()?.bytes, age: this.follower.getAgeMs() ?? neverHeard };
+    return { bytes: this.follower.get()?.bytes, age: this.follower.getAgeMs() ?? unknownAgeMs };
   }
 
   private handleInstanceUpdate(message: InstanceUpdateMessage): void {
@@ -89,20 +93,24 @@
   }
 
   /** The list is everyone's own to read; any other word that changed this view may be news to the others. */
-  private passOn(instance: InstanceStatus): void {
+  private forwardUpdate(instance: InstanceStatus): void {
     if (instance.source !== UpdateSource.List) this.links.broadcast(this.createUpdateMessage(instance));
   }
 
   /** Tells a peer that has just been linked of this entry itself, which its list may not show yet, and who is leaving. */
   private sendInstanceUpdates(peer: PeerIdentity): void {
     for (const instance of this.view.getAll()) {
-      const isNews = instance.state === InstanceState.Leaving || instance.record.id === this.own;
-      if (isNews) this.links.send(peer.name, this.createUpdateMessage(instance));
+      const isForwarded = instance.state === InstanceState.Leaving || instance.record.id === this.own;
+      if (isForwarded) this.links.send(peer.name, this.createUpdateMessage(instance));
     }
   }
 
-  private createUpdateMessage({ record, state, reclaimAt: takenAt }: InstanceStatus): InstanceUpdateMessage {
-    const remaining = takenAt === undefined ? undefined : Math.max(0, takenAt - this.clock.getTime());
+  private createUpdateMessage({
+    record,
+    state,
+    reclaimAt: reclaimAt,
+  }: InstanceStatus): InstanceUpdateMessage {
+    const remaining = reclaimAt === undefined ? undefined : Math.max(0, reclaimAt - this.clock.getTime());
     const { id, incarnation } = record;
     return {
       kind: PeerKind.InstanceUpdate,
@@ -113,5 +121,5 @@
 
 /** Returns what a ping says of the configuration. */
 export function createPingFields(follower: DocumentFollower<Configuration>): PingFields {
-  return { version: follower.version, age: Math.round(follower.getAgeMs() ?? neverHeard) };
+  return { version: follower.version, age: Math.round(follower.getAgeMs() ?? unknownAgeMs) };
 }
--- a/packages/entry/src/keyLookup.ts
+++ b/packages/entry/src/keyLookup.ts
@@ -19,9 +19,9 @@
     private readonly own: string,
     private readonly links: PeerLinks,
     private readonly view: MembershipView,
-    private readonly copies: BackupStore,
+    private readonly backups: BackupStore,
     private readonly claims: ClaimClient,
-    private readonly timeout: number,
+    private readonly timeoutMs: number,
   ) {
     links.setHandler(PeerKind.FindKey, (message) => this.handleFind(message as FindKeyMessage));
   }
@@ -39,14 +39,14 @@
   }
 
   /** Returns the request of a key that this entry holds or has a copy of. */
-  findHere(keyDigest: string | undefined): KeyConflict | undefined {
-    const found = this.copies.findKey(keyDigest);
+  findLocal(keyDigest: string | undefined): KeyConflict | undefined {
+    const found = this.backups.findKey(keyDigest);
     return found && { request: found.id, body: found.bodyDigest };
   }
 
   /** Returns the request of a key that this entry has a copy of. */
   findCopied(keyDigest: string | undefined): KeyConflict | undefined {
-    const found = this.copies.findCopy(keyDigest);
+    const found = this.backups.findCopy(keyDigest);
     return found && { request: found.id, body: found.bodyDigest };
   }
 
@@ -54,10 +54,10 @@
   async find(envelope: Envelope): Promise<Result<KeyConflict | undefined, Failure>> {
     const { keyDigest } = envelope;
     if (keyDigest === undefined) return Ok(undefined);
-    const here = this.findHere(keyDigest);
-    if (here) return Ok(here);
-    const atHome = await this.askHome(keyDigest);
-    if (atHome.isErr() || atHome.value || envelope.repeat === RepeatRule.Allowed) return atHome;
+    const local = this.findLocal(keyDigest);
+    if (local) return Ok(local);
+    const fromHome = await this.askHome(keyDigest);
+    if (fromHome.isErr() || fromHome.value || envelope.repeat === RepeatRule.Allowed) return fromHome;
     const claim = await this.claims.find(keyDigest);
     return claim.map((standing) => standing && { request: standing.request, body: standing.body });
   }
@@ -67,12 +67,12 @@
     const home = sortByRendezvous(keyDigest, names, (name) => name)[0];
     if (home === undefined || home === this.own) return Ok(undefined);
     const message: FindKeyMessage = { kind: PeerKind.FindKey, keyDigest };
-    const answer = await this.links.call(home, message, this.timeout);
+    const answer = await this.links.call(home, message, this.timeoutMs);
     if (answer.isErr()) return Err(Failure.create(FailureCode.PeerUnreachable, { peer: home }));
     return Ok((answer.value as FindKeyReply).found);
   }
 
   private handleFind(message: FindKeyMessage): FindKeyReply {
-    return { found: this.findHere(message.keyDigest) };
+    return { found: this.findLocal(message.keyDigest) };
   }
 }
--- a/packages/entry/src/leavingRuns.ts
+++ b/packages/entry/src/leavingRuns.ts
@@ -9,14 +9,14 @@
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
 import type { Endpoint, Fleet } from "./fleet.js";
-import { type ActiveRequest, type Requests, StopReason } from "./requests.js";
+import { type ActiveRequest, type RequestRegistry, StopReason } from "./requests.js";
 
 /** Decides about runs on leaving endpoints. */
 export class LeavingRuns {
   private constructor(
     private readonly settings: EntrySettings["endpoints"],
     private readonly clock: Clock,
-    private readonly requests: Requests,
+    private readonly requests: RequestRegistry,
     private readonly decisions: DecisionWriter,
     private readonly metrics: EntryMetrics,
     fleet: Fleet,
@@ -27,7 +27,7 @@
   static create(
     settings: EntrySettings["endpoints"],
     clock: Clock,
-    requests: Requests,
+    requests: RequestRegistry,
     decisions: DecisionWriter,
     metrics: EntryMetrics,
     fleet: Fleet,
@@ -36,27 +36,27 @@
   }
 
   /** Urgent requests are moved first, then those that would lose most. */
-  private handleLeaving(endpoint: Endpoint, view: InstanceStatus): void {
+  private handleLeaving(endpoint: Endpoint, status: InstanceStatus): void {
     const { id } = endpoint.load.record;
     const runs = this.requests.getOpen().filter((request) => request.run?.endpoint === id);
     runs.sort(
       (left, right) => right.envelope.priority - left.envelope.priority || right.log.end - left.log.end,
     );
-    const takenAt = view.reclaimAt ?? this.clock.getTime() + this.settings.notice_assumed;
-    for (const request of runs) this.decide(request, endpoint, takenAt - this.clock.getTime());
+    const reclaimAt = status.reclaimAt ?? this.clock.getTime() + this.settings.notice_assumed;
+    for (const request of runs) this.decide(request, endpoint, reclaimAt - this.clock.getTime());
   }
 
-  private decide(request: ActiveRequest, endpoint: Endpoint, remaining: number): void {
+  private decide(request: ActiveRequest, endpoint: Endpoint, remainingMs: number): void {
     const { envelope, log } = request;
-    const needed = this.estimateNeeded(request);
+    const neededMs = this.estimateRemainingMs(request);
     const inputs = {
       endpoint: endpoint.load.record.id,
-      remaining: Math.round(remaining),
-      needed: Math.round(needed),
+      remaining: Math.round(remainingMs),
+      needed: Math.round(neededMs),
     };
     const mayMove =
       envelope.repeat === RepeatRule.Allowed && envelope.model?.isContinuable === true && log.isWhole;
-    if (!mayMove || needed + this.settings.move_margin <= remaining) {
+    if (!mayMove || neededMs + this.settings.move_margin <= remainingMs) {
       this.decisions.add(envelope.id, DecisionStage.Move, DecisionRule.LetFinish, inputs);
       return;
     }
@@ -67,7 +67,7 @@
   }
 
   /** Milliseconds to the end of the run at the pace it has had; not started counts as a pace of the whole notice. */
-  private estimateNeeded(request: ActiveRequest): number {
+  private estimateRemainingMs(request: ActiveRequest): number {
     const { envelope, log, firstAt } = request;
     const left = (envelope.model?.outputTokens ?? 0) - log.end;
     if (!envelope.model) return 0;
--- a/packages/entry/src/membership.ts
+++ b/packages/entry/src/membership.ts
@@ -38,7 +38,7 @@
 /** Called with what the view says of an entry. */
 export type EntryListener = (instance: InstanceStatus) => void;
 
-const notReadyRetryAfter = 1_000;
+const notReadyRetryAfterMs = 1_000;
 
 /** An entry's membership. */
 export class Membership implements Closeable {
@@ -77,17 +77,17 @@
   }
 
   /** Calls back when something about another entry changed. */
-  onPeer(listener: EntryListener): void {
+  onPeerChange(listener: EntryListener): void {
     this.view.onChange((instance) => {
       if (isEntry(instance) && instance.record.id !== this.own) listener(instance);
     });
   }
 
   /** Calls back when a notice says that this very instance will be taken, with the milliseconds left. */
-  onOwnNotice(listener: (remaining: number) => void): void {
-    this.view.onChange(({ record, state, reclaimAt: takenAt }) => {
-      const isNotice = record.id === this.own && state === InstanceState.Leaving && takenAt !== undefined;
-      if (isNotice) listener(takenAt - this.parts.clock.getTime());
+  onOwnNotice(listener: (remainingMs: number) => void): void {
+    this.view.onChange(({ record, state, reclaimAt: reclaimAt }) => {
+      const isNotice = record.id === this.own && state === InstanceState.Leaving && reclaimAt !== undefined;
+      if (isNotice) listener(reclaimAt - this.parts.clock.getTime());
     });
   }
 
@@ -98,14 +98,16 @@
   }
 
   /** Returns the table in force, however old the word for it. */
-  getAnyTable(): Result<PolicyTable, Failure> {
-    return this.table ? Ok(this.table) : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfter));
+  getLatestTable(): Result<PolicyTable, Failure> {
+    return this.table ? Ok(this.table) : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfterMs));
   }
 
   /** Returns the table in force where it is known to be current; fails with `NotReady`. */
   getTable(): Result<PolicyTable, Failure> {
-    const isCurrent = this.follower.isCurrent() || this.hasMostPeers();
-    return isCurrent ? this.getAnyTable() : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfter));
+    const isCurrent = this.follower.isCurrent() || this.hasMajorityOfPeers();
+    return isCurrent
+      ? this.getLatestTable()
+      : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfterMs));
   }
 
   async close(): Promise<void> {
@@ -120,9 +122,9 @@
    * With the service down no entry hears from it, and no configuration can be saved either. An entry that is linked
    * with most of the peers it should be linked with goes on: whoever could know of a newer one is among them.
    */
-  private hasMostPeers(): boolean {
-    const wanted = this.links.getExpectedCount();
-    return wanted > 0 && this.links.getLinked().length * 2 > wanted;
+  private hasMajorityOfPeers(): boolean {
+    const expected = this.links.getExpectedCount();
+    return expected > 0 && this.links.getLinked().length * 2 > expected;
   }
 
   private handleInstance(instance: InstanceStatus): void {
--- a/packages/entry/src/operatorPort.ts
+++ b/packages/entry/src/operatorPort.ts
@@ -8,14 +8,14 @@
 import { formatExplanation, getKeyHash } from "@gladewall/policy";
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
-import type { ExplainRing } from "./explainRing.js";
+import type { DecisionHistory } from "./decisionHistory.js";
 import { sendProblem } from "./problem.js";
 
 /** What the port shows. */
 export interface OperatorParts {
   readonly settings: EntrySettings["operators"];
   readonly metrics: EntryMetrics;
-  readonly ring: ExplainRing;
+  readonly history: DecisionHistory;
   /** Returns why the entry takes no requests, undefined while it does. */
   getUnready(): string | undefined;
   /** Returns what the entry knows of itself and others. */
@@ -106,7 +106,7 @@
   }
 
   private sendExplanation(response: ServerResponse, request: string): void {
-    const decisions = this.parts.ring.get(request);
+    const decisions = this.parts.history.get(request);
     if (!decisions)
       return sendProblem(
         response,
--- a/packages/entry/src/requests.ts
+++ b/packages/entry/src/requests.ts
@@ -69,22 +69,22 @@
 }
 
 /** The registry. */
-export class Requests {
+export class RequestRegistry {
   private readonly byId = new Map<string, ActiveRequest>();
   private readonly byKey = new Map<string, ActiveRequest>();
   /** Finished requests, oldest first, with the time at which their answers are let go. */
-  private finished: { readonly request: ActiveRequest; readonly until: number }[] = [];
+  private finished: { readonly request: ActiveRequest; readonly expiresAt: number }[] = [];
   private heldBytes = 0;
   private openCount = 0;
-  private idleWakers: (() => void)[] = [];
+  private idleWaiters: (() => void)[] = [];
 
   private constructor(
     private readonly settings: EntrySettings["requests"],
     private readonly clock: Clock,
   ) {}
 
-  static create(settings: EntrySettings["requests"], clock: Clock): Requests {
-    return new Requests(settings, clock);
+  static create(settings: EntrySettings["requests"], clock: Clock): RequestRegistry {
+    return new RequestRegistry(settings, clock);
   }
 
   /** Requests that have not ended. */
@@ -99,7 +99,7 @@
 
   /** Returns a request by its id. */
   get(id: string): ActiveRequest | undefined {
-    this.removeOld();
+    this.removeExpired();
     return this.byId.get(id);
   }
 
@@ -111,7 +111,7 @@
 
   /** Returns the request of a key. */
   getByKey(keyDigest: string): ActiveRequest | undefined {
-    this.removeOld();
+    this.removeExpired();
     return this.byKey.get(keyDigest);
   }
 
@@ -133,35 +133,35 @@
   /** Notes that a request has ended; its answer is held for a time, within the memory for answers. */
   finish(request: ActiveRequest): void {
     this.openCount -= 1;
-    if (this.openCount === 0) this.wakeIdle();
+    if (this.openCount === 0) this.notifyIdle();
     // What was surely not run may be asked for again under the same key.
     if (request.log.failure?.outcome === Outcome.NotRun) this.removeKey(request);
     this.heldBytes += request.log.size;
-    this.finished.push({ request, until: this.clock.getTime() + this.settings.hold_time });
-    this.removeOld();
+    this.finished.push({ request, expiresAt: this.clock.getTime() + this.settings.hold_time });
+    this.removeExpired();
   }
 
   /** Resolves when no request is open. */
   async waitForIdle(): Promise<void> {
-    while (this.openCount > 0) await new Promise<void>((resolve) => this.idleWakers.push(resolve));
+    while (this.openCount > 0) await new Promise<void>((resolve) => this.idleWaiters.push(resolve));
   }
 
   /** Lets go of answers whose time is over, and of the oldest while memory is short. */
-  private removeOld(): void {
+  private removeExpired(): void {
     const now = this.clock.getTime();
     let count = 0;
-    for (const { request, until } of this.finished) {
-      if (until > now && this.heldBytes <= this.settings.hold_total) break;
+    for (const { request, expiresAt: expiresAt } of this.finished) {
+      if (expiresAt > now && this.heldBytes <= this.settings.hold_total) break;
       this.remove(request);
       count += 1;
     }
     if (count > 0) this.finished.splice(0, count);
   }
 
-  private wakeIdle(): void {
-    const wakers = this.idleWakers;
-    this.idleWakers = [];
-    wakers.forEach((wake) => wake());
+  private notifyIdle(): void {
+    const waiters = this.idleWaiters;
+    this.idleWaiters = [];
+    waiters.forEach((resolve) => resolve());
   }
 
   private remove(request: ActiveRequest): void {
--- a/packages/entry/src/responseFetcher.ts
+++ b/packages/entry/src/responseFetcher.ts
@@ -21,7 +21,7 @@
   PeerKind,
   type WireChunk,
 } from "./peerKinds.js";
-import { ActiveRequest, type Requests, StopReason } from "./requests.js";
+import { ActiveRequest, type RequestRegistry, StopReason } from "./requests.js";
 import { decodeFailure, encodeFailure } from "./wireFailure.js";
 
 /** What the fetcher works with. */
@@ -29,7 +29,7 @@
   readonly settings: EntrySettings;
   readonly clock: Clock;
   readonly links: PeerLinks;
-  readonly requests: Requests;
+  readonly requests: RequestRegistry;
   /** Whether a copy of a request is held here. */
   readonly hasCopy: (request: string) => boolean;
 }
@@ -38,17 +38,17 @@
 interface Mirror {
   readonly request: ActiveRequest;
   readonly holder: string;
-  readonly settle: () => void;
+  readonly close: () => void;
 }
 
-const partChunks = 64;
-const outboxPause = 10;
+const maxChunksPerPart = 64;
+const outboxRetryIntervalMs = 10;
 
 /** Finds and mirrors answers. */
 export class ResponseFetcher {
   private readonly mirrors = new Map<number, Mirror>();
   /** Parts that came before the answer to the call that asked for them was seen. */
-  private readonly early = new Map<number, FollowPart[]>();
+  private readonly earlyParts = new Map<number, FollowPart[]>();
   private nextStream = 1;
 
   private constructor(private readonly parts: FetcherParts) {
@@ -57,7 +57,7 @@
     links.setHandler(PeerKind.Follow, (message, peer) => this.handleFollow(message as FollowMessage, peer));
     links.setHandler(PeerKind.FollowPart, (message) => this.handlePart(message as FollowPart));
     links.setHandler(PeerKind.Cancel, (message) => this.handleCancel(message as CancelMessage));
-    links.onLinkDown((peer) => this.handleDown(peer));
+    links.onLinkDown((peer) => this.handleHolderDown(peer));
   }
 
   static create(parts: FetcherParts): ResponseFetcher {
@@ -79,8 +79,8 @@
         const mirror = await this.openMirror(id, holder);
         if (mirror) return Ok(mirror);
       }
-      const isHopeless = !isCopied && holder === undefined && !this.parts.hasCopy(id);
-      if (isHopeless || clock.getTime() >= end)
+      const isUnavailable = !isCopied && holder === undefined && !this.parts.hasCopy(id);
+      if (isUnavailable || clock.getTime() >= end)
         return Err(Failure.create(FailureCode.RequestUnknown, { request: id }));
       await waitFor(clock, settings.backups.locate_pause);
     }
@@ -127,23 +127,23 @@
     const stream = this.nextStream++;
     const message: FollowMessage = { kind: PeerKind.Follow, request: id, stream };
     const pending: FollowPart[] = [];
-    this.early.set(stream, pending);
+    this.earlyParts.set(stream, pending);
     const answer = await links.call(holder, message, settings.backups.ack_timeout);
-    this.early.delete(stream);
+    this.earlyParts.delete(stream);
     const reply = answer.isOk() ? (answer.value as FollowReply) : undefined;
     if (!reply?.envelope) return undefined;
     const now = clock.getTime();
     const request = ActiveRequest.create(reply.envelope, settings.requests.hold_bytes, now, Infinity);
     request.attachedTo = reply.attachedTo;
-    this.mirrors.set(stream, { request, holder, settle: () => this.mirrors.delete(stream) });
+    this.mirrors.set(stream, { request, holder, close: () => this.mirrors.delete(stream) });
     for (const part of pending) this.handlePart(part);
     return request;
   }
 
   private handlePart(part: FollowPart): void {
-    const early = this.early.get(part.stream);
-    if (early) {
-      early.push(part);
+    const earlyParts = this.earlyParts.get(part.stream);
+    if (earlyParts) {
+      earlyParts.push(part);
       return;
     }
     const mirror = this.mirrors.get(part.stream);
@@ -153,16 +153,16 @@
     for (const chunk of part.chunks) void log.add(decodeChunk(chunk));
     if (part.isComplete) log.complete();
     if (part.failure) log.fail(decodeFailure(part.failure));
-    if (part.isMoved) log.move();
-    if (log.state !== ResponseState.Open) mirror.settle();
+    if (part.isMoved) log.markMoved();
+    if (log.state !== ResponseState.Open) mirror.close();
   }
 
-  private handleDown(peer: PeerIdentity): void {
+  private handleHolderDown(peer: PeerIdentity): void {
     for (const mirror of [...this.mirrors.values()]) {
       if (mirror.holder !== peer.name) continue;
       // The caller is sent to ask again: by then the backup has taken over.
-      mirror.request.log.move();
-      mirror.settle();
+      mirror.request.log.markMoved();
+      mirror.close();
     }
   }
 
@@ -171,7 +171,7 @@
     if (!request || request.log.state === ResponseState.Moved)
       return { envelope: undefined, attachedTo: undefined, isWhole: false };
     const isWhole = request.log.canFollow(0);
-    if (isWhole) void this.feed(request, message.stream, peer);
+    if (isWhole) void this.sendResponse(request, message.stream, peer);
     return {
       envelope: { ...request.envelope, body: new Uint8Array(0) },
       attachedTo: request.attachedTo,
@@ -180,27 +180,27 @@
   }
 
   /** Sends an answer's chunks as they come, many in one frame where many are there. */
-  private async feed(request: ActiveRequest, stream: number, peer: PeerIdentity): Promise<void> {
+  private async sendResponse(request: ActiveRequest, stream: number, peer: PeerIdentity): Promise<void> {
     const { log } = request;
     const stop = new AbortController();
     let chunks: WireChunk[] = [];
-    let seen = 0;
+    let followedCount = 0;
     for await (const chunk of log.follow(0, stop.signal)) {
       chunks.push(encodeChunk(chunk));
-      seen += 1;
-      if (chunks.length < partChunks && seen < log.count) continue;
-      const isSent = await this.sendPatiently(peer, this.createPart(request, stream, chunks, false));
+      followedCount += 1;
+      if (chunks.length < maxChunksPerPart && followedCount < log.count) continue;
+      const isSent = await this.sendWithRetry(peer, this.createPart(request, stream, chunks, false));
       if (!isSent) return;
       chunks = [];
     }
-    await this.sendPatiently(peer, this.createPart(request, stream, chunks, true));
+    await this.sendWithRetry(peer, this.createPart(request, stream, chunks, true));
   }
 
   /** Waits while the peer's outbox is full; false where the link is gone. */
-  private async sendPatiently(peer: PeerIdentity, part: FollowPart): Promise<boolean> {
+  private async sendWithRetry(peer: PeerIdentity, part: FollowPart): Promise<boolean> {
     while (!this.parts.links.send(peer.name, part)) {
       if (!this.parts.links.isLinked(peer.name)) return false;
-      await waitFor(this.parts.clock, outboxPause);
+      await waitFor(this.parts.clock, outboxRetryIntervalMs);
     }
     return true;
   }
--- a/packages/entry/src/responseLog.ts
+++ b/packages/entry/src/responseLog.ts
@@ -16,11 +16,11 @@
 }
 
 /** Bytes that a writer may be ahead of the slowest reader. */
-const windowBytes = 1_048_576;
+const maxReaderLagBytes = 1_048_576;
 
 interface Reader {
   /** Bytes of the answer this reader has taken. */
-  taken: number;
+  takenBytes: number;
 }
 
 /** An answer that grows. */
@@ -36,7 +36,7 @@
   /** Chunks up to this index may be given to callers: a backup holds them. */
   private released = Infinity;
   private readonly readers = new Set<Reader>();
-  private wakers: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
 
   private constructor(private readonly holdBytes: number) {}
 
@@ -78,7 +78,7 @@
 
   setHead(head: ResponseHead): void {
     this.head ??= head;
-    this.wake();
+    this.notifyWaiters();
   }
 
   /** Adds a chunk; resolves when there is room for the next. */
@@ -87,15 +87,15 @@
     this.chunks.push(chunk);
     this.bytes += size;
     this.heldBytes += size;
-    this.wake();
+    this.notifyWaiters();
     this.dropOldest();
-    while (this.state === ResponseState.Open && this.readers.size > 0 && this.getLag() > windowBytes) {
+    while (this.state === ResponseState.Open && this.readers.size > 0 && this.getLag() > maxReaderLagBytes) {
       await this.waitForChange();
     }
   }
 
   /** Fills a new log with what another entry had of the answer. */
-  load(head: ResponseHead | undefined, chunks: readonly ResponseChunk[]): void {
+  restore(head: ResponseHead | undefined, chunks: readonly ResponseChunk[]): void {
     this.head = head;
     this.chunks = [...chunks];
     this.heldBytes = chunks.reduce((sum, chunk) => sum + getChunkBytes(chunk), 0);
@@ -106,7 +106,7 @@
   complete(): void {
     if (this.state !== ResponseState.Open) return;
     this.state = ResponseState.Complete;
-    this.wake();
+    this.notifyWaiters();
   }
 
   /** Ends the answer without one. */
@@ -114,14 +114,14 @@
     if (this.state !== ResponseState.Open) return;
     this.state = ResponseState.Failed;
     this.failure = failure;
-    this.wake();
+    this.notifyWaiters();
   }
 
   /** Ends the answer here because it goes on at another entry. */
-  move(): void {
+  markMoved(): void {
     if (this.state !== ResponseState.Open) return;
     this.state = ResponseState.Moved;
-    this.wake();
+    this.notifyWaiters();
   }
 
   /** Index after the last chunk. */
@@ -137,11 +137,11 @@
   /** Lets callers have chunks up to an index; `Infinity` lets them have whatever comes. */
   release(index: number): void {
     this.released = index;
-    this.wake();
+    this.notifyWaiters();
   }
 
   /** Whether chunks wait for a backup before callers may have them. */
-  get isGated(): boolean {
+  get hasUnreleased(): boolean {
     return this.released < this.count;
   }
 
@@ -163,10 +163,10 @@
 
   /** Yields chunks from a position on until the answer ends or the signal is aborted. */
   async *follow(position: number, signal: AbortSignal): AsyncGenerator<ResponseChunk> {
-    const reader: Reader = { taken: this.bytes - this.heldBytes };
+    const reader: Reader = { takenBytes: this.bytes - this.heldBytes };
     this.readers.add(reader);
-    const wake = (): void => this.wake();
-    signal.addEventListener("abort", wake);
+    const handleAbort = (): void => this.notifyWaiters();
+    signal.addEventListener("abort", handleAbort);
     let index = this.dropped;
     try {
       while (!signal.aborted) {
@@ -175,9 +175,9 @@
           index += 1;
           // An end mark without data stands at the position where a reader may already be.
           if (chunk.position >= position || chunk.finish !== undefined) yield chunk;
-          reader.taken += getChunkBytes(chunk);
+          reader.takenBytes += getChunkBytes(chunk);
           this.dropOldest();
-          if (this.readers.size > 0) this.wake();
+          if (this.readers.size > 0) this.notifyWaiters();
         } else if (this.state !== ResponseState.Open && index >= Math.min(this.released, this.count)) {
           // A moved answer is taken up at the other entry from what was released here.
           if (this.state === ResponseState.Moved || index >= this.count) return;
@@ -187,15 +187,15 @@
         }
       }
     } finally {
-      signal.removeEventListener("abort", wake);
+      signal.removeEventListener("abort", handleAbort);
       this.readers.delete(reader);
-      this.wake();
+      this.notifyWaiters();
     }
   }
 
   private getLag(): number {
     let lag = 0;
-    for (const reader of this.readers) lag = Math.max(lag, this.bytes - reader.taken);
+    for (const reader of this.readers) lag = Math.max(lag, this.bytes - reader.takenBytes);
     return lag;
   }
 
@@ -214,14 +214,14 @@
   }
 
   private waitForChange(): Promise<void> {
-    return new Promise((resolve) => this.wakers.push(resolve));
+    return new Promise((resolve) => this.waiters.push(resolve));
   }
 
-  private wake(): void {
-    const wakers = this.wakers;
-    if (wakers.length === 0) return;
-    this.wakers = [];
-    for (const waker of wakers) waker();
+  private notifyWaiters(): void {
+    const waiters = this.waiters;
+    if (waiters.length === 0) return;
+    this.waiters = [];
+    for (const resolve of waiters) resolve();
   }
 }
 
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -28,8 +28,8 @@
 import type { KeyLookup } from "./keyLookup.js";
 import { sendProblem } from "./problem.js";
 import { readBody, type RequestBody } from "./requestBody.js";
-import { type ActiveRequest, type Requests, StopReason } from "./requests.js";
-import { freshRun, type Runner } from "./runner.js";
+import { type ActiveRequest, type RequestRegistry, StopReason } from "./requests.js";
+import { newRequestOptions, type RequestRunner } from "./runner.js";
 import { type Envelope, ModelForm, type ModelRequest } from "./types.js";
 
 /** What the routes work with. */
@@ -37,8 +37,8 @@
   readonly settings: EntrySettings;
   readonly clock: Clock;
   readonly admission: AdmissionControl;
-  readonly requests: Requests;
-  readonly runner: Runner;
+  readonly requests: RequestRegistry;
+  readonly runner: RequestRunner;
   readonly backups: BackupWriter;
   readonly fetcher: ResponseFetcher;
   readonly keys: KeyLookup;
@@ -169,7 +169,7 @@
     decisions.add(envelope.id, DecisionStage.Admission, DecisionRule.RowAdmitted, inputs);
     const request = requests.add(envelope);
     void this.run(request, candidate.body.rest).then(() => {
-      admitted.value.leave(Math.max(0, work - promptTokens - request.log.end));
+      admitted.value.release(Math.max(0, work - promptTokens - request.log.end));
       requests.finish(request);
     });
     await this.answer(exchange, request, 0, isStream);
@@ -200,9 +200,9 @@
     // A body that is streamed through is held by nobody: there is nothing to copy.
     const conflict = rest
       ? undefined
-      : (keys.findCopied(request.envelope.keyDigest) ?? (await backups.protect(request)));
+      : (keys.findCopied(request.envelope.keyDigest) ?? (await backups.replicate(request)));
     if (conflict) return runner.runAttached(request, conflict.request, conflict.body);
-    await runner.run(request, { ...freshRun, rest });
+    await runner.run(request, { ...newRequestOptions, rest });
   }
 
   /**
--- a/packages/entry/src/rowShares.ts
+++ b/packages/entry/src/rowShares.ts
@@ -20,25 +20,25 @@
 import { type AskShareMessage, PeerKind, type ShareReply } from "./peerKinds.js";
 
 /** Dimensions of a row's limits: requests/s, tokens/s, requests at once. */
-const kinds = [AmountKind.Divisible, AmountKind.Divisible, AmountKind.Whole] as const;
-const nothing: Amounts = [0, 0, 0];
+const amountKinds = [AmountKind.Divisible, AmountKind.Divisible, AmountKind.Whole] as const;
+const zeroAmounts: Amounts = [0, 0, 0];
 const millisecondsPerSecond = 1000;
 /** Weight of the newest window in the demand. */
-const smoothing = 0.5;
+const demandSmoothing = 0.5;
 
 interface AllocatedRow {
   readonly row: PolicyRow;
   amounts: Amounts | undefined;
   /** Monotonic time at which the loan ends. */
-  until: number;
+  expiresAt: number;
   /** Arrivals since the last question: requests, tokens. */
   requests: number;
   tokens: number;
   /** Most requests that were inside or turned away at once since then. */
-  peak: number;
+  peakConcurrency: number;
   wanted: Amounts;
-  askedAt: number;
-  isAsking: boolean;
+  requestedAt: number;
+  isRefreshing: boolean;
 }
 
 /** Borrows and lends shares. */
@@ -62,8 +62,10 @@
       },
       isReachable: (name) => links.isLinked(name),
     };
-    this.allocator = ShareAllocator.create(clock, own, this.members, kinds, settings.loan);
-    links.setHandler(PeerKind.AskShare, (message, peer) => this.handleAsk(message as AskShareMessage, peer));
+    this.allocator = ShareAllocator.create(clock, own, this.members, amountKinds, settings.loan);
+    links.setHandler(PeerKind.AskShare, (message, peer) =>
+      this.handleShareRequest(message as AskShareMessage, peer),
+    );
   }
 
   static create(
@@ -90,101 +92,105 @@
   /** Counts an arrival and returns this entry's share of its row now. */
   getShare(row: PolicyRow, active: number, tokens: number): RowShare {
     const name = getRowName(row);
-    const borrowed = this.getAllocatedRow(name, row);
-    borrowed.requests += 1;
-    borrowed.tokens += tokens;
-    borrowed.peak = Math.max(borrowed.peak, active + 1);
-    const isDue = this.clock.getTime() - borrowed.askedAt >= this.settings.ask_interval;
-    if (isDue && !borrowed.isAsking) void this.follow(name, borrowed);
-    const isLent = borrowed.amounts !== undefined && borrowed.until > this.clock.getTime();
-    const amounts = isLent && borrowed.amounts ? borrowed.amounts : this.getSplit(row);
+    const allocated = this.getAllocatedRow(name, row);
+    allocated.requests += 1;
+    allocated.tokens += tokens;
+    allocated.peakConcurrency = Math.max(allocated.peakConcurrency, active + 1);
+    const isDue = this.clock.getTime() - allocated.requestedAt >= this.settings.ask_interval;
+    if (isDue && !allocated.isRefreshing) void this.refreshWhileActive(name, allocated);
+    const isCurrent = allocated.amounts !== undefined && allocated.expiresAt > this.clock.getTime();
+    const amounts = isCurrent && allocated.amounts ? allocated.amounts : this.getEqualShare(row);
     const [requestsPerSecond = 0, tokensPerSecond = 0, concurrency = 0] = amounts;
     return { requestsPerSecond, tokensPerSecond, concurrency };
   }
 
-  private getSplit(row: PolicyRow): Amounts {
-    return getEqualSplit(getRowName(row), getLimit(row), kinds, this.own, this.members.getLive());
+  private getEqualShare(row: PolicyRow): Amounts {
+    return getEqualSplit(getRowName(row), getLimit(row), amountKinds, this.own, this.members.getLive());
   }
 
   private getAllocatedRow(name: string, row: PolicyRow): AllocatedRow {
     const present = this.allocatedRows.get(name);
     // A row that was edited has other limits: what was lent of the old ones says nothing.
     if (present?.row === row) return present;
-    const fresh: AllocatedRow = {
+    const allocated: AllocatedRow = {
       row,
       amounts: undefined,
-      until: 0,
+      expiresAt: 0,
       requests: 0,
       tokens: 0,
-      peak: 0,
-      wanted: nothing,
-      askedAt: -Infinity,
-      isAsking: false,
+      peakConcurrency: 0,
+      wanted: zeroAmounts,
+      requestedAt: -Infinity,
+      isRefreshing: false,
     };
-    this.allocatedRows.set(name, fresh);
-    return fresh;
+    this.allocatedRows.set(name, allocated);
+    return allocated;
   }
 
   /** Asks again and again while requests come; ends when none came for a loan's time. */
-  private async follow(name: string, borrowed: AllocatedRow): Promise<void> {
-    borrowed.isAsking = true;
-    while (borrowed.requests > 0 && this.allocatedRows.get(name) === borrowed) {
-      await this.ask(name, borrowed);
+  private async refreshWhileActive(name: string, allocated: AllocatedRow): Promise<void> {
+    allocated.isRefreshing = true;
+    while (allocated.requests > 0 && this.allocatedRows.get(name) === allocated) {
+      await this.requestAllocation(name, allocated);
       await waitFor(this.clock, this.settings.ask_interval);
     }
-    borrowed.isAsking = false;
-    if (this.allocatedRows.get(name) === borrowed && borrowed.until < this.clock.getTime())
+    allocated.isRefreshing = false;
+    if (this.allocatedRows.get(name) === allocated && allocated.expiresAt < this.clock.getTime())
       this.allocatedRows.delete(name);
   }
 
-  private async ask(name: string, borrowed: AllocatedRow): Promise<void> {
+  private async requestAllocation(name: string, allocated: AllocatedRow): Promise<void> {
     const now = this.clock.getTime();
-    const wanted = this.takeDemand(borrowed, now);
-    const isHeld = borrowed.until > now;
-    const held = (isHeld ? borrowed.amounts : undefined) ?? nothing;
-    const lender = getAllocator(name, this.members.getLive());
-    if (lender === this.own) {
+    const wanted = this.measureDemand(allocated, now);
+    const isHeld = allocated.expiresAt > now;
+    const held = (isHeld ? allocated.amounts : undefined) ?? zeroAmounts;
+    const allocator = getAllocator(name, this.members.getLive());
+    if (allocator === this.own) {
       this.setAllocation(
-        borrowed,
-        this.allocator.allocate(name, getLimit(borrowed.row), this.own, { wanted, held }),
+        allocated,
+        this.allocator.allocate(name, getLimit(allocated.row), this.own, { wanted, held }),
         now,
       );
       return;
     }
-    if (lender === undefined) return;
+    if (allocator === undefined) return;
     const message: AskShareMessage = { kind: PeerKind.AskShare, row: name, demand: { wanted, held } };
-    const answer = await this.links.call(lender, message, this.settings.ask_interval);
-    if (answer.isOk()) this.setAllocation(borrowed, (answer.value as ShareReply).amounts, now);
+    const answer = await this.links.call(allocator, message, this.settings.ask_interval);
+    if (answer.isOk()) this.setAllocation(allocated, (answer.value as ShareReply).amounts, now);
   }
 
   /** Counts the loan from when it was asked for: the lender cannot have counted from earlier. */
-  private setAllocation(borrowed: AllocatedRow, amounts: Amounts | undefined, askedAt: number): void {
+  private setAllocation(allocated: AllocatedRow, amounts: Amounts | undefined, requestedAt: number): void {
     if (!amounts) return;
-    borrowed.amounts = amounts;
-    borrowed.until = askedAt + this.settings.loan;
+    allocated.amounts = amounts;
+    allocated.expiresAt = requestedAt + this.settings.loan;
   }
 
-  private takeDemand(borrowed: AllocatedRow, now: number): Amounts {
+  private measureDemand(allocated: AllocatedRow, now: number): Amounts {
     const elapsed = Math.max(
       this.settings.ask_interval,
-      Math.min(now - borrowed.askedAt, this.settings.loan),
+      Math.min(now - allocated.requestedAt, this.settings.loan),
     );
     const perSecond = millisecondsPerSecond / elapsed;
-    const measured = [borrowed.requests * perSecond, borrowed.tokens * perSecond, borrowed.peak];
-    const isFirst = borrowed.askedAt === -Infinity;
-    borrowed.wanted = measured.map((amount, dimension) => {
-      const before = borrowed.wanted[dimension] ?? 0;
+    const measured = [
+      allocated.requests * perSecond,
+      allocated.tokens * perSecond,
+      allocated.peakConcurrency,
+    ];
+    const isFirst = allocated.requestedAt === -Infinity;
+    allocated.wanted = measured.map((amount, dimension) => {
+      const before = allocated.wanted[dimension] ?? 0;
       // More is asked for at once, less only by and by: demand comes in bursts.
-      return isFirst || amount > before ? amount : before + (amount - before) * smoothing;
+      return isFirst || amount > before ? amount : before + (amount - before) * demandSmoothing;
     });
-    borrowed.requests = 0;
-    borrowed.tokens = 0;
-    borrowed.peak = 0;
-    borrowed.askedAt = now;
-    return borrowed.wanted;
+    allocated.requests = 0;
+    allocated.tokens = 0;
+    allocated.peakConcurrency = 0;
+    allocated.requestedAt = now;
+    return allocated.wanted;
   }
 
-  private handleAsk(message: AskShareMessage, peer: PeerIdentity): ShareReply {
+  private handleShareRequest(message: AskShareMessage, peer: PeerIdentity): ShareReply {
     const row = this.getTable()?.configuration.rows.find((each) => getRowName(each) === message.row);
     if (!row) return { amounts: undefined };
     return { amounts: this.allocator.allocate(message.row, getLimit(row), peer.name, message.demand) };
--- a/packages/entry/src/runner.ts
+++ b/packages/entry/src/runner.ts
@@ -14,14 +14,14 @@
   RetryDecision,
 } from "@gladewall/policy";
 import { Err, Ok, type Result } from "ts-results-es";
-import { decideAfterFailure, describeOutcome, describeStop } from "./afterFailure.js";
+import { decideAfterFailure, applyRequestOutcome, createStopFailure } from "./afterFailure.js";
 import type { ResponseFetcher } from "./responseFetcher.js";
 import { ResponseState } from "./responseLog.js";
-import { type AttemptRunner, getPrefill } from "./attempt.js";
+import { type AttemptRunner, getPrefillTokens } from "./attempt.js";
 import type { BackupWriter } from "./backupWriter.js";
 import { type ClaimGuard, type SendCheck, SendDecision } from "./claimGuard.js";
 import type { DecisionWriter } from "./decisions.js";
-import type { Dispatcher, Placed } from "./dispatcher.js";
+import type { Dispatcher, QueuedPlacement } from "./dispatcher.js";
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
 import { getWorkTokens } from "./envelope.js";
@@ -40,7 +40,7 @@
   readonly decisions: DecisionWriter;
   readonly metrics: EntryMetrics;
   readonly attempts: AttemptRunner;
-  readonly gate: ClaimGuard;
+  readonly claimGuard: ClaimGuard;
   readonly backups: BackupWriter;
   readonly fetcher: ResponseFetcher;
 }
@@ -50,28 +50,28 @@
   /** Rest of a body too large to be held. */
   readonly rest: AsyncIterable<Uint8Array> | undefined;
   /** Taken over from another entry. */
-  readonly isBackup: boolean;
+  readonly isTakenOver: boolean;
   /** Whether this entry may start it; false where its holder may have sent it without a claim. */
   readonly mayStart: boolean;
 }
 
 /** Options of a request that a caller has just brought. */
-export const freshRun: RunOptions = { rest: undefined, isBackup: false, mayStart: true };
+export const newRequestOptions: RunOptions = { rest: undefined, isTakenOver: false, mayStart: true };
 
 /** How the following of another request of the same key came to an end. */
-enum FollowEnd {
+enum FollowResult {
   Complete = 1,
   Failed = 2,
   /** Its beginning is no longer held. */
   NotHeld = 3,
   /** It follows this one. */
-  Circle = 4,
+  Cycle = 4,
   /** It goes on at another entry. */
   Moved = 5,
 }
 
 /** State of one request's attempts. */
-interface Attempts {
+interface AttemptState {
   count: number;
   readonly excluded: Set<string>;
   readonly avoidedHalls: Set<string>;
@@ -79,11 +79,11 @@
 }
 
 /** Runs requests. */
-export class Runner {
+export class RequestRunner {
   private constructor(private readonly parts: RunnerParts) {}
 
-  static create(parts: RunnerParts): Runner {
-    return new Runner(parts);
+  static create(parts: RunnerParts): RequestRunner {
+    return new RequestRunner(parts);
   }
 
   /** Runs a request; its log has ended when this resolves. */
@@ -92,12 +92,12 @@
     const timer = clock.startTimer(request.deadline - clock.getTime(), () =>
       request.stop.abort(StopReason.DeadlinePassed),
     );
-    const result = options.isBackup
-      ? await this.runTakenOver(request, options)
+    const result = options.isTakenOver
+      ? await this.continueTakenOver(request, options)
       : await this.runAttempts(request, options);
     timer.cancel();
     if (result.isOk()) this.finish(request);
-    else if (request.stopReason === StopReason.HandedOver) request.log.move();
+    else if (request.stopReason === StopReason.HandedOver) request.log.markMoved();
     else await this.fail(request, result.error);
     this.parts.backups.finish(request);
   }
@@ -110,16 +110,19 @@
     this.parts.backups.finish(request);
   }
 
-  private async runTakenOver(request: ActiveRequest, options: RunOptions): Promise<Result<void, Failure>> {
+  private async continueTakenOver(
+    request: ActiveRequest,
+    options: RunOptions,
+  ): Promise<Result<void, Failure>> {
     const isNever = request.envelope.repeat === RepeatRule.Never;
     // Whatever its holder did with it, nobody can say any more that it surely did not run.
     request.mayHaveRun = request.run !== undefined || !options.mayStart;
     const attached = await this.tryAttach(request);
     if (attached?.isOk()) return attached;
     const failure = attached?.isErr() ? attached.error : Failure.create(FailureCode.ClaimUnavailable);
-    if (request.stopReason !== undefined) return Err(describeStop(request, failure));
+    if (request.stopReason !== undefined) return Err(createStopFailure(request, failure));
     const mayRunElsewhere = !isNever || (request.run === undefined && options.mayStart);
-    if (!mayRunElsewhere) return Err(describeOutcome(request, failure.withOutcome(Outcome.Unknown)));
+    if (!mayRunElsewhere) return Err(applyRequestOutcome(request, failure.withOutcome(Outcome.Unknown)));
     return this.runAttempts(request, options);
   }
 
@@ -135,7 +138,7 @@
 
   private async runAttempts(request: ActiveRequest, options: RunOptions): Promise<Result<void, Failure>> {
     const count = request.run?.attempt ?? 0;
-    const attempts: Attempts = {
+    const attempts: AttemptState = {
       count,
       excluded: new Set(),
       avoidedHalls: new Set(),
@@ -143,29 +146,29 @@
     };
     while (true) {
       const placed = await this.place(request, attempts);
-      if (placed.isErr()) return Err(this.describeUnplaced(request, placed.error));
+      if (placed.isErr()) return Err(this.createPlacementFailure(request, placed.error));
       attempts.count += 1;
       const { placement } = placed.value;
-      const prefill = getPrefill(request, placement);
+      const prefillTokens = getPrefillTokens(request, placement);
       const endpoint = this.parts.fleet.get(placement.endpoint.record.id);
       if (!endpoint) continue;
       const runId = this.parts.attempts.getRunId(request, attempts.count);
-      const gate = await this.parts.gate.ensureClaim(
+      const claimCheck = await this.parts.claimGuard.ensureClaim(
         request,
         placement.endpoint.record.id,
         runId,
-        options.isBackup,
+        options.isTakenOver,
       );
-      if (gate.isErr() || gate.value.verdict === SendDecision.Lost) {
-        placement.endpoint.cancelDispatch(prefill);
-        return this.handleUnclaimed(request, gate);
+      if (claimCheck.isErr() || claimCheck.value.decision === SendDecision.Lost) {
+        placement.endpoint.cancelDispatch(prefillTokens);
+        return this.handleUnclaimed(request, claimCheck);
       }
       if (request.stopReason !== undefined) {
-        placement.endpoint.cancelDispatch(prefill);
-        return Err(describeStop(request, Failure.create(FailureCode.EndpointRefused)));
+        placement.endpoint.cancelDispatch(prefillTokens);
+        return Err(createStopFailure(request, Failure.create(FailureCode.EndpointRefused)));
       }
       const { cacheSource } = attempts;
-      const attempt = { endpoint, attempt: attempts.count, prefill, cacheSource, rest: options.rest };
+      const attempt = { endpoint, attempt: attempts.count, prefillTokens, cacheSource, rest: options.rest };
       const result = await this.parts.attempts.run(request, attempt);
       if (result.isOk()) return result;
       const next = this.decideNext(request, endpoint, attempts, result.error, options);
@@ -175,10 +178,10 @@
 
   private async handleUnclaimed(
     request: ActiveRequest,
-    gate: Result<SendCheck, Failure>,
+    claimCheck: Result<SendCheck, Failure>,
   ): Promise<Result<void, Failure>> {
-    if (gate.isErr()) return Err(describeOutcome(request, gate.error));
-    const { standing } = gate.value;
+    if (claimCheck.isErr()) return Err(applyRequestOutcome(request, claimCheck.error));
+    const { currentClaim: standing } = claimCheck.value;
     if (!standing) return Err(Failure.create(FailureCode.ClaimUnavailable));
     if (standing.request !== request.envelope.id)
       return this.followOther(request, standing.request, standing.body);
@@ -193,14 +196,14 @@
     if (canAttach) {
       request.run = {
         runId: standing.run,
-        attempt: getAttemptOfRun(standing.run),
+        attempt: getAttemptNumber(standing.run),
         endpoint: standing.endpoint,
       };
       const attached = await this.parts.attempts.attach(request, endpoint);
       if (attached.isOk()) return attached;
     }
     const failure = Failure.create(FailureCode.EndpointRunUnknown, { endpoint: standing.endpoint });
-    return Err(describeOutcome(request, failure.withOutcome(Outcome.Unknown)));
+    return Err(applyRequestOutcome(request, failure.withOutcome(Outcome.Unknown)));
   }
 
   /** Gives this caller the answer of the request that has the same key. */
@@ -219,52 +222,56 @@
         const failure = Failure.create(FailureCode.AlreadyRun, { request: other });
         return Err(failure.withOutcome(Outcome.Unknown));
       }
-      const end = found.value.attachedTo === id ? FollowEnd.Circle : await this.pipe(request, found.value);
+      const end = found.value.attachedTo === id ? FollowResult.Cycle : await this.pipe(request, found.value);
       const result = this.finishFollowing(request, found.value, end);
       if (result) return result;
       await waitFor(this.parts.clock, this.parts.settings.backups.locate_pause, request.stop.signal);
     }
-    return Err(describeStop(request, Failure.create(FailureCode.AlreadyRun, { request: other })));
+    return Err(createStopFailure(request, Failure.create(FailureCode.AlreadyRun, { request: other })));
   }
 
   /** Returns how a followed request ends this one; undefined where it is to be looked for again. */
   private finishFollowing(
     request: ActiveRequest,
     source: ActiveRequest,
-    end: FollowEnd,
+    end: FollowResult,
   ): Promise<Result<void, Failure>> | Result<void, Failure> | undefined {
     const { failure } = source.log;
     const runItself = (): Promise<Result<void, Failure>> => {
       request.attachedTo = undefined;
-      return this.runAttempts(request, freshRun);
+      return this.runAttempts(request, newRequestOptions);
     };
-    const handlers: Readonly<Record<FollowEnd, () => ReturnType<Runner["finishFollowing"]>>> = {
-      [FollowEnd.Complete]: () => Ok.EMPTY,
+    const handlers: Readonly<Record<FollowResult, () => ReturnType<RequestRunner["finishFollowing"]>>> = {
+      [FollowResult.Complete]: () => Ok.EMPTY,
       // What was not run has no answer to give: this request is the first that may run.
-      [FollowEnd.Failed]: () =>
-        failure?.outcome === Outcome.NotRun ? runItself() : Err(failure ?? createLost(source)),
-      [FollowEnd.NotHeld]: () => Err(Failure.create(FailureCode.AlreadyRun, { request: source.envelope.id })),
+      [FollowResult.Failed]: () =>
+        failure?.outcome === Outcome.NotRun ? runItself() : Err(failure ?? createAlreadyRunFailure(source)),
+      [FollowResult.NotHeld]: () =>
+        Err(Failure.create(FailureCode.AlreadyRun, { request: source.envelope.id })),
       // Each was sent to the other, because entries saw different peers. The lower id runs; the other waits for it.
-      [FollowEnd.Circle]: () => (request.envelope.id < source.envelope.id ? runItself() : undefined),
-      [FollowEnd.Moved]: () => undefined,
+      [FollowResult.Cycle]: () => (request.envelope.id < source.envelope.id ? runItself() : undefined),
+      [FollowResult.Moved]: () => undefined,
     };
     return handlers[end]();
   }
 
   /** Copies another request's answer as it comes, from where this one's has got to. */
-  private async pipe(request: ActiveRequest, source: ActiveRequest): Promise<FollowEnd> {
+  private async pipe(request: ActiveRequest, source: ActiveRequest): Promise<FollowResult> {
     const { log } = source;
-    if (!log.canFollow(request.log.end)) return FollowEnd.NotHeld;
+    if (!log.canFollow(request.log.end)) return FollowResult.NotHeld;
     for await (const chunk of log.follow(request.log.end, request.stop.signal)) {
       if (log.head) request.log.setHead(log.head);
       await request.log.add(chunk);
     }
     if (log.head) request.log.setHead(log.head);
-    if (log.state === ResponseState.Complete) return FollowEnd.Complete;
-    return log.state === ResponseState.Moved ? FollowEnd.Moved : FollowEnd.Failed;
+    if (log.state === ResponseState.Complete) return FollowResult.Complete;
+    return log.state === ResponseState.Moved ? FollowResult.Moved : FollowResult.Failed;
   }
 
-  private async place(request: ActiveRequest, attempts: Attempts): Promise<Result<Placed, Failure>> {
+  private async place(
+    request: ActiveRequest,
+    attempts: AttemptState,
+  ): Promise<Result<QueuedPlacement, Failure>> {
     const { envelope } = request;
     const placement: PlacementRequest = {
       service: envelope.service,
@@ -283,13 +290,13 @@
     return placed;
   }
 
-  private recordPlacement(request: ActiveRequest, placed: Placed, attempt: number): void {
+  private recordPlacement(request: ActiveRequest, placed: QueuedPlacement, attempt: number): void {
     const { id, service } = request.envelope;
-    const { placement, waited, ahead } = placed;
+    const { placement, waitMs, ahead } = placed;
     const { decisions, fleet } = this.parts;
     const hasWaited = ahead > 0;
     const rule = hasWaited ? DecisionRule.QueuedBehind : DecisionRule.ServedAtOnce;
-    decisions.add(id, DecisionStage.Queue, rule, { wait: waited, ahead, service });
+    decisions.add(id, DecisionStage.Queue, rule, { wait: waitMs, ahead, service });
     const { record } = placement.endpoint;
     const inputs = { endpoint: record.id, hall: record.hall, attempt, count: fleet.getLoads(service).length };
     decisions.add(id, DecisionStage.Placement, DecisionRule.PlacedByScore, inputs, placement.alternatives);
@@ -299,27 +306,27 @@
   private decideNext(
     request: ActiveRequest,
     endpoint: Endpoint,
-    attempts: Attempts,
+    attempts: AttemptState,
     failure: Failure,
     options: RunOptions,
   ): Result<void, Failure> {
     const { envelope } = request;
     const { record } = endpoint.load;
     if (failure.outcome !== Outcome.NotRun) request.mayHaveRun = true;
-    if (request.stopReason !== undefined) return Err(describeStop(request, failure));
+    if (request.stopReason !== undefined) return Err(createStopFailure(request, failure));
     const wasMoved = request.attemptStop.signal.aborted;
     if (!wasMoved) this.countFailure(endpoint, failure);
-    const verdict = decideAfterFailure({
+    const decision = decideAfterFailure({
       request,
       failure,
       attempts: attempts.count,
-      highestAttempts: this.parts.settings.requests.attempts,
-      remaining: request.deadline - this.parts.clock.getTime(),
+      maxAttempts: this.parts.settings.requests.attempts,
+      remainingMs: request.deadline - this.parts.clock.getTime(),
       budget: this.parts.budget,
       isStreamedBody: options.rest !== undefined,
     });
     const inputs = { attempt: attempts.count, endpoint: record.id };
-    if (verdict === RetryDecision.GiveUp) {
+    if (decision === RetryDecision.GiveUp) {
       this.parts.decisions.addFailure(
         envelope.id,
         DecisionStage.Retry,
@@ -327,7 +334,7 @@
         failure,
         inputs,
       );
-      return Err(describeOutcome(request, failure));
+      return Err(applyRequestOutcome(request, failure));
     }
     attempts.excluded.add(record.id);
     attempts.avoidedHalls.add(record.hall);
@@ -366,9 +373,9 @@
     this.parts.logger.warn("endpoint.failed", { endpoint: id, failure: failure.name, text: failure.text });
   }
 
-  private describeUnplaced(request: ActiveRequest, failure: Failure): Failure {
-    if (request.stopReason !== undefined) return describeStop(request, failure);
-    return describeOutcome(request, failure);
+  private createPlacementFailure(request: ActiveRequest, failure: Failure): Failure {
+    if (request.stopReason !== undefined) return createStopFailure(request, failure);
+    return applyRequestOutcome(request, failure);
   }
 
   private finish(request: ActiveRequest): void {
@@ -394,7 +401,7 @@
   private async fail(request: ActiveRequest, failure: Failure): Promise<void> {
     const { envelope, log } = request;
     const final = await this.cancelRun(request, failure);
-    if (final.outcome === Outcome.NotRun) await this.parts.gate.release(request);
+    if (final.outcome === Outcome.NotRun) await this.parts.claimGuard.release(request);
     log.fail(final);
     this.parts.metrics.countFailure(envelope, final);
     const rule = final.code === FailureCode.CallerGone ? DecisionRule.CallerLeft : DecisionRule.Failed;
@@ -418,16 +425,17 @@
     const endpoint = run && this.parts.fleet.get(run.endpoint);
     const isStopped = request.stopReason !== undefined;
     if (!endpoint || !isStopped || failure.outcome === Outcome.NotRun) return failure;
-    const word = await endpoint.client.cancel(run.runId);
-    const isNotRun = word === CancelOutcome.NotStarted && run.attempt === 1 && request.log.count === 0;
+    const cancelOutcome = await endpoint.client.cancel(run.runId);
+    const isNotRun =
+      cancelOutcome === CancelOutcome.NotStarted && run.attempt === 1 && request.log.count === 0;
     return isNotRun ? failure.withOutcome(Outcome.NotRun) : failure;
   }
 }
 
-function getAttemptOfRun(run: string): number {
+function getAttemptNumber(run: string): number {
   return Number(run.slice(run.lastIndexOf(".") + 1));
 }
 
-function createLost(source: ActiveRequest): Failure {
+function createAlreadyRunFailure(source: ActiveRequest): Failure {
   return Failure.create(FailureCode.AlreadyRun, { request: source.envelope.id }).withOutcome(Outcome.Unknown);
 }
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -22,22 +22,22 @@
 import { DecisionWriter } from "./decisions.js";
 import { Dispatcher } from "./dispatcher.js";
 import type { EntryMetrics } from "./entryMetrics.js";
-import type { ExplainRing } from "./explainRing.js";
+import type { DecisionHistory } from "./decisionHistory.js";
 import { Fleet } from "./fleet.js";
 import type { Route } from "./front.js";
 import { KeyLookup } from "./keyLookup.js";
 import { LeavingRuns } from "./leavingRuns.js";
 import type { Membership, MembershipParts } from "./membership.js";
-import { type ActiveRequest, Requests, StopReason } from "./requests.js";
+import { type ActiveRequest, RequestRegistry, StopReason } from "./requests.js";
 import { CallerRoutes } from "./routes.js";
 import { RowShares } from "./rowShares.js";
-import { Runner } from "./runner.js";
+import { RequestRunner } from "./runner.js";
 
 /** What serving works with. */
 export interface ServingParts extends MembershipParts {
   readonly membership: Membership;
   readonly metrics: EntryMetrics;
-  readonly ring: ExplainRing;
+  readonly history: DecisionHistory;
   /** Returns the table for new requests, or why none is taken. */
   readonly getTable: () => Result<PolicyTable, Failure>;
 }
@@ -45,26 +45,26 @@
 /** Everything that has to do with requests. */
 export class Serving implements Closeable {
   readonly routes: readonly Route[];
-  readonly requests: Requests;
+  readonly requests: RequestRegistry;
   private readonly fleet: Fleet;
   private readonly dispatcher: Dispatcher;
   private readonly backups: BackupWriter;
   private readonly copies: BackupStore;
-  private readonly runner: Runner;
+  private readonly runner: RequestRunner;
   private readonly shares: RowShares;
   private readonly claimStore: ClaimStore;
 
   private constructor(private readonly parts: ServingParts) {
-    const { clock, logger, metrics, ring, membership, getTable } = parts;
+    const { clock, logger, metrics, history: history, membership, getTable } = parts;
     const settings = parts.getSettings();
     const { links, view } = membership;
     const { name } = settings.entry;
     const prefixes = PrefixIndex.create(settings.placement.prefix_blocks);
-    const decisions = DecisionWriter.create(name, clock, ring);
+    const decisions = DecisionWriter.create(name, clock, history);
     const fleet = Fleet.create(settings.endpoints, clock, logger, view);
     const getOptions = (): PlacementOptions => this.getPlacementOptions();
     const dispatcher = Dispatcher.create(settings.requests, clock, fleet, prefixes, getOptions);
-    const requests = Requests.create(settings.requests, clock);
+    const requests = RequestRegistry.create(settings.requests, clock);
     const base = {
       settings,
       clock,
@@ -76,7 +76,7 @@
       requests,
       decisions,
       metrics,
-      ring,
+      history,
     };
     const backups = BackupWriter.create(base);
     const resume = (request: ActiveRequest, options: ResumeOptions): void => this.resume(request, options);
@@ -86,17 +86,22 @@
     this.claimStore = this.createClaimStore();
     const claims = ClaimClient.create(name, this.claimStore, links, view, settings.claims.peer_timeout);
     const keys = KeyLookup.create(name, links, view, this.copies, claims, settings.backups.ack_timeout);
-    const gate = ClaimGuard.create(createWriterName(name, parts.incarnation), claims, backups, decisions);
+    const claimGuard = ClaimGuard.create(
+      createWriterName(name, parts.incarnation),
+      claims,
+      backups,
+      decisions,
+    );
     const budget = RetryBudget.create(settings.requests.retry_fraction);
-    const runner = Runner.create({ ...base, budget, attempts, gate, backups, fetcher });
+    const runner = RequestRunner.create({ ...base, budget, attempts, claimGuard, backups, fetcher });
     LeavingRuns.create(settings.endpoints, clock, requests, decisions, metrics, fleet);
     this.shares = RowShares.create(name, settings.limits, clock, links, view, () =>
-      membership.getAnyTable().unwrapOr(undefined),
+      membership.getLatestTable().unwrapOr(undefined),
     );
     const admission = AdmissionControl.create(settings.requests, clock, dispatcher, (row, active, tokens) =>
       this.shares.getShare(row, active, tokens),
     );
-    const getAnyTable = (): Result<PolicyTable, Failure> => membership.getAnyTable();
+    const getAnyTable = (): Result<PolicyTable, Failure> => membership.getLatestTable();
     this.routes = CallerRoutes.create({
       ...base,
       admission,
@@ -112,8 +117,8 @@
     this.requests = requests;
     this.backups = backups;
     this.runner = runner;
-    membership.onPeer((peer) =>
-      isUsable(peer) ? backups.protectBare() : backups.handleLeaving(peer.record.id),
+    membership.onPeerChange((peer) =>
+      isUsable(peer) ? backups.replaceMissingBackups() : backups.handleLeaving(peer.record.id),
     );
     this.setGauges();
   }
@@ -146,8 +151,8 @@
   /** Goes on with a request that another entry held. */
   private resume(request: ActiveRequest, { mayStart }: ResumeOptions): void {
     const task = async (): Promise<void> => {
-      await this.backups.protect(request);
-      await this.runner.run(request, { rest: undefined, isBackup: true, mayStart });
+      await this.backups.replicate(request);
+      await this.runner.run(request, { rest: undefined, isTakenOver: true, mayStart });
       this.requests.finish(request);
     };
     void task();
@@ -185,7 +190,7 @@
       this.requests.getOpenCount(),
     );
     registry.registerGauge("gladewall_waiting_requests", "Requests in queues.", () =>
-      this.dispatcher.getTotal(),
+      this.dispatcher.getTotalQueuedCount(),
     );
     registry.registerGauge(
       "gladewall_claim_swaps",
@@ -200,7 +205,7 @@
     );
     registry.registerGauge("gladewall_copies", "Copies held for peers.", () => this.copies.size);
     registry.registerGauge("gladewall_protected", "Requests with a copy elsewhere.", () =>
-      this.backups.getProtectedCount(),
+      this.backups.getReplicatedCount(),
     );
     registry.registerGauge("gladewall_peer_sent_bytes", "Bytes sent to peers.", () => traffic.sentBytes);
     registry.registerGauge(
