--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -1,5 +1,6 @@
 /**
- * One attempt at a request: sends it, takes the answer in, and resumes a cut stream by its run id.
+ * Makes one attempt at a request: sends it to an endpoint, receives the response, and resumes an interrupted stream by
+ * its run id.
  * @module
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
@@ -11,7 +12,7 @@
 import type { ActiveRequest } from "./requests.js";
 import type { ResponseChunk, Dispatch, RunSink } from "./types.js";
 
-/** What attempts work with. */
+/** Dependencies of an attempt runner. */
 export interface AttemptParts {
   readonly entry: string;
   readonly clock: Clock;
@@ -21,17 +22,17 @@
   readonly backups: BackupWriter;
 }
 
-/** One attempt: where, which number, and what goes with it. */
+/** One attempt: its endpoint, its number and what is sent with it. */
 export interface AttemptOptions {
   readonly endpoint: Endpoint;
   readonly attempt: number;
-  /** Prompt tokens that the endpoint has to read, as placement believed. */
+  /** Prompt tokens that the endpoint has to process, as estimated at placement. */
   readonly prefillTokens: number;
   readonly cacheSource: string | undefined;
   readonly rest: AsyncIterable<Uint8Array> | undefined;
 }
 
-/** Makes attempts. */
+/** Makes attempts at requests. */
 export class AttemptRunner {
   private constructor(private readonly parts: AttemptParts) {}
 
@@ -39,12 +40,12 @@
     return new AttemptRunner(parts);
   }
 
-  /** Returns the id of a run: no two entries and no two attempts share one. */
+  /** Returns the id of a run. It is unique per request, entry and attempt. */
   getRunId(request: ActiveRequest, attempt: number): string {
     return `${request.envelope.id}.${this.parts.entry}.${attempt}`;
   }
 
-  /** Sends a request to an endpoint and takes its answer to the end mark. */
+  /** Sends a request to an endpoint and receives the response up to its end marker. */
   async run(request: ActiveRequest, options: AttemptOptions): Promise<Result<void, Failure>> {
     const { endpoint, attempt, rest, cacheSource } = options;
     const runId = this.getRunId(request, attempt);
@@ -60,7 +61,7 @@
     return result;
   }
 
-  /** Attaches to the run that a request has at an endpoint: that repeats nothing. */
+  /** Attaches to the run that a request already has at an endpoint. This starts no run and repeats no work. */
   async attach(request: ActiveRequest, endpoint: Endpoint): Promise<Result<void, Failure>> {
     const attempt = request.run?.attempt ?? 1;
     const options = { endpoint, attempt, prefillTokens: 0, cacheSource: undefined, rest: undefined };
@@ -81,7 +82,7 @@
   ): Promise<Result<void, Failure>> {
     const result = await this.resumeOnce(request, endpoint, sink);
     if (result.isOk()) this.parts.metrics.resumes.add();
-    // The first cut is what happened to the run; that it cannot be resumed is only the follow-up.
+    // Reports the interruption, because it is the cause; the failure to resume is only its consequence.
     return result.mapErr(() =>
       Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.load.record.id }),
     );
@@ -98,7 +99,7 @@
   }
 }
 
-/** Takes one attempt's answer in and learns from it. */
+/** Receives the response of one attempt and updates the load estimate and the prefix index from it. */
 class ResponseReceiver {
   private isFirstChunk = true;
   private readonly startedAt: number;
@@ -121,7 +122,7 @@
     add: (chunk) => this.add(chunk),
   };
 
-  /** Counts the end of the attempt. */
+  /** Records the end of the attempt in the endpoint's load estimate. */
   end(emittedBefore: number, isGood: boolean): void {
     const { endpoint, prefillTokens } = this.options;
     const { envelope, log } = this.request;
@@ -144,7 +145,7 @@
     return added;
   }
 
-  /** Learns which part of the prompt the endpoint held; it holds all of it now. */
+  /** Records how much of the prompt the endpoint had cached. From now on it has the whole prompt cached. */
   private recordUsage(chunk: ResponseChunk): void {
     const { model } = this.request.envelope;
     const { metrics, prefixes } = this.parts;
@@ -155,7 +156,7 @@
   }
 }
 
-/** Returns the tokens that an endpoint must read for a placement. */
+/** Returns the prompt tokens that the endpoint of a placement has to process because it has not cached them. */
 export function getPrefillTokens(request: ActiveRequest, placement: Placement): number {
   return Math.max(0, (request.envelope.model?.promptTokens ?? 0) - placement.cachedTokens);
 }
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Holds requests in order of service until an endpoint has room, then places them. Queues are the entry's: an
- * endpoint gets little more than it can work on at once.
+ * Queues requests in fair order until an endpoint has capacity, then places them. Requests wait in the entry and not at
+ * the endpoints: an endpoint receives only slightly more requests than it can process at once.
  * @module
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
@@ -18,12 +18,12 @@
 import type { EntrySettings } from "./entrySettings.js";
 import type { Fleet } from "./fleet.js";
 
-/** A placement and how long it took to get. */
+/** A placement and how long the request waited for it. */
 export interface QueuedPlacement {
   readonly placement: Placement;
-  /** Milliseconds in the queue. */
+  /** Time in the queue. */
   readonly waitMs: number;
-  /** Requests that waited when it came. */
+  /** Requests that were in the queue when this one was added. */
   readonly ahead: number;
 }
 
@@ -36,7 +36,7 @@
 
 const noEndpointRetryAfterMs = 1_000;
 
-/** The queues of all services. */
+/** Queues requests by service and places them on endpoints. */
 export class Dispatcher {
   private readonly queues = new Map<string, FairQueue<QueuedRequest>>();
 
@@ -60,19 +60,22 @@
     return new Dispatcher(settings, clock, fleet, prefixes, getOptions);
   }
 
-  /** Requests that wait for a service. */
+  /** Returns the number of queued requests of a service. */
   getQueuedCount(service: string): number {
     return this.queues.get(service)?.size ?? 0;
   }
 
-  /** Requests that wait in all. */
+  /** Returns the number of queued requests of all services. */
   getTotalQueuedCount(): number {
     let total = 0;
     for (const queue of this.queues.values()) total += queue.size;
     return total;
   }
 
-  /** Expected milliseconds until a new request would give its first token or byte. */
+  /**
+   * Returns the expected time until the first token or byte of a new request, in milliseconds; `Infinity` if the
+   * service has no usable endpoint.
+   */
   getExpectedWaitMs(service: string, priority: number, tokens: number): number {
     const loads = this.fleet.getLoads(service).filter((load) => !load.isLeaving);
     if (loads.length === 0) return Infinity;
@@ -85,13 +88,16 @@
     return shortestWaitMs + (tokensPerMs > 0 ? workAhead / tokensPerMs : 0);
   }
 
-  /** Tells whether requests wait, or every endpoint of the service is full. */
+  /** Returns whether requests of the service are queued or all its endpoints are full. */
   hasBacklog(service: string): boolean {
     if (this.getQueuedCount(service) > 0) return true;
     return !this.fleet.getLoads(service).some((load) => !load.isLeaving && this.hasCapacity(load));
   }
 
-  /** Waits for an endpoint. Fails with `QueueFull`, `NoEndpoint`, `DeadlinePassed` or `CallerGone`. */
+  /**
+   * Waits until the request can be placed on an endpoint; `remaining` is the time to its deadline in milliseconds.
+   * Fails with `QueueFull`, `NoEndpoint`, `DeadlinePassed` or `CallerGone`.
+   */
   place(
     request: PlacementRequest,
     item: QueueItem,
@@ -128,7 +134,7 @@
     });
   }
 
-  /** Places waiting requests while there is room. */
+  /** Places queued requests while an endpoint has capacity. */
   private placeQueued(service: string): void {
     const queue = this.queues.get(service);
     while (queue && queue.size > 0) {
--- a/packages/entry/src/requests.ts
+++ b/packages/entry/src/requests.ts
@@ -1,5 +1,6 @@
 /**
- * All requests that this entry holds: running ones, and finished ones whose answer callers may come back for.
+ * Registry of the requests that this entry holds: open requests, and finished ones whose response a caller may still
+ * fetch again.
  * @module
  */
 import type { Claim } from "@gladewall/coordination";
@@ -8,14 +9,14 @@
 import type { EntrySettings } from "./entrySettings.js";
 import type { Envelope } from "./types.js";
 
-/** The run that a request has at an endpoint. */
+/** The latest run of a request at an endpoint. */
 export interface CurrentRun {
   readonly runId: string;
   readonly attempt: number;
   readonly endpoint: string;
 }
 
-/** Why a run is being stopped before its end. */
+/** Why a run is stopped before its end. */
 export enum StopReason {
   CallerLeft = 1,
   DeadlinePassed = 2,
@@ -23,23 +24,29 @@
   HandedOver = 4,
 }
 
-/** One request and its answer. */
+/**
+ * A request that this entry holds, and its response. The holder of a request is the one entry that runs it and serves
+ * its response; other entries may have backup copies.
+ */
 export class ActiveRequest {
   readonly log: ResponseLog;
-  /** Aborted when the request is to stop; its reason is a `StopReason`. */
+  /** Aborted to stop the request; the abort reason is a `StopReason`. */
   readonly stop = new AbortController();
-  /** Aborted when only the present attempt is to stop; renewed by each attempt. */
+  /** Aborted to stop only the current attempt; each attempt creates a new controller. */
   attemptStop = new AbortController();
   run: CurrentRun | undefined;
-  /** This entry may send it although it must not be repeated: its claim is won. */
+  /**
+   * Whether this entry may send a request that must not be repeated: it has won the claim, or all backups have agreed
+   * never to start the request.
+   */
   isClaimed = false;
-  /** The claim this entry won for it. */
+  /** The claim that this entry has won for the request. */
   claim: Claim | undefined;
-  /** Request of the same key whose answer this one gets. */
+  /** Id of the request with the same idempotency key whose response this request copies. */
   attachedTo: string | undefined;
-  /** An endpoint may have begun to work on it. */
+  /** Whether an endpoint may have started to process the request. */
   mayHaveRun = false;
-  /** Monotonic time of the first token or byte. */
+  /** Monotonic time of the first token or byte of the response. */
   firstAt: number | undefined;
 
   private constructor(
@@ -47,7 +54,7 @@
     holdBytes: number,
     /** Monotonic time of acceptance. */
     readonly startedAt: number,
-    /** Monotonic time by which it must have ended. */
+    /** Monotonic time by which the request must end. */
     readonly deadline: number,
   ) {
     this.log = ResponseLog.create(holdBytes);
@@ -57,22 +64,22 @@
     return new ActiveRequest(envelope, holdBytes, startedAt, deadline);
   }
 
-  /** Whether the request has not ended. */
+  /** Whether the request has not ended yet. */
   get isOpen(): boolean {
     return this.log.state === ResponseState.Open;
   }
 
-  /** Why it is being stopped, undefined while it is not. */
+  /** Why the request is stopped; undefined if it is not. */
   get stopReason(): StopReason | undefined {
     return this.stop.signal.aborted ? (this.stop.signal.reason as StopReason) : undefined;
   }
 }
 
-/** The registry. */
+/** Requests by id and by idempotency key. */
 export class RequestRegistry {
   private readonly byId = new Map<string, ActiveRequest>();
   private readonly byKey = new Map<string, ActiveRequest>();
-  /** Finished requests, oldest first, with the time at which their answers are let go. */
+  /** Finished requests, oldest first, with the monotonic time at which their responses expire. */
   private finished: { readonly request: ActiveRequest; readonly expiresAt: number }[] = [];
   private heldBytes = 0;
   private openCount = 0;
@@ -87,29 +94,29 @@
     return new RequestRegistry(settings, clock);
   }
 
-  /** Requests that have not ended. */
+  /** Returns the number of requests that have not ended. */
   getOpenCount(): number {
     return this.openCount;
   }
 
-  /** Requests that have not ended, oldest first. */
+  /** Returns the requests that have not ended, oldest first. */
   getOpen(): readonly ActiveRequest[] {
     return [...this.byId.values()].filter((request) => request.isOpen);
   }
 
-  /** Returns a request by its id. */
+  /** Returns the request with an id. */
   get(id: string): ActiveRequest | undefined {
     this.removeExpired();
     return this.byId.get(id);
   }
 
-  /** Whether this entry holds a request: running, or with its answer. */
+  /** Returns whether this entry holds a request, open or ended, that has not moved to another entry. */
   isHeld(id: string): boolean {
     const request = this.get(id);
     return request !== undefined && request.log.state !== ResponseState.Moved;
   }
 
-  /** Returns the request of a key. */
+  /** Returns the request with an idempotency key. */
   getByKey(keyDigest: string): ActiveRequest | undefined {
     this.removeExpired();
     return this.byKey.get(keyDigest);
@@ -120,7 +127,7 @@
     return this.adopt(envelope, this.clock.getTime() + this.settings.deadline);
   }
 
-  /** Adds a request that another entry accepted; `deadline` is a monotonic time of this one. */
+  /** Adds a request that another entry accepted; `deadline` is a monotonic time of this entry's clock. */
   adopt(envelope: Envelope, deadline: number): ActiveRequest {
     const now = this.clock.getTime();
     const request = ActiveRequest.create(envelope, this.settings.hold_bytes, now, deadline);
@@ -130,23 +137,26 @@
     return request;
   }
 
-  /** Notes that a request has ended; its answer is held for a time, within the memory for answers. */
+  /**
+   * Records the end of a request. Its response is held for `hold_time`, or for less if the held responses exceed
+   * `hold_total` bytes.
+   */
   finish(request: ActiveRequest): void {
     this.openCount -= 1;
     if (this.openCount === 0) this.notifyIdle();
-    // What was surely not run may be asked for again under the same key.
+    // A request that was certainly not run must not block its key, so that the caller can retry with it.
     if (request.log.failure?.outcome === Outcome.NotRun) this.removeKey(request);
     this.heldBytes += request.log.size;
     this.finished.push({ request, expiresAt: this.clock.getTime() + this.settings.hold_time });
     this.removeExpired();
   }
 
-  /** Resolves when no request is open. */
+  /** Resolves once no request is open. */
   async waitForIdle(): Promise<void> {
     while (this.openCount > 0) await new Promise<void>((resolve) => this.idleWaiters.push(resolve));
   }
 
-  /** Lets go of answers whose time is over, and of the oldest while memory is short. */
+  /** Removes expired responses, and the oldest ones while more than `hold_total` bytes are held. */
   private removeExpired(): void {
     const now = this.clock.getTime();
     let count = 0;
--- a/packages/entry/src/runner.ts
+++ b/packages/entry/src/runner.ts
@@ -1,6 +1,7 @@
 /**
- * Runs an accepted request to its end: places it, claims it if it may run only once, sends it, and after a failure
- * resumes it, runs it again from what was given, or tells the caller what is known.
+ * Runs an accepted request to its end: selects an endpoint, records a claim if the request may run only once, and
+ * sends it. After a failed attempt it resumes the run, retries from the output that was already received, or fails the
+ * request with the outcome that is known.
  * @module
  */
 import type { Claim } from "@gladewall/coordination";
@@ -29,7 +30,7 @@
 import { type ActiveRequest, StopReason } from "./requests.js";
 import { CancelOutcome } from "./types.js";
 
-/** What a runner works with. */
+/** Dependencies of a request runner. */
 export interface RunnerParts {
   readonly settings: EntrySettings;
   readonly clock: Clock;
@@ -45,32 +46,32 @@
   readonly fetcher: ResponseFetcher;
 }
 
-/** How a request comes to this entry. */
+/** How a request reached this entry. */
 export interface RunOptions {
-  /** Rest of a body too large to be held. */
+  /** Remainder of a body that is too large to be buffered; undefined if the envelope holds the whole body. */
   readonly rest: AsyncIterable<Uint8Array> | undefined;
-  /** Taken over from another entry. */
+  /** Whether this entry took the request over from another entry. */
   readonly isTakenOver: boolean;
-  /** Whether this entry may start it; false where its holder may have sent it without a claim. */
+  /** Whether this entry may start the request; false if its holder may have sent it without a claim. */
   readonly mayStart: boolean;
 }
 
-/** Options of a request that a caller has just brought. */
+/** Options of a request that has just arrived from a caller. */
 export const newRequestOptions: RunOptions = { rest: undefined, isTakenOver: false, mayStart: true };
 
-/** How the following of another request of the same key came to an end. */
+/** Why a request stopped following another request with the same idempotency key. */
 enum FollowResult {
   Complete = 1,
   Failed = 2,
-  /** Its beginning is no longer held. */
+  /** The followed request no longer holds the beginning of its response. */
   NotHeld = 3,
-  /** It follows this one. */
+  /** The followed request follows this one. */
   Cycle = 4,
-  /** It goes on at another entry. */
+  /** The followed request continues at another entry. */
   Moved = 5,
 }
 
-/** State of one request's attempts. */
+/** What the attempts at one request have in common: their count and which endpoints the next one avoids. */
 interface AttemptState {
   count: number;
   readonly excluded: Set<string>;
@@ -78,7 +79,7 @@
   cacheSource: string | undefined;
 }
 
-/** Runs requests. */
+/** Runs requests to their end. */
 export class RequestRunner {
   private constructor(private readonly parts: RunnerParts) {}
 
@@ -86,7 +87,7 @@
     return new RequestRunner(parts);
   }
 
-  /** Runs a request; its log has ended when this resolves. */
+  /** Runs a request. When this resolves, the request's response log has ended. */
   async run(request: ActiveRequest, options: RunOptions): Promise<void> {
     const { clock } = this.parts;
     const timer = clock.startTimer(request.deadline - clock.getTime(), () =>
@@ -102,7 +103,7 @@
     this.parts.backups.finish(request);
   }
 
-  /** Ends a request as a follower of another that has the same key. */
+  /** Ends a request with the response of another request that has the same idempotency key. */
   async runAttached(request: ActiveRequest, other: string, otherBody: string): Promise<void> {
     const result = await this.followOther(request, other, otherBody);
     if (result.isOk()) request.log.complete();
@@ -115,7 +116,7 @@
     options: RunOptions,
   ): Promise<Result<void, Failure>> {
     const isNever = request.envelope.repeat === RepeatRule.Never;
-    // Whatever its holder did with it, nobody can say any more that it surely did not run.
+    // The holder may have sent the request before it was lost, so "not run" can no longer be reported.
     request.mayHaveRun = request.run !== undefined || !options.mayStart;
     const attached = await this.tryAttach(request);
     if (attached?.isOk()) return attached;
@@ -126,7 +127,7 @@
     return this.runAttempts(request, options);
   }
 
-  /** Attaches to the run that the lost holder had, if it is known and its endpoint can. */
+  /** Attaches to the lost holder's run, if that run is known and the endpoint supports it; otherwise undefined. */
   private async tryAttach(request: ActiveRequest): Promise<Result<void, Failure> | undefined> {
     const { run } = request;
     const endpoint = run && this.parts.fleet.get(run.endpoint);
@@ -181,32 +182,35 @@
     claimCheck: Result<SendCheck, Failure>,
   ): Promise<Result<void, Failure>> {
     if (claimCheck.isErr()) return Err(applyRequestOutcome(request, claimCheck.error));
-    const { currentClaim: standing } = claimCheck.value;
-    if (!standing) return Err(Failure.create(FailureCode.ClaimUnavailable));
-    if (standing.request !== request.envelope.id)
-      return this.followOther(request, standing.request, standing.body);
-    return this.attachToClaim(request, standing);
+    const { currentClaim } = claimCheck.value;
+    if (!currentClaim) return Err(Failure.create(FailureCode.ClaimUnavailable));
+    if (currentClaim.request !== request.envelope.id)
+      return this.followOther(request, currentClaim.request, currentClaim.body);
+    return this.attachToClaim(request, currentClaim);
   }
 
-  /** The same request was claimed by another entry: its backup, or the holder this entry took it over from. */
-  private async attachToClaim(request: ActiveRequest, standing: Claim): Promise<Result<void, Failure>> {
+  /**
+   * Handles a request that another entry has claimed under the same request id: its backup, or the holder that this
+   * entry took it over from. Attaches to that entry's run, because starting another would run the request twice.
+   */
+  private async attachToClaim(request: ActiveRequest, currentClaim: Claim): Promise<Result<void, Failure>> {
     request.mayHaveRun = true;
-    const endpoint = this.parts.fleet.get(standing.endpoint);
+    const endpoint = this.parts.fleet.get(currentClaim.endpoint);
     const canAttach = endpoint && request.envelope.model !== undefined;
     if (canAttach) {
       request.run = {
-        runId: standing.run,
-        attempt: getAttemptNumber(standing.run),
-        endpoint: standing.endpoint,
+        runId: currentClaim.run,
+        attempt: getAttemptNumber(currentClaim.run),
+        endpoint: currentClaim.endpoint,
       };
       const attached = await this.parts.attempts.attach(request, endpoint);
       if (attached.isOk()) return attached;
     }
-    const failure = Failure.create(FailureCode.EndpointRunUnknown, { endpoint: standing.endpoint });
+    const failure = Failure.create(FailureCode.EndpointRunUnknown, { endpoint: currentClaim.endpoint });
     return Err(applyRequestOutcome(request, failure.withOutcome(Outcome.Unknown)));
   }
 
-  /** Gives this caller the answer of the request that has the same key. */
+  /** Copies the response of the request that has the same idempotency key. */
   private async followOther(
     request: ActiveRequest,
     other: string,
@@ -230,7 +234,7 @@
     return Err(createStopFailure(request, Failure.create(FailureCode.AlreadyRun, { request: other })));
   }
 
-  /** Returns how a followed request ends this one; undefined where it is to be looked for again. */
+  /** Returns the result that the followed request gives this one; undefined if the request must be located again. */
   private finishFollowing(
     request: ActiveRequest,
     source: ActiveRequest,
@@ -243,19 +247,20 @@
     };
     const handlers: Readonly<Record<FollowResult, () => ReturnType<RequestRunner["finishFollowing"]>>> = {
       [FollowResult.Complete]: () => Ok.EMPTY,
-      // What was not run has no answer to give: this request is the first that may run.
+      // The followed request was not run and has no response, so this request may run.
       [FollowResult.Failed]: () =>
         failure?.outcome === Outcome.NotRun ? runItself() : Err(failure ?? createAlreadyRunFailure(source)),
       [FollowResult.NotHeld]: () =>
         Err(Failure.create(FailureCode.AlreadyRun, { request: source.envelope.id })),
-      // Each was sent to the other, because entries saw different peers. The lower id runs; the other waits for it.
+      // Entries with different membership views made the two requests follow each other. The one with the lower id
+      // runs, and the other waits for it.
       [FollowResult.Cycle]: () => (request.envelope.id < source.envelope.id ? runItself() : undefined),
       [FollowResult.Moved]: () => undefined,
     };
     return handlers[end]();
   }
 
-  /** Copies another request's answer as it comes, from where this one's has got to. */
+  /** Copies another request's response as it arrives, starting at the end of this request's own response. */
   private async pipe(request: ActiveRequest, source: ActiveRequest): Promise<FollowResult> {
     const { log } = source;
     if (!log.canFollow(request.log.end)) return FollowResult.NotHeld;
@@ -302,7 +307,7 @@
     decisions.add(id, DecisionStage.Placement, DecisionRule.PlacedByScore, inputs, placement.alternatives);
   }
 
-  /** Decides what follows a failed attempt: Ok to place it again, Err to tell the caller. */
+  /** Decides what follows a failed attempt: Ok if the request is placed again, Err with the failure for the caller. */
   private decideNext(
     request: ActiveRequest,
     endpoint: Endpoint,
@@ -417,8 +422,8 @@
   }
 
   /**
-   * Cancels the run of a request that was given up. Only the endpoint's own word that the run never started turns an
-   * unknown outcome into "not run".
+   * Cancels the run of a request that was stopped. The outcome becomes "not run" only if the endpoint reports that the
+   * run never started; every other reply leaves the outcome as it was.
    */
   private async cancelRun(request: ActiveRequest, failure: Failure): Promise<Failure> {
     const { run } = request;
