--- a/packages/entry/src/admission.ts
+++ b/packages/entry/src/admission.ts
@@ -1,5 +1,6 @@
 /**
- * Admission: the row that decides, its limits, and whether the latency target can still be met.
+ * Admits or refuses requests: checks the limits of the request's policy row and whether the row's latency target can
+ * still be met.
  * @module
  */
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
@@ -8,7 +9,7 @@
 import type { Dispatcher } from "./dispatcher.js";
 import type { EntrySettings } from "./entrySettings.js";
 
-/** What admission needs to know of a request. */
+/** The part of a request that admission depends on. */
 export interface AdmissionRequest {
   readonly service: string;
   /** Prompt tokens; 0 for web services. */
@@ -17,19 +18,19 @@
   readonly work: number;
 }
 
-/** An admitted request's hold on its row. */
+/** The capacity of its row that an admitted request holds. */
 export interface Admission {
-  /** Gives the row's concurrency back, and tokens that were charged but not used. */
+  /** Releases the concurrency, once, and refunds the tokens that were charged but not used. */
   release(unused: number): void;
 }
 
-/** Counts an arrival of so many tokens and returns this entry's share of its row. */
+/** Counts an arriving request with its tokens and returns this entry's share of the row's limits. */
 export type ShareSource = (row: PolicyRow, active: number, tokens: number) => RowShare;
 
 const noEndpointRetryAfterMs = 1_000;
 const minRetryAfterMs = 1;
 
-/** Decides who comes in. */
+/** Decides which requests are admitted. */
 export class AdmissionControl {
   private readonly limiters = new Map<string, RowLimiter>();
 
@@ -49,7 +50,7 @@
     return new AdmissionControl(settings, clock, dispatcher, getShare);
   }
 
-  /** Admits a request under its row or says why not. */
+  /** Admits a request under its row, or returns the failure with which it is refused. */
   admit(row: PolicyRow, request: AdmissionRequest): Result<Admission, Failure> {
     const refusal = this.checkLatencyTarget(row, request);
     if (refusal) return Err(refusal);
@@ -64,19 +65,19 @@
     return Ok({ release });
   }
 
-  /** Requests of each row that are inside. */
+  /** Returns the number of admitted requests by row name. */
   getActive(): ReadonlyMap<string, number> {
     return new Map([...this.limiters].map(([name, limiter]) => [name, limiter.getActiveCount()]));
   }
 
-  /** Refuses what could only be late: the caller learns now, and when to come back. */
+  /** Returns a refusal for a request that could not meet its latency target, with the time after which to retry. */
   private checkLatencyTarget(row: PolicyRow, request: AdmissionRequest): Failure | undefined {
     const waitMs = this.dispatcher.getExpectedWaitMs(request.service, row.priority, request.promptTokens);
     if (waitMs === Infinity) {
       return Failure.create(FailureCode.NoEndpoint, { service: request.service }, noEndpointRetryAfterMs);
     }
     if (!this.settings.refuse_late || waitMs <= row.latencyTarget) return undefined;
-    // A request that would be late even on idle endpoints is not refused: coming back would not help it.
+    // A request that would be late even on idle endpoints is not refused, because a retry would not help it.
     const isBacklog = this.dispatcher.hasBacklog(request.service);
     if (!isBacklog) return undefined;
     const values = { wait: Math.round(waitMs), target: row.latencyTarget };
--- a/packages/entry/src/backupStore.ts
+++ b/packages/entry/src/backupStore.ts
@@ -1,5 +1,6 @@
 /**
- * The backup's side: copies of peers' requests, and going on with them when their holder is lost or hands them over.
+ * The backup's side of backups: stores copies of peers' requests, and takes the requests over when their holder is lost
+ * or hands them over.
  * @module
  */
 import type { PeerIdentity, PeerLinks } from "@gladewall/coordination";
@@ -25,7 +26,7 @@
 import type { ResponseChunk, Envelope } from "./types.js";
 import { decodeFailure } from "./wireFailure.js";
 
-/** What the store works with. */
+/** Dependencies of a backup store. */
 export interface BackupStoreParts {
   readonly settings: EntrySettings;
   readonly clock: Clock;
@@ -34,17 +35,17 @@
   readonly requests: RequestRegistry;
   readonly decisions: DecisionWriter;
   readonly history: DecisionHistory;
-  /** Goes on with a request that this entry holds from now on. */
+  /** Continues a request that this entry has taken over. */
   readonly resume: (request: ActiveRequest, options: ResumeOptions) => void;
 }
 
-/** How a request that was taken over is gone on with. */
+/** How a request that was taken over is continued. */
 export interface ResumeOptions {
-  /** It was sent without a claim, or may have been: it must not be started here. */
+  /** Whether the request may be started here; false if its holder has sent it, or may have, without a claim. */
   readonly mayStart: boolean;
 }
 
-/** A copy of a peer's request. */
+/** A backup copy of a peer's request. */
 interface Copy {
   readonly envelope: Envelope;
   readonly holder: PeerIdentity;
@@ -57,7 +58,7 @@
   mayStart: boolean;
 }
 
-/** Why a copy becomes a request of this entry. */
+/** Why this entry takes a request over. */
 enum TakeoverCause {
   HolderLost = 1,
   HandedOver = 2,
@@ -68,7 +69,7 @@
   [TakeoverCause.HandedOver]: DecisionRule.HandedOver,
 };
 
-/** Copies held for peers. */
+/** Stores the backup copies of peers' requests. */
 export class BackupStore {
   private readonly copies = new Map<string, Copy>();
   private readonly idsByKey = new Map<string, string>();
@@ -88,24 +89,24 @@
     return new BackupStore(parts);
   }
 
-  /** Whether a copy of a request is held. */
+  /** Returns whether this entry has a copy of a request. */
   has(request: string): boolean {
     return this.copies.has(request);
   }
 
-  /** Copies held. */
+  /** Number of copies. */
   get size(): number {
     return this.copies.size;
   }
 
-  /** Takes nothing over any more. */
+  /** Stops taking requests over. */
   close(): void {
     this.isClosed = true;
   }
 
   private handleCopy(message: CopyMessage, holder: PeerIdentity): CopyReply {
     const { envelope } = message;
-    // Its holder has not heard yet that this entry took it over.
+    // This entry has taken the request over, and its former holder does not know that yet.
     if (this.parts.requests.isHeld(envelope.id))
       return { isHeld: true, existing: undefined, existingBody: undefined };
     const existing = message.isHome ? undefined : this.findKey(envelope.keyDigest);
@@ -128,13 +129,13 @@
     return { isHeld: true, existing: undefined, existingBody: undefined };
   }
 
-  /** Finds the request of a key among this entry's own and the copies. */
+  /** Returns the request with a key among those that this entry holds and the copies. */
   findKey(keyDigest: string | undefined): Envelope | undefined {
     if (keyDigest === undefined) return undefined;
     return this.parts.requests.getByKey(keyDigest)?.envelope ?? this.findCopy(keyDigest);
   }
 
-  /** Finds the request of a key among the copies alone. */
+  /** Returns the request with a key among the copies only. */
   findCopy(keyDigest: string | undefined): Envelope | undefined {
     if (keyDigest === undefined) return undefined;
     return this.copies.get(this.idsByKey.get(keyDigest) ?? "")?.envelope;
@@ -144,7 +145,7 @@
     const unknown: string[] = [];
     for (const item of message.items) {
       const copy = this.copies.get(item.request);
-      // A part that is missing makes the copy useless: its holder has to send it whole again.
+      // A copy with a missing part cannot be used, so its holder has to send it whole again.
       const isUsable = copy !== undefined && item.from <= copy.firstIndex + copy.chunks.length;
       if (copy && isUsable) this.addProgress(copy, item);
       else unknown.push(item.request);
@@ -154,7 +155,7 @@
 
   private addProgress(copy: Copy, item: ProgressItem): void {
     const { id } = copy.envelope;
-    // What is sent twice, because an acknowledgement was late, is added once.
+    // Chunks that were sent twice, because an acknowledgement was late, are added only once.
     const known = copy.firstIndex + copy.chunks.length;
     for (const chunk of item.chunks.slice(Math.max(0, known - item.from)))
       copy.chunks.push(decodeChunk(chunk));
@@ -163,7 +164,8 @@
     const hasEnded = item.isComplete || item.failure !== undefined;
     if (!hasEnded) return;
     this.removeCopy(copy);
-    // The end is held here too: its holder may be gone before its caller has taken it, or the key may come back.
+    // The ended request is kept here too, because its holder may be lost before the caller has read the response, or
+    // the key may be used again.
     const wasNotRun = item.failure?.outcome === Outcome.NotRun;
     if (!wasNotRun) this.storeEnded(copy);
   }
@@ -194,13 +196,13 @@
     return { taken };
   }
 
-  /** Goes on with a lost holder's requests, unless it is back in time. */
+  /** Takes over the requests of a lost holder, unless it is linked again within `takeover_after`. */
   private async handleHolderDown(peer: PeerIdentity): Promise<void> {
     const { clock, settings, links } = this.parts;
     await waitFor(clock, settings.backups.takeover_after);
     if (this.isClosed || links.isLinked(peer.name)) return;
     const lost = [...this.copies.values()].filter((copy) => copy.holder.name === peer.name);
-    // Urgent requests first: the queues they come into serve in that order, but placement starts at once.
+    // Takes over by priority. The queues serve in that order too, but the first requests are placed immediately.
     lost.sort((left, right) => right.envelope.priority - left.envelope.priority);
     for (const copy of lost) this.tryTakeOver(copy.envelope.id, TakeoverCause.HolderLost);
     if (lost.length > 0) this.parts.logger.warn("takeover", { holder: peer.name, requests: lost.length });
@@ -236,7 +238,7 @@
     return request;
   }
 
-  /** A copy whose holder said nothing to its end, because it chose another backup meanwhile, goes with its deadline. */
+  /** Removes copies past their deadline: a holder that selects another backup may never report the end to this one. */
   private removeExpired(): void {
     const now = this.parts.clock.getTime();
     for (const copy of this.copies.values()) {
--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -1,7 +1,7 @@
 /**
- * The holder's side of backups: before a request is sent anywhere, a copy of it goes to a peer in another data hall,
- * and what becomes of it follows in groups. Callers get a token only when the backup has it, so that whoever goes on
- * with the request never contradicts what a caller has already read.
+ * The holder's side of backups. Before a request is sent to an endpoint, a copy of it is sent to a peer in another data
+ * hall, followed by its progress in batches. A caller receives a token only after the backup has acknowledged it, so
+ * that an entry that takes the request over never contradicts what the caller has already read.
  * @module
  */
 import {
@@ -32,7 +32,7 @@
 import type { ActiveRequest } from "./requests.js";
 import { encodeFailure } from "./wireFailure.js";
 
-/** What the writer works with. */
+/** Dependencies of a backup writer. */
 export interface BackupParts {
   readonly settings: EntrySettings;
   readonly clock: Clock;
@@ -44,27 +44,28 @@
   readonly history: DecisionHistory;
 }
 
-/** Another request that has the same key. */
+/** Another request that has the same idempotency key: its id and the digest of its body. */
 export interface KeyConflict {
   readonly request: string;
   readonly body: string;
 }
 
-/** What one backup has of a request, as it acknowledged it. */
+/** How much of a request a backup has acknowledged: numbers of chunks and decisions. */
 interface BackupProgress {
   chunks: number;
   decisions: number;
 }
 
-/** One request's backups, as its holder keeps them. */
+/** A request and its backups, as its holder tracks them. */
 interface ReplicatedRequest {
   readonly request: ActiveRequest;
-  /** Peers that hold a copy, each with what it has: no two have the same. */
+  /** Peers that hold a copy, each with the progress that it has acknowledged, which differs between peers. */
   readonly peers: Map<string, BackupProgress>;
-  /** Its backup is being asked to go on with it: until that is settled no other is looked for. */
+  /** Whether its backup has been asked to take it over. Until that is decided, no other backup is selected. */
   isHandoverPending: boolean;
 }
 
+/** Sends progress to one peer: the requests with unsent progress, and whether a send loop is running. */
 interface Flusher {
   readonly dirty: Set<ReplicatedRequest>;
   isRunning: boolean;
@@ -72,7 +73,7 @@
 
 const maxCopyAttempts = 3;
 
-/** Keeps copies of this entry's requests at peers. */
+/** Maintains copies of this entry's requests at peers. */
 export class BackupWriter {
   private readonly replicated = new Map<string, ReplicatedRequest>();
   private readonly flushers = new Map<string, Flusher>();
@@ -87,8 +88,8 @@
   }
 
   /**
-   * Puts a copy at a peer. Resolves when it is held, when no peer could take it, or with the request that has the
-   * same key.
+   * Sends a copy to a peer. Resolves with undefined when the copy is held or no peer accepted it, or with the other
+   * request if one has the same key.
    */
   async replicate(request: ActiveRequest): Promise<KeyConflict | undefined> {
     const replicated: ReplicatedRequest = {
@@ -103,23 +104,23 @@
     return conflict;
   }
 
-  /** Says that something about a request is new. */
+  /** Schedules sending the new progress of a request to its backups. */
   reportProgress(request: ActiveRequest): void {
     const replicated = this.replicated.get(request.envelope.id);
     if (!replicated) return;
-    // Nobody is left to wait for.
+    // Without a backup there is no acknowledgement to wait for.
     if (replicated.peers.size === 0) request.log.release(Infinity);
     for (const peer of replicated.peers.keys()) this.flush(peer, replicated);
   }
 
-  /** Says that a request has ended: its backups learn the end and are then let go. */
+  /** Reports the end of a request to its backups; it is tracked until they have acknowledged the end. */
   finish(request: ActiveRequest): void {
     this.reportProgress(request);
     const replicated = this.replicated.get(request.envelope.id);
     if (replicated?.peers.size === 0) this.replicated.delete(request.envelope.id);
   }
 
-  /** Tells the backups never to start a request; true where all of them know. */
+  /** Tells the backups never to start a request; returns whether all of them have agreed. */
   async forbidStart(request: ActiveRequest): Promise<boolean> {
     const peers = [...(this.replicated.get(request.envelope.id)?.peers.keys() ?? [])];
     const message = { kind: PeerKind.NeverStart, request: request.envelope.id };
@@ -128,7 +129,7 @@
     return answers.every((answer) => answer.isOk() && answer.value === true);
   }
 
-  /** Hands requests over to their backups; returns the ids of those that were taken, with who took them. */
+  /** Hands requests over to their backups; returns the accepted ones by id, with the peer that accepted each. */
   async handOver(requests: readonly ActiveRequest[]): Promise<ReadonlyMap<string, string>> {
     const taken = new Map<string, string>();
     const byPeer = new Map<string, string[]>();
@@ -150,7 +151,7 @@
     return taken;
   }
 
-  /** A request that nobody took stays this entry's own. */
+  /** Continues to hold a request that no backup accepted. */
   private resumeUnlessTaken(request: ActiveRequest, taken: ReadonlyMap<string, string>): void {
     const replicated = this.replicated.get(request.envelope.id);
     if (!replicated || taken.has(request.envelope.id)) return;
@@ -158,19 +159,19 @@
     this.reportProgress(request);
   }
 
-  /** Number of requests that have a copy elsewhere. */
+  /** Returns the number of requests that this entry tracks backups for. */
   getReplicatedCount(): number {
     return this.replicated.size;
   }
 
-  /** A peer that is leaving or lost is no backup any more: another is found at once. */
+  /** Stops using a leaving or lost peer as a backup and selects other backups at once. */
   private handlePeerLost(peer: string): void {
     for (const replicated of this.replicated.values()) {
       if (replicated.peers.delete(peer)) this.handleBackupLost(replicated);
     }
   }
 
-  /** A request that goes on gets another backup; what has ended is given to its callers as it is. */
+  /** Selects another backup for an open request; releases the response of an ended one that has no backup left. */
   private handleBackupLost(replicated: ReplicatedRequest): void {
     if (replicated.isHandoverPending) return;
     if (replicated.request.isOpen) {
@@ -182,20 +183,20 @@
     this.replicated.delete(replicated.request.envelope.id);
   }
 
-  /** Finds backups for requests that have none, now that there is another peer. */
+  /** Selects backups for open requests that have none. Called when a new peer is linked. */
   replaceMissingBackups(): void {
     for (const replicated of this.replicated.values()) {
       if (replicated.peers.size === 0 && replicated.request.isOpen) void this.findBackups(replicated);
     }
   }
 
-  /** Says that a peer is leaving: requests copied there get another backup now. */
+  /** Handles the departure of a peer: requests copied to it get another backup now. */
   handleLeaving(peer: string): void {
     this.handlePeerLost(peer);
   }
 
   private async replaceBackup(replicated: ReplicatedRequest): Promise<void> {
-    // Nobody may hold the latest chunks now; callers are not kept waiting for the search.
+    // The latest chunks may have no copy now, but callers do not wait until another backup is found.
     if (replicated.peers.size === 0) replicated.request.log.release(Infinity);
     await this.findBackups(replicated);
   }
@@ -210,7 +211,7 @@
       const reply = await this.sendCopy(peer.id, replicated);
       if (reply?.existing !== undefined) return { request: reply.existing, body: reply.existingBody ?? "" };
       if (!reply?.isHeld) continue;
-      // The home of a key may stand in this hall; a second copy then goes to another.
+      // The home of a key may be in this data hall; a second copy then goes to another data hall.
       needsOtherHall =
         peer.hall === this.parts.settings.entry.hall && peers.some((other) => other.hall !== peer.hall);
       const inputs = { backup: peer.id, hall: peer.hall };
@@ -227,8 +228,9 @@
   }
 
   /**
-   * Peers in order of preference. A keyed request goes to its key's home, which every entry finds alike, so that two
-   * requests of one key meet there. Others go to another hall first, and to on-demand instances before reclaimable.
+   * Returns peers in order of preference. A request with a key goes to the key's home first, which every entry selects
+   * alike, so that two requests with one key meet there. After that, linked peers come before unlinked ones, and among
+   * either, peers in another data hall before those in this one.
    */
   private selectPeers(request: ActiveRequest): readonly InstanceRecord[] {
     const { keyDigest, id } = request.envelope;
@@ -243,7 +245,7 @@
     return home ? [home, ...byRank.filter((record) => record !== home)] : [];
   }
 
-  /** Whether this entry is the one at which requests of the same key meet. */
+  /** Returns whether this entry is the home of the request's key, at which requests with the same key meet. */
   private isHome(request: ActiveRequest): boolean {
     const { keyDigest } = request.envelope;
     if (keyDigest === undefined) return false;
@@ -281,7 +283,7 @@
     if (!flusher.isRunning) void this.runFlusher(peer, flusher);
   }
 
-  /** Sends what is new, one group at a time; what comes meanwhile goes into the next group. */
+  /** Sends new progress, one batch at a time; what is reported meanwhile goes into the next batch. */
   private async runFlusher(peer: string, flusher: Flusher): Promise<void> {
     flusher.isRunning = true;
     while (flusher.dirty.size > 0) {
@@ -295,7 +297,7 @@
     flusher.isRunning = false;
   }
 
-  /** A peer that did not answer may hold its copy still: it is told that it is the backup no more. */
+  /** Stops using a peer that did not reply, and tells it so, because it may still hold its copy. */
   private dropPeer(peer: string, replicated: ReplicatedRequest): void {
     const message: DropMessage = { kind: PeerKind.Drop, request: replicated.request.envelope.id };
     this.parts.links.send(peer, message);
@@ -330,13 +332,13 @@
     const { request, peers } = replicated;
     if (isUnknown && replicated.isHandoverPending) return;
     if (isUnknown && request.isOpen) {
-      // The backup has lost the copy, taken it over or missed a part: it does not protect this request any more.
+      // The backup has lost the copy, taken the request over or missed a part, so it is no longer a backup.
       peers.delete(peer);
       void this.replaceBackup(replicated);
       return;
     }
     const acknowledged = peers.get(peer);
-    // Groups to one backup may be acknowledged out of order: what it once had it still has.
+    // Batches may be acknowledged out of order; a backup keeps all chunks that it has acknowledged.
     if (acknowledged)
       peers.set(peer, {
         chunks: Math.max(acknowledged.chunks, progress.chunks),
@@ -351,13 +353,13 @@
     if (peers.size === 0) this.replicated.delete(request.envelope.id);
   }
 
-  /** All that there is of a request now. */
+  /** Returns the present progress of a request. */
   private getProgress(request: ActiveRequest): BackupProgress {
     const decisions = this.parts.history.get(request.envelope.id)?.length ?? 0;
     return { chunks: request.log.count, decisions };
   }
 
-  /** What is there of a request beyond what a backup has. */
+  /** Returns the progress of a request that a backup has not acknowledged yet. */
   private createProgressItem(request: ActiveRequest, acknowledged: BackupProgress): ProgressItem {
     const { log, envelope } = request;
     const decisions = this.parts.history.get(envelope.id) ?? [];
@@ -374,14 +376,14 @@
   }
 }
 
-/** What was sent about one request, and what its backup has once it acknowledges. */
+/** Progress sent for one request: what its backup has once it acknowledges, and the response state at that time. */
 interface SentProgress {
   readonly replicated: ReplicatedRequest;
   readonly progress: BackupProgress;
   readonly state: ResponseState;
 }
 
-/** Chunks that every backup has: any of them may be the one that goes on. */
+/** Returns the number of chunks that every backup has, because any of them may take the request over. */
 function getMinChunks(peers: ReadonlyMap<string, BackupProgress>): number {
   let least = Infinity;
   for (const { chunks } of peers.values()) least = Math.min(least, chunks);
--- a/packages/entry/src/claimClient.ts
+++ b/packages/entry/src/claimClient.ts
@@ -1,6 +1,7 @@
 /**
- * Claims as the runner asks for them: through the shard's usual writer, so that one entry's swaps carry everybody's
- * claims, or by this entry itself where that writer does not answer.
+ * Records and looks up claims of requests that may run only once. A claim goes through the preferred writer of its
+ * shard, so that one entry's compare-and-swap operations carry the claims of all entries. If that writer does not
+ * answer, this entry writes the claim itself.
  * @module
  */
 import {
@@ -15,7 +16,7 @@
 import { Ok, type Result } from "ts-results-es";
 import { type ClaimMessage, type ClaimReply, PeerKind } from "./peerKinds.js";
 
-/** Records claims. */
+/** Records, releases and finds claims. */
 export class ClaimClient {
   private constructor(
     private readonly own: string,
@@ -27,7 +28,7 @@
     links.setHandler(PeerKind.Claim, (message) => this.handleClaim((message as ClaimMessage).claim));
   }
 
-  /** `peerTimeout`: milliseconds for the usual writer's answer. */
+  /** `peerTimeout`: milliseconds to wait for the preferred writer's reply. */
   static create(
     own: string,
     store: ClaimStore,
@@ -38,7 +39,7 @@
     return new ClaimClient(own, store, links, view, peerTimeout);
   }
 
-  /** Claims a key; fails with `ClaimUnavailable`. */
+  /** Claims a key. Fails with `ClaimUnavailable`. */
   async claim(claim: Claim): Promise<Result<ClaimOutcome, Failure>> {
     const writer = this.getPreferredWriter(claim.key);
     if (writer !== this.own && this.links.isLinked(writer)) {
@@ -47,16 +48,16 @@
       const reply = answer.isOk() ? (answer.value as ClaimReply) : undefined;
       if (reply?.claim) return Ok({ isWon: reply.isWon, claim: reply.claim });
     }
-    // The writer is only a hint: what it may have recorded in our name is found in the ledger.
+    // The preferred writer is only an optimization: if it recorded the claim without replying, the store finds it.
     return this.store.claim(claim);
   }
 
-  /** Gives back the claim of a request that surely was not run. */
+  /** Releases the claim of a request that was certainly not run. */
   release(claim: Claim): Promise<Result<void, Failure>> {
     return this.store.release(claim);
   }
 
-  /** Reads whose claim stands on a key. */
+  /** Returns the current claim of a key; undefined if there is none. */
   find(key: string): Promise<Result<Claim | undefined, Failure>> {
     return this.store.find(key);
   }
--- a/packages/entry/src/claimGuard.ts
+++ b/packages/entry/src/claimGuard.ts
@@ -1,5 +1,6 @@
 /**
- * The gate before a request that may run only once: its claim is recorded before the first byte is sent.
+ * Decides whether this entry may send a request that may run only once: its claim is recorded before the first byte is
+ * sent to an endpoint.
  * @module
  */
 import type { Claim } from "@gladewall/coordination";
@@ -11,15 +12,15 @@
 import type { DecisionWriter } from "./decisions.js";
 import type { ActiveRequest } from "./requests.js";
 
-/** What the gate says. */
+/** Whether this entry may send a request. */
 export enum SendDecision {
   /** This entry, and no other, may send the request. */
   Send = 1,
-  /** Another has the claim: this entry must never send. */
+  /** Another request or entry has the claim, so this entry must never send the request. */
   Lost = 2,
 }
 
-/** A verdict and, where it is `Lost`, the claim that stands. */
+/** A decision and, if it is `Lost`, the claim that won. */
 export interface SendCheck {
   readonly decision: SendDecision;
   readonly currentClaim: Claim | undefined;
@@ -28,10 +29,10 @@
 const sendAllowed: SendCheck = { decision: SendDecision.Send, currentClaim: undefined };
 const claimRetryAfterMs = 2_000;
 
-/** Decides who may send. */
+/** Decides whether requests may be sent. */
 export class ClaimGuard {
   private constructor(
-    /** Name and incarnation: a restarted entry is another writer. */
+    /** Name and incarnation of this entry, because a restarted entry counts as another writer. */
     private readonly writer: string,
     private readonly claims: ClaimClient,
     private readonly backups: BackupWriter,
@@ -48,8 +49,8 @@
   }
 
   /**
-   * Passes a request through. `isBackup` tells that this entry took it over: then only a claim of its own lets it
-   * start. Fails with `ClaimUnavailable`.
+   * Records the claim of a request unless it may be repeated or is claimed already. `isTakenOver` says that this entry
+   * took the request over; it may then start the request only with a claim of its own. Fails with `ClaimUnavailable`.
    */
   async ensureClaim(
     request: ActiveRequest,
@@ -76,7 +77,7 @@
     return Ok(sendAllowed);
   }
 
-  /** Gives the claim of a request back that is about to be told "not run", so that its key can be used again. */
+  /** Releases the claim of a request that is about to be reported as "not run", so that its key can be used again. */
   async release(request: ActiveRequest): Promise<void> {
     const { claim } = request;
     request.claim = undefined;
@@ -84,8 +85,9 @@
   }
 
   /**
-   * The service is down. A caller's key could be used again at another entry, so a keyed request is refused. One
-   * without a key is known here alone: it is sent once by its holder, after its backups agreed never to start it.
+   * Decides while the key-value service is down, so that no claim can be recorded. A request with a caller's key is
+   * refused, because the key could be used again at another entry. A request without a key is known only here and at
+   * its backups: its holder sends it once, after all its backups have agreed never to start it.
    */
   private async proceedWithoutClaim(
     request: ActiveRequest,
@@ -102,12 +104,12 @@
   }
 }
 
-/** The key a request claims: its caller's, or its own id. */
+/** Returns the key that a request claims: the digest of its caller's key, or its own id without one. */
 function getClaimKey(request: ActiveRequest): string {
   return request.envelope.keyDigest ?? request.envelope.id;
 }
 
-/** Returns the writer name of an entry's incarnation. */
+/** Returns the name under which an incarnation of an entry writes claims. */
 export function createWriterName(entry: string, incarnation: number): string {
   return `${entry}#${incarnation}`;
 }
--- a/packages/entry/src/decisionHistory.ts
+++ b/packages/entry/src/decisionHistory.ts
@@ -1,16 +1,17 @@
 /**
- * Decisions of the latest requests, in a ring bounded by number of requests.
+ * Stores the decisions about the latest requests. The number of requests is bounded: the one added first is removed
+ * first.
  * @module
  */
 import type { DecisionRecord } from "@gladewall/policy";
 
-/** The ring. */
+/** Decisions by request. */
 export class DecisionHistory {
   private readonly decisions = new Map<string, DecisionRecord[]>();
 
   private constructor(private readonly capacity: number) {}
 
-  /** `capacity`: requests remembered. */
+  /** `capacity`: maximum number of requests. */
   static create(capacity: number): DecisionHistory {
     return new DecisionHistory(capacity);
   }
@@ -29,12 +30,12 @@
     }
   }
 
-  /** Returns a request's decisions, oldest first; undefined where nothing is remembered. */
+  /** Returns a request's decisions, oldest first; undefined if none are stored. */
   get(request: string): readonly DecisionRecord[] | undefined {
     return this.decisions.get(request);
   }
 
-  /** Returns the latest requests, newest last. */
+  /** Returns the ids of the stored requests, newest last. */
   getRequests(): readonly string[] {
     return [...this.decisions.keys()];
   }
--- a/packages/entry/src/decisions.ts
+++ b/packages/entry/src/decisions.ts
@@ -1,12 +1,13 @@
 /**
- * Records decisions: each becomes a typed record in the ring and, where somebody listens, a copy for the backup.
+ * Records the decisions about requests as typed records in the decision history. From there the backup writer also
+ * sends them to the backups.
  * @module
  */
 import type { Clock, Failure, FailureCode } from "@gladewall/kernel";
 import type { PlacementAlternative, DecisionRecord, DecisionRule, DecisionStage } from "@gladewall/policy";
 import type { DecisionHistory } from "./decisionHistory.js";
 
-/** Figures and names of a decision. */
+/** Numbers and names that a decision is based on. */
 export type DecisionInputs = Readonly<Record<string, string | number>>;
 
 /** Writes decision records. */
@@ -32,7 +33,7 @@
     this.write(request, stage, rule, inputs, alternatives, undefined);
   }
 
-  /** Records a decision that rests on a failure. */
+  /** Records a decision that is based on a failure. */
   addFailure(
     request: string,
     stage: DecisionStage,
--- a/packages/entry/src/drain.ts
+++ b/packages/entry/src/drain.ts
@@ -1,15 +1,15 @@
 /**
- * Back-pressure towards a caller.
+ * Applies a caller's back-pressure to the writer of a response.
  * @module
  */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 
-/** Resolves when the caller has taken what was written, or when the signal says that it left. */
+/** Resolves when the response accepts more data, fails, or the signal is aborted because the caller disconnected. */
 export async function waitForDrain(response: ServerResponse, signal: AbortSignal): Promise<void> {
   try {
     await once(response, "drain", { signal });
   } catch {
-    // Aborted or destroyed: the caller's loop looks at the signal.
+    // The signal was aborted or the response destroyed; the writing loop checks the signal.
   }
 }
--- a/packages/entry/src/fleet.ts
+++ b/packages/entry/src/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * The endpoints of the live view, each with its client and what is believed of its load.
+ * Tracks the endpoints of the membership view, each with its client and an estimate of its load, and reads their load
+ * reports.
  * @module
  */
 import {
@@ -17,18 +18,18 @@
 const millisecondsPerSecond = 1000;
 const hashRange = 2 ** 32;
 
-/** One endpoint. */
+/** An endpoint with its load estimate and its client. */
 export interface Endpoint {
   readonly load: EndpointLoadEstimate;
   readonly client: EndpointClient;
-  /** Ends the endpoint's own task. */
+  /** Aborted to stop reading the endpoint's load reports. */
   readonly stop: AbortController;
 }
 
-/** Called when an endpoint starts to leave or is gone. */
+/** Called when an endpoint starts to leave or disappears. */
 export type LeavingListener = (endpoint: Endpoint, status: InstanceStatus) => void;
 
-/** All endpoints that this entry knows. */
+/** All known endpoints, by id and by service. */
 export class Fleet {
   private readonly endpoints = new Map<string, Endpoint>();
   private readonly loadsByService = new Map<string, EndpointLoadEstimate[]>();
@@ -55,12 +56,12 @@
     return new Fleet(settings, clock, logger, view);
   }
 
-  /** Returns the loads of a service's endpoints, leaving ones too. */
+  /** Returns the load estimates of a service's endpoints, including leaving ones. */
   getLoads(service: string): readonly EndpointLoadEstimate[] {
     return this.loadsByService.get(service) ?? [];
   }
 
-  /** Returns an endpoint by its instance's id. */
+  /** Returns the endpoint with an instance id. */
   get(id: string): Endpoint | undefined {
     return this.endpoints.get(id);
   }
@@ -70,22 +71,22 @@
     return [...this.endpoints.values()];
   }
 
-  /** Calls back when a service's endpoints may have room. */
+  /** Registers a listener that is called with a service whose endpoints may have capacity. */
   onCapacity(listener: (service: string) => void): void {
     this.capacityListeners.add(listener);
   }
 
-  /** Calls back when an endpoint starts to leave. */
+  /** Registers a listener that is called when an endpoint starts to leave. */
   onLeaving(listener: LeavingListener): void {
     this.leavingListeners.add(listener);
   }
 
-  /** Tells the waiting that a service's endpoints may have room. */
+  /** Notifies the listeners that a service's endpoints may have capacity. */
   notifyCapacity(service: string): void {
     for (const listener of this.capacityListeners) listener(service);
   }
 
-  /** Ends all clients. */
+  /** Stops following the view and closes all clients. */
   async close(): Promise<void> {
     this.stopWatching();
     const endpoints = [...this.endpoints.values()];
@@ -148,7 +149,10 @@
     endpoint.stop.abort();
   }
 
-  /** With many endpoints each is asked less often: answers tell their loads too, and cost nothing. */
+  /**
+   * Returns the interval between two reads of an endpoint's load. It grows with the number of endpoints, because
+   * responses carry load reports too, at no extra cost.
+   */
   private getPollIntervalMs(): number {
     const { load_interval: interval, load_polls: polls } = this.settings;
     return Math.max(interval, (this.endpoints.size / polls) * millisecondsPerSecond);
@@ -156,7 +160,7 @@
 
   private async followLoad(endpoint: Endpoint): Promise<void> {
     const { signal } = endpoint.stop;
-    // Many endpoints that appear together are not all asked at once.
+    // Spreads the first reads, so that many endpoints that appear together are not all read at once.
     const spreadMs = this.getPollIntervalMs() - this.settings.load_interval;
     await waitFor(this.clock, (endpoint.load.idHash / hashRange) * spreadMs, signal);
     while (!signal.aborted && !endpoint.load.isLeaving) {
--- a/packages/entry/src/gossip.ts
+++ b/packages/entry/src/gossip.ts
@@ -1,6 +1,7 @@
 /**
- * What entries tell each other unasked: the version of the configuration, and words about instances. Whoever hears of
- * something new passes it on once, so it reaches everyone over a bounded number of links.
+ * Gossip between entries: each sends the version of its configuration with its pings, and updates of the membership. An
+ * entry forwards an update once, when it changes its own view, so that the update reaches all entries although each has
+ * a bounded number of links.
  * @module
  */
 import {
@@ -24,12 +25,12 @@
 } from "./peerKinds.js";
 
 const configurationTimeoutMs = 2_000;
-/** Age that a peer gives which has never heard from anybody. */
+/** Age in milliseconds that is sent if the configuration has never been confirmed to be current. */
 const unknownAgeMs = 1e12;
 
-/** Passes configuration and words on. */
+/** Exchanges configuration versions and membership updates with peers. */
 export class Gossip {
-  /** Peers that are being asked for their configuration. */
+  /** Names of the peers that have been asked for their configuration and have not replied yet. */
   private readonly pendingPeers = new Set<string>();
 
   private constructor(
@@ -59,7 +60,7 @@
     return new Gossip(own, links, view, follower, clock);
   }
 
-  /** Returns the fields of this entry's pings. */
+  /** Returns the fields that this entry adds to its pings. */
   createPing(): PingFields {
     return createPingFields(this.follower);
   }
@@ -92,12 +93,15 @@
     this.view.merge({ ...message.word, source: UpdateSource.Peer });
   }
 
-  /** The list is everyone's own to read; any other word that changed this view may be news to the others. */
+  /** Forwards a change of the view unless it came from the instance list, which every entry reads itself. */
   private forwardUpdate(instance: InstanceStatus): void {
     if (instance.source !== UpdateSource.List) this.links.broadcast(this.createUpdateMessage(instance));
   }
 
-  /** Tells a peer that has just been linked of this entry itself, which its list may not show yet, and who is leaving. */
+  /**
+   * Sends a newly linked peer the updates that its instance list may not show yet: this entry itself and all leaving
+   * instances.
+   */
   private sendInstanceUpdates(peer: PeerIdentity): void {
     for (const instance of this.view.getAll()) {
       const isForwarded = instance.state === InstanceState.Leaving || instance.record.id === this.own;
@@ -105,11 +109,7 @@
     }
   }
 
-  private createUpdateMessage({
-    record,
-    state,
-    reclaimAt: reclaimAt,
-  }: InstanceStatus): InstanceUpdateMessage {
+  private createUpdateMessage({ record, state, reclaimAt }: InstanceStatus): InstanceUpdateMessage {
     const remaining = reclaimAt === undefined ? undefined : Math.max(0, reclaimAt - this.clock.getTime());
     const { id, incarnation } = record;
     return {
@@ -119,7 +119,7 @@
   }
 }
 
-/** Returns what a ping says of the configuration. */
+/** Returns the ping fields: the configuration's version and the milliseconds since it was known to be current. */
 export function createPingFields(follower: DocumentFollower<Configuration>): PingFields {
   return { version: follower.version, age: Math.round(follower.getAgeMs() ?? unknownAgeMs) };
 }
--- a/packages/entry/src/keyLookup.ts
+++ b/packages/entry/src/keyLookup.ts
@@ -1,6 +1,8 @@
 /**
- * Finds the request that a key was used for: here, at the key's home, or in the claim ledger. Asked where a request
- * with a key would be refused: "not run" must be true of the key, not only of its latest sending.
+ * Finds the request that an idempotency key was used for: at this entry, at the key's home, or in the claim store. The
+ * home of a key is the live entry that rendezvous hashing selects for it, where requests with the same key meet. The
+ * lookup precedes the refusal of a request with a key, because "not run" must hold for the key and not only for the
+ * latest request that carries it.
  * @module
  */
 import { InstanceRole, type MembershipView, type PeerLinks } from "@gladewall/coordination";
@@ -13,7 +15,7 @@
 import { type FindKeyMessage, type FindKeyReply, PeerKind } from "./peerKinds.js";
 import type { Envelope } from "./types.js";
 
-/** Looks keys up. */
+/** Looks up idempotency keys. */
 export class KeyLookup {
   private constructor(
     private readonly own: string,
@@ -26,7 +28,7 @@
     links.setHandler(PeerKind.FindKey, (message) => this.handleFind(message as FindKeyMessage));
   }
 
-  /** `timeout`: milliseconds for the home's answer. */
+  /** `timeout`: milliseconds to wait for the reply of a key's home. */
   static create(
     own: string,
     links: PeerLinks,
@@ -38,19 +40,19 @@
     return new KeyLookup(own, links, view, copies, claims, timeout);
   }
 
-  /** Returns the request of a key that this entry holds or has a copy of. */
+  /** Returns the request with a key that this entry holds or has a backup copy of. */
   findLocal(keyDigest: string | undefined): KeyConflict | undefined {
     const found = this.backups.findKey(keyDigest);
     return found && { request: found.id, body: found.bodyDigest };
   }
 
-  /** Returns the request of a key that this entry has a copy of. */
+  /** Returns the request with a key that this entry has a backup copy of. */
   findCopied(keyDigest: string | undefined): KeyConflict | undefined {
     const found = this.backups.findCopy(keyDigest);
     return found && { request: found.id, body: found.bodyDigest };
   }
 
-  /** Returns the request of a key wherever it is; fails where that cannot be known. */
+  /** Returns the request with a key at any entry; fails if the home or the claim store cannot be asked. */
   async find(envelope: Envelope): Promise<Result<KeyConflict | undefined, Failure>> {
     const { keyDigest } = envelope;
     if (keyDigest === undefined) return Ok(undefined);
--- a/packages/entry/src/leavingRuns.ts
+++ b/packages/entry/src/leavingRuns.ts
@@ -1,5 +1,6 @@
 /**
- * What becomes of runs on a leaving endpoint: let finish, move with their cache, or run again elsewhere.
+ * Decides for each run on a leaving endpoint whether it finishes there or moves to another endpoint, which fetches the
+ * run's cache or, if it has none, processes the prompt again.
  * @module
  */
 import type { InstanceStatus } from "@gladewall/coordination";
@@ -11,7 +12,7 @@
 import type { Endpoint, Fleet } from "./fleet.js";
 import { type ActiveRequest, type RequestRegistry, StopReason } from "./requests.js";
 
-/** Decides about runs on leaving endpoints. */
+/** Decides which runs on leaving endpoints are moved. */
 export class LeavingRuns {
   private constructor(
     private readonly settings: EntrySettings["endpoints"],
@@ -35,7 +36,7 @@
     return new LeavingRuns(settings, clock, requests, decisions, metrics, fleet);
   }
 
-  /** Urgent requests are moved first, then those that would lose most. */
+  /** Decides about the runs in order of priority, then of output, because runs with more output would lose more. */
   private handleLeaving(endpoint: Endpoint, status: InstanceStatus): void {
     const { id } = endpoint.load.record;
     const runs = this.requests.getOpen().filter((request) => request.run?.endpoint === id);
@@ -66,7 +67,10 @@
     request.attemptStop.abort(StopReason.EndpointLeaving);
   }
 
-  /** Milliseconds to the end of the run at the pace it has had; not started counts as a pace of the whole notice. */
+  /**
+   * Returns the estimated milliseconds to the end of the run at its rate so far: 0 for a web request, `Infinity` if the
+   * run has no output yet, so that it is moved.
+   */
   private estimateRemainingMs(request: ActiveRequest): number {
     const { envelope, log, firstAt } = request;
     const left = (envelope.model?.outputTokens ?? 0) - log.end;
--- a/packages/entry/src/membership.ts
+++ b/packages/entry/src/membership.ts
@@ -1,5 +1,6 @@
 /**
- * What an entry knows of others: the live view, the links to peers, and the configuration that is in force.
+ * An entry's membership in the fleet: the view of all live instances, the links to peer entries, and the configuration
+ * in force.
  * @module
  */
 import {
@@ -24,9 +25,9 @@
 import { createPingFields, Gossip } from "./gossip.js";
 import { type PlatformClients, PlatformFollower } from "./platform.js";
 
-/** What membership works with. */
+/** Dependencies of a membership. */
 export interface MembershipParts {
-  /** Returns the settings in force; some can be re-read. */
+  /** Returns the settings in force; some of them can be reloaded. */
   readonly getSettings: () => EntrySettings;
   readonly incarnation: number;
   readonly clock: Clock;
@@ -35,12 +36,12 @@
   readonly budget: ServiceBudget;
 }
 
-/** Called with what the view says of an entry. */
+/** Called with the changed status of an entry. */
 export type EntryListener = (instance: InstanceStatus) => void;
 
 const notReadyRetryAfterMs = 1_000;
 
-/** An entry's membership. */
+/** Membership view, peer links and configuration of an entry. */
 export class Membership implements Closeable {
   readonly view: MembershipView;
   readonly links: PeerLinks;
@@ -64,7 +65,10 @@
     return new Membership(parts);
   }
 
-  /** Opens the peers' port and follows list, notices and configuration; returns the port's `host:port`. */
+  /**
+   * Opens the port for peers and starts to follow the instance list, the notices and the configuration. Returns the
+   * port's `host:port`.
+   */
   async open(): Promise<string> {
     const { peers } = this.parts.getSettings();
     const address = await this.links.open();
@@ -76,33 +80,33 @@
     return address;
   }
 
-  /** Calls back when something about another entry changed. */
+  /** Registers a listener for status changes of other entries. */
   onPeerChange(listener: EntryListener): void {
     this.view.onChange((instance) => {
       if (isEntry(instance) && instance.record.id !== this.own) listener(instance);
     });
   }
 
-  /** Calls back when a notice says that this very instance will be taken, with the milliseconds left. */
+  /** Registers a listener for the reclaim notice of this instance; it receives the milliseconds left. */
   onOwnNotice(listener: (remainingMs: number) => void): void {
-    this.view.onChange(({ record, state, reclaimAt: reclaimAt }) => {
+    this.view.onChange(({ record, state, reclaimAt }) => {
       const isNotice = record.id === this.own && state === InstanceState.Leaving && reclaimAt !== undefined;
       if (isNotice) listener(reclaimAt - this.parts.clock.getTime());
     });
   }
 
-  /** Tells everyone that this entry is leaving: peers hear it from here first, the list may be long in saying so. */
+  /** Announces to peers that this entry is leaving, because the instance list may show that only much later. */
   announceLeaving(): void {
     const own = this.view.get(this.own);
     if (own) this.view.merge({ ...own.record, state: InstanceState.Leaving, source: UpdateSource.Own });
   }
 
-  /** Returns the table in force, however old the word for it. */
+  /** Returns the latest policy table, even if it may be outdated; fails with `NotReady` if there is none. */
   getLatestTable(): Result<PolicyTable, Failure> {
     return this.table ? Ok(this.table) : Err(Failure.create(FailureCode.NotReady, {}, notReadyRetryAfterMs));
   }
 
-  /** Returns the table in force where it is known to be current; fails with `NotReady`. */
+  /** Returns the policy table if it is known to be current; fails with `NotReady` otherwise. */
   getTable(): Result<PolicyTable, Failure> {
     const isCurrent = this.follower.isCurrent() || this.hasMajorityOfPeers();
     return isCurrent
@@ -119,8 +123,9 @@
   }
 
   /**
-   * With the service down no entry hears from it, and no configuration can be saved either. An entry that is linked
-   * with most of the peers it should be linked with goes on: whoever could know of a newer one is among them.
+   * Returns whether this entry is linked with more than half of the peers that it should be linked with. While the
+   * key-value service is down, no entry can confirm the configuration there, and no new one can be saved either. An
+   * entry with a majority of its peers continues, because any entry that knows a newer configuration is among them.
    */
   private hasMajorityOfPeers(): boolean {
     const expected = this.links.getExpectedCount();
@@ -138,7 +143,7 @@
     this.links.setPeers(peers);
   }
 
-  /** This entry's word about itself, before any list has it. */
+  /** Returns the update with which this entry adds itself to the view before the instance list shows it. */
   private createOwnUpdate(address: string): InstanceUpdate {
     const { name, hall, price_class: priceClass } = this.parts.getSettings().entry;
     const record: InstanceRecord = {
--- a/packages/entry/src/peerKinds.ts
+++ b/packages/entry/src/peerKinds.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between entries: kinds and shapes. Kinds below 16 belong to the links themselves.
+ * Kinds and shapes of the messages between entries. Kinds below 16 are reserved for the peer links.
  * @module
  */
 import type { Amounts, Claim, InstanceUpdate, PeerMessage, ShareDemand } from "@gladewall/coordination";
@@ -7,7 +7,7 @@
 import type { DecisionRecord } from "@gladewall/policy";
 import type { ResponseChunk, ResponseHead, Envelope, Usage } from "./types.js";
 
-/** Kinds of message. */
+/** Kinds of messages. */
 export enum PeerKind {
   AskConfiguration = 16,
   InstanceUpdate = 17,
@@ -25,32 +25,32 @@
   FindKey = 29,
 }
 
-/** Fields of a ping: the configuration's version, and how long ago its sender knew it to be current. */
+/** Fields of a ping: the configuration's version and the milliseconds since its sender knew it to be current. */
 export interface PingFields {
   readonly version: number;
   readonly age: number;
 }
 
-/** Answer to `AskConfiguration`. */
+/** Reply to `AskConfiguration`: the encoded configuration, undefined if there is none, and its age as in a ping. */
 export interface ConfigurationReply {
   readonly bytes: Uint8Array | undefined;
   readonly age: number;
 }
 
-/** Word about an instance, passed on. */
+/** A membership update, forwarded by a peer. */
 export interface InstanceUpdateMessage extends PeerMessage {
   readonly kind: PeerKind.InstanceUpdate;
   readonly word: InstanceUpdate;
 }
 
-/** A run as peers tell it. */
+/** A run of a request at an endpoint. */
 export interface RunLocation {
   readonly runId: string;
   readonly attempt: number;
   readonly endpoint: string;
 }
 
-/** Chunk in an array, to be small. */
+/** A response chunk as an array, which encodes smaller than a map. */
 export type WireChunk = readonly [
   position: number,
   data: string | Uint8Array,
@@ -59,7 +59,7 @@
   usage?: Usage,
 ];
 
-/** A failure in numbers. */
+/** A failure as its code and values, without text. */
 export interface WireFailure {
   readonly code: FailureCode;
   readonly values: Readonly<Record<string, string | number>>;
@@ -67,33 +67,33 @@
   readonly retryAfter: number | undefined;
 }
 
-/** A copy of an accepted request for its backup. */
+/** Sends a copy of an accepted request to a backup. */
 export interface CopyMessage extends PeerMessage {
   readonly kind: PeerKind.Copy;
   readonly envelope: Envelope;
-  /** Milliseconds left to the request's deadline. */
+  /** Milliseconds left until the request's deadline. */
   readonly remaining: number;
-  /** The holder is the home of the request's key: its own request is the one that others of the key follow. */
+  /** Whether the holder is the home of the request's key, so that other requests with the key follow this one. */
   readonly isHome: boolean;
-  /** What was given already, where a request gets another backup midway. */
+  /** Progress so far, for a request that gets another backup while it runs. */
   readonly progress: ProgressItem;
 }
 
-/** Answer to a copy. */
+/** Reply to `Copy`. */
 export interface CopyReply {
   readonly isHeld: boolean;
-  /** Another request that has the same key. */
+  /** Id of another request that has the same key; undefined if there is none. */
   readonly existing: string | undefined;
-  /** Body digest of that request. */
+  /** Digest of that request's body. */
   readonly existingBody: string | undefined;
 }
 
-/** What is new about one request. */
+/** New progress of one request. */
 export interface ProgressItem {
   readonly request: string;
   readonly run?: RunLocation | undefined;
   readonly head?: ResponseHead | undefined;
-  /** Index of the first chunk. */
+  /** Index of the first chunk in `chunks`. */
   readonly from: number;
   readonly chunks: readonly WireChunk[];
   readonly isComplete: boolean;
@@ -101,29 +101,29 @@
   readonly decisions: readonly DecisionRecord[];
 }
 
-/** What is new about requests of one holder. */
+/** New progress of several requests of one holder. */
 export interface ProgressMessage extends PeerMessage {
   readonly kind: PeerKind.Progress;
   readonly items: readonly ProgressItem[];
 }
 
-/** Answer to progress: requests the backup knows nothing of. */
+/** Reply to `Progress`: ids of the requests of which the backup has no usable copy. */
 export interface ProgressReply {
   readonly unknown: readonly string[];
 }
 
-/** A leaving holder asks its backup to go on with requests. */
+/** A leaving holder asks a backup to take requests over. */
 export interface HandoverMessage extends PeerMessage {
   readonly kind: PeerKind.Handover;
   readonly requests: readonly string[];
 }
 
-/** Answer to a handover: requests that the backup now holds. */
+/** Reply to `Handover`: ids of the requests that the backup now holds. */
 export interface HandoverReply {
   readonly taken: readonly string[];
 }
 
-/** A holder tells its backup never to start a request by itself. */
+/** A holder tells a backup never to start a request by itself. */
 export interface NeverStartMessage extends PeerMessage {
   readonly kind: PeerKind.NeverStart;
   readonly request: string;
@@ -135,28 +135,28 @@
   readonly request: string;
 }
 
-/** Asks the home of a key for the request that the key was used for. */
+/** Asks the home of a key which request the key was used for. */
 export interface FindKeyMessage extends PeerMessage {
   readonly kind: PeerKind.FindKey;
   readonly keyDigest: string;
 }
 
-/** Answer to `FindKey`. */
+/** Reply to `FindKey`: the request's id and the digest of its body; undefined if the key is unknown. */
 export interface FindKeyReply {
   readonly found: { readonly request: string; readonly body: string } | undefined;
 }
 
-/** Where a request is. */
+/** Whether an entry has a request. */
 export enum HoldState {
-  /** Not known here. */
+  /** The request is unknown. */
   None = 0,
-  /** Held here: its answer can be followed. */
+  /** The entry holds the request; its response can be followed. */
   Held = 1,
-  /** A copy is here; its holder may be gone, and then it will be held here. */
+  /** The entry has a backup copy, and takes the request over if its holder is lost. */
   Copied = 2,
 }
 
-/** Asks whether a peer holds a request. */
+/** Asks whether a peer has a request. */
 export interface LocateMessage extends PeerMessage {
   readonly kind: PeerKind.Locate;
   readonly request: string;
@@ -168,29 +168,29 @@
   readonly request: string;
 }
 
-/** Answer to `Locate`. */
+/** Reply to `Locate`. */
 export interface LocateReply {
   readonly state: HoldState;
 }
 
-/** Asks for a request's answer from a position on. */
+/** Asks the holder of a request to send its response, from the beginning. */
 export interface FollowMessage extends PeerMessage {
   readonly kind: PeerKind.Follow;
   readonly request: string;
-  /** Number by which the asking side tells its streams apart. */
+  /** Number that identifies the stream at the requester. */
   readonly stream: number;
 }
 
-/** Answer to `Follow`: the request without its body, undefined where it is not held. */
+/** Reply to `Follow`: the request without its body; undefined if it is not held. */
 export interface FollowReply {
   readonly envelope: Envelope | undefined;
-  /** Request that this one follows itself. */
+  /** Id of the request that this one follows itself. */
   readonly attachedTo: string | undefined;
-  /** Index of the first chunk that is still held. */
+  /** Whether the response is still held from the beginning; if not, no part of it is sent. */
   readonly isWhole: boolean;
 }
 
-/** A part of a followed answer. */
+/** A part of a followed response. */
 export interface FollowPart extends PeerMessage {
   readonly kind: PeerKind.FollowPart;
   readonly stream: number;
@@ -198,35 +198,35 @@
   readonly chunks: readonly WireChunk[];
   readonly isComplete: boolean;
   readonly failure?: WireFailure | undefined;
-  /** The answer goes on elsewhere. */
+  /** Whether the response continues at another entry. */
   readonly isMoved: boolean;
 }
 
-/** Asks the usual writer of a shard to record a claim. */
+/** Asks the preferred writer of a shard to record a claim. */
 export interface ClaimMessage extends PeerMessage {
   readonly kind: PeerKind.Claim;
   readonly claim: Claim;
 }
 
-/** Answer to a claim. */
+/** Reply to `Claim`: whether the claim was won, and the claim that holds the key; undefined if it is unknown. */
 export interface ClaimReply {
   readonly isWon: boolean;
   readonly claim: Claim | undefined;
 }
 
-/** Asks the lender of a row for a share. */
+/** Asks the allocator of a row for a share of its limits. */
 export interface AskShareMessage extends PeerMessage {
   readonly kind: PeerKind.AskShare;
   readonly row: string;
   readonly demand: ShareDemand;
 }
 
-/** Answer to `AskShare`; undefined where the asked entry is not the lender. */
+/** Reply to `AskShare`; undefined if the entry does not know the row or cannot allocate shares of it now. */
 export interface ShareReply {
   readonly amounts: Amounts | undefined;
 }
 
-/** Returns a chunk as it is sent. */
+/** Encodes a chunk for the peer link. */
 export function encodeChunk(chunk: ResponseChunk): WireChunk {
   const { position, data, choices, finish, usage } = chunk;
   if (usage) return [position, data, choices ?? "", finish ?? "", usage];
@@ -234,7 +234,7 @@
   return choices === undefined ? [position, data] : [position, data, choices];
 }
 
-/** Returns a chunk as it was before it was sent. */
+/** Decodes a chunk received over the peer link. */
 export function decodeChunk([position, data, choices, finish, usage]: WireChunk): ResponseChunk {
   return {
     position,
--- a/packages/entry/src/responseFetcher.ts
+++ b/packages/entry/src/responseFetcher.ts
@@ -1,5 +1,6 @@
 /**
- * Answers from any entry: finds who holds a request and mirrors its answer over the peer link.
+ * Makes the response of a request available at any entry: finds the entry that holds the request and mirrors its
+ * response over the peer link.
  * @module
  */
 import type { PeerIdentity, PeerLinks } from "@gladewall/coordination";
@@ -24,17 +25,17 @@
 import { ActiveRequest, type RequestRegistry, StopReason } from "./requests.js";
 import { decodeFailure, encodeFailure } from "./wireFailure.js";
 
-/** What the fetcher works with. */
+/** Dependencies of a response fetcher. */
 export interface FetcherParts {
   readonly settings: EntrySettings;
   readonly clock: Clock;
   readonly links: PeerLinks;
   readonly requests: RequestRegistry;
-  /** Whether a copy of a request is held here. */
+  /** Returns whether this entry has a backup copy of a request. */
   readonly hasCopy: (request: string) => boolean;
 }
 
-/** A mirrored answer that is being fed. */
+/** A response that is being mirrored from its holder. */
 interface Mirror {
   readonly request: ActiveRequest;
   readonly holder: string;
@@ -44,10 +45,10 @@
 const maxChunksPerPart = 64;
 const outboxRetryIntervalMs = 10;
 
-/** Finds and mirrors answers. */
+/** Finds and mirrors responses. */
 export class ResponseFetcher {
   private readonly mirrors = new Map<number, Mirror>();
-  /** Parts that came before the answer to the call that asked for them was seen. */
+  /** Parts by stream that arrived before the reply to the call that requested the stream was processed. */
   private readonly earlyParts = new Map<number, FollowPart[]>();
   private nextStream = 1;
 
@@ -65,8 +66,8 @@
   }
 
   /**
-   * Returns a request's answer, this entry's own or a mirror of another's. Waits while a copy exists whose holder may
-   * be gone. Fails with `RequestUnknown`.
+   * Returns a request with its response: held by this entry, or mirrored from another. Waits up to `locate_patience`
+   * while a copy exists whose holder may be lost. Fails with `RequestUnknown`.
    */
   async fetch(id: string): Promise<Result<ActiveRequest, Failure>> {
     const { clock, settings } = this.parts;
@@ -86,7 +87,7 @@
     }
   }
 
-  /** Cancels a request wherever it is held; its answer then ends. */
+  /** Cancels a request at the entry that holds it. Its response then ends. */
   async cancel(request: ActiveRequest): Promise<void> {
     const mirror = [...this.mirrors.values()].find((candidate) => candidate.request === request);
     if (!mirror) return request.stop.abort(StopReason.CallerLeft);
@@ -100,7 +101,7 @@
     return request !== undefined;
   }
 
-  /** Asks the entry that took the request first, then all others. */
+  /** Asks the entry that accepted the request first, then all other linked entries. */
   private async locate(id: string): Promise<readonly [holder: string | undefined, isCopied: boolean]> {
     const { links } = this.parts;
     const first = getEntryOfRequest(id);
@@ -160,7 +161,7 @@
   private handleHolderDown(peer: PeerIdentity): void {
     for (const mirror of [...this.mirrors.values()]) {
       if (mirror.holder !== peer.name) continue;
-      // The caller is sent to ask again: by then the backup has taken over.
+      // The caller is told to fetch the response again; by then the backup has taken the request over.
       mirror.request.log.markMoved();
       mirror.close();
     }
@@ -179,7 +180,7 @@
     };
   }
 
-  /** Sends an answer's chunks as they come, many in one frame where many are there. */
+  /** Sends a response's chunks as they arrive, several in one frame if several are available. */
   private async sendResponse(request: ActiveRequest, stream: number, peer: PeerIdentity): Promise<void> {
     const { log } = request;
     const stop = new AbortController();
@@ -196,7 +197,7 @@
     await this.sendWithRetry(peer, this.createPart(request, stream, chunks, true));
   }
 
-  /** Waits while the peer's outbox is full; false where the link is gone. */
+  /** Sends a part, retrying while the peer's outbox is full; false if the link is lost. */
   private async sendWithRetry(peer: PeerIdentity, part: FollowPart): Promise<boolean> {
     while (!this.parts.links.send(peer.name, part)) {
       if (!this.parts.links.isLinked(peer.name)) return false;
--- a/packages/entry/src/responseLog.ts
+++ b/packages/entry/src/responseLog.ts
@@ -1,77 +1,78 @@
 /**
- * The answer of one request as it comes in: any number of readers follow it from any position, and a reader that
- * comes later gets what is still held. A bounded window keeps a fast endpoint from filling memory.
+ * Buffers the response of one request as it arrives. Any number of readers follow it from any position, and a later
+ * reader receives what is still buffered. A bounded window prevents a fast endpoint from filling the memory.
  * @module
  */
 import type { Failure } from "@gladewall/kernel";
 import type { ResponseChunk, ResponseHead } from "./types.js";
 
-/** State of an answer. */
+/** State of a response. */
 export enum ResponseState {
   Open = 1,
   Complete = 2,
   Failed = 3,
-  /** Goes on at another entry. */
+  /** Continues at another entry. */
   Moved = 4,
 }
 
-/** Bytes that a writer may be ahead of the slowest reader. */
+/** Number of bytes that the writer may be ahead of the slowest reader. */
 const maxReaderLagBytes = 1_048_576;
 
+/** Progress of one reader. */
 interface Reader {
-  /** Bytes of the answer this reader has taken. */
+  /** Bytes of the response that this reader has passed. */
   takenBytes: number;
 }
 
-/** An answer that grows. */
+/** The response of a request, which grows until it ends. */
 export class ResponseLog {
   head: ResponseHead | undefined;
   state = ResponseState.Open;
   failure: Failure | undefined;
-  /** Chunks held; the first has index `dropped`. */
+  /** Buffered chunks; the first has index `dropped`. */
   private chunks: ResponseChunk[] = [];
   private dropped = 0;
   private bytes = 0;
   private heldBytes = 0;
-  /** Chunks up to this index may be given to callers: a backup holds them. */
+  /** Readers may receive chunks before this index, because the backups hold them. */
   private released = Infinity;
   private readonly readers = new Set<Reader>();
   private waiters: (() => void)[] = [];
 
   private constructor(private readonly holdBytes: number) {}
 
-  /** `holdBytes`: largest answer that is held whole. */
+  /** `holdBytes`: size in bytes up to which a response is kept whole. */
   static create(holdBytes: number): ResponseLog {
     return new ResponseLog(holdBytes);
   }
 
-  /** Position after the last chunk: tokens or bytes. */
+  /** Position after the last chunk, in tokens for model responses and in bytes otherwise. */
   get end(): number {
     const last = this.chunks[this.chunks.length - 1];
     return last ? last.position + getChunkLength(last) : 0;
   }
 
-  /** Whether everything from the beginning is still held. */
+  /** Whether everything from the beginning is still buffered. */
   get isWhole(): boolean {
     return this.dropped === 0;
   }
 
-  /** Bytes held. */
+  /** Number of buffered bytes. */
   get size(): number {
     return this.heldBytes;
   }
 
-  /** Number of callers reading. */
+  /** Number of readers. */
   get readerCount(): number {
     return this.readers.size;
   }
 
-  /** Text so far; for answers of models. */
+  /** Returns the buffered text of a model response. */
   getText(): string {
     return this.chunks.map((chunk) => (typeof chunk.data === "string" ? chunk.data : "")).join("");
   }
 
-  /** Chunks held. */
+  /** Returns the buffered chunks. */
   getChunks(): readonly ResponseChunk[] {
     return this.chunks;
   }
@@ -81,7 +82,7 @@
     this.notifyWaiters();
   }
 
-  /** Adds a chunk; resolves when there is room for the next. */
+  /** Adds a chunk. Resolves when the slowest reader is at most `maxReaderLagBytes` behind. */
   async add(chunk: ResponseChunk): Promise<void> {
     const size = getChunkBytes(chunk);
     this.chunks.push(chunk);
@@ -94,7 +95,7 @@
     }
   }
 
-  /** Fills a new log with what another entry had of the answer. */
+  /** Fills a new log with what another entry had of the response. */
   restore(head: ResponseHead | undefined, chunks: readonly ResponseChunk[]): void {
     this.head = head;
     this.chunks = [...chunks];
@@ -102,14 +103,14 @@
     this.bytes = this.heldBytes;
   }
 
-  /** Ends the answer with its end mark seen. */
+  /** Ends the response after its end marker was received. */
   complete(): void {
     if (this.state !== ResponseState.Open) return;
     this.state = ResponseState.Complete;
     this.notifyWaiters();
   }
 
-  /** Ends the answer without one. */
+  /** Ends the response with a failure. */
   fail(failure: Failure): void {
     if (this.state !== ResponseState.Open) return;
     this.state = ResponseState.Failed;
@@ -117,7 +118,7 @@
     this.notifyWaiters();
   }
 
-  /** Ends the answer here because it goes on at another entry. */
+  /** Ends the response at this entry because it continues at another one. */
   markMoved(): void {
     if (this.state !== ResponseState.Open) return;
     this.state = ResponseState.Moved;
@@ -129,39 +130,39 @@
     return this.dropped + this.chunks.length;
   }
 
-  /** Returns the held chunks from an index on. */
+  /** Returns the buffered chunks from an index on. */
   getChunksFrom(index: number): readonly ResponseChunk[] {
     return this.chunks.slice(Math.max(0, index - this.dropped));
   }
 
-  /** Lets callers have chunks up to an index; `Infinity` lets them have whatever comes. */
+  /** Releases the chunks before an index to readers; `Infinity` releases all present and future chunks. */
   release(index: number): void {
     this.released = index;
     this.notifyWaiters();
   }
 
-  /** Whether chunks wait for a backup before callers may have them. */
+  /** Whether chunks are withheld from readers until a backup has acknowledged them. */
   get hasUnreleased(): boolean {
     return this.released < this.count;
   }
 
-  /** Resolves when the answer is no longer open. */
+  /** Resolves when the response is no longer open. */
   async waitForEnd(): Promise<void> {
     while (this.state === ResponseState.Open) await this.waitForChange();
   }
 
-  /** Resolves when the head is known, or the answer has ended. */
+  /** Resolves when the head is known or the response has ended. */
   async waitForHead(): Promise<void> {
     while (!this.head && this.state === ResponseState.Open) await this.waitForChange();
   }
 
-  /** Tells whether a reader can start at a position. */
+  /** Returns whether a reader can start at a position. */
   canFollow(position: number): boolean {
     const first = this.chunks[0];
     return this.isWhole || (first !== undefined && position >= first.position);
   }
 
-  /** Yields chunks from a position on until the answer ends or the signal is aborted. */
+  /** Yields chunks from a position on until the response ends or the signal is aborted. */
   async *follow(position: number, signal: AbortSignal): AsyncGenerator<ResponseChunk> {
     const reader: Reader = { takenBytes: this.bytes - this.heldBytes };
     this.readers.add(reader);
@@ -173,13 +174,13 @@
         const chunk = index < this.released ? this.chunks[index - this.dropped] : undefined;
         if (chunk) {
           index += 1;
-          // An end mark without data stands at the position where a reader may already be.
+          // An end marker without data has the position after the last chunk, which a reader may have reached already.
           if (chunk.position >= position || chunk.finish !== undefined) yield chunk;
           reader.takenBytes += getChunkBytes(chunk);
           this.dropOldest();
           if (this.readers.size > 0) this.notifyWaiters();
         } else if (this.state !== ResponseState.Open && index >= Math.min(this.released, this.count)) {
-          // A moved answer is taken up at the other entry from what was released here.
+          // The caller continues a moved response at the other entry from the end of what was released here.
           if (this.state === ResponseState.Moved || index >= this.count) return;
           await this.waitForChange();
         } else {
@@ -205,7 +206,7 @@
       const first = this.chunks[0];
       if (!first) return;
       const size = getChunkBytes(first);
-      // What a reader has not taken yet is kept, whatever its size: the window bounds it.
+      // Chunks that a reader has not passed yet are kept; their size is bounded by `maxReaderLagBytes`.
       if (this.heldBytes - size < lag) return;
       this.chunks.shift();
       this.dropped += 1;
@@ -225,7 +226,7 @@
   }
 }
 
-/** Length of a chunk in its answer's positions: a token counts one, bytes count themselves. */
+/** Returns the length of a chunk in positions: 1 for a token, 0 for an end marker, otherwise the number of bytes. */
 export function getChunkLength(chunk: ResponseChunk): number {
   if (typeof chunk.data !== "string") return chunk.data.length;
   return chunk.finish === undefined ? 1 : 0;
--- a/packages/entry/src/rowShares.ts
+++ b/packages/entry/src/rowShares.ts
@@ -1,5 +1,7 @@
 /**
- * This entry's shares of rows: asks each row's lender while there is demand, and falls to the equal split without one.
+ * Obtains this entry's shares of the limits of policy rows: requests them from each row's allocator while there is
+ * demand, and uses the equal split while there is no current allocation. Also answers the requests of other entries for
+ * the rows that this entry allocates.
  * @module
  */
 import {
@@ -19,29 +21,30 @@
 import type { EntrySettings } from "./entrySettings.js";
 import { type AskShareMessage, PeerKind, type ShareReply } from "./peerKinds.js";
 
-/** Dimensions of a row's limits: requests/s, tokens/s, requests at once. */
+/** Dimensions of a row's limits: requests/s, tokens/s, concurrent requests. */
 const amountKinds = [AmountKind.Divisible, AmountKind.Divisible, AmountKind.Whole] as const;
 const zeroAmounts: Amounts = [0, 0, 0];
 const millisecondsPerSecond = 1000;
-/** Weight of the newest window in the demand. */
+/** Weight of the latest interval in a falling demand. */
 const demandSmoothing = 0.5;
 
+/** Demand for a row since the last request to its allocator, and the share it allocated last. */
 interface AllocatedRow {
   readonly row: PolicyRow;
   amounts: Amounts | undefined;
-  /** Monotonic time at which the loan ends. */
+  /** Monotonic time at which the allocation expires. */
   expiresAt: number;
-  /** Arrivals since the last question: requests, tokens. */
+  /** Arrivals since the last request to the allocator: requests, tokens. */
   requests: number;
   tokens: number;
-  /** Most requests that were inside or turned away at once since then. */
+  /** Highest concurrency since then, counting the arriving request whether it was admitted or not. */
   peakConcurrency: number;
   wanted: Amounts;
   requestedAt: number;
   isRefreshing: boolean;
 }
 
-/** Borrows and lends shares. */
+/** Requests shares for this entry and allocates shares to others. */
 export class RowShares {
   private readonly allocatedRows = new Map<string, AllocatedRow>();
   private readonly allocator: ShareAllocator;
@@ -79,17 +82,17 @@
     return new RowShares(own, settings, clock, links, view, getTable);
   }
 
-  /** Rows that this entry has borrowed a share of. */
+  /** Returns the number of rows of which this entry holds or requests a share. */
   getAllocatedCount(): number {
     return this.allocatedRows.size;
   }
 
-  /** Rows that this entry lends. */
+  /** Returns the number of rows that this entry allocates. */
   getManagedCount(): number {
     return this.allocator.size;
   }
 
-  /** Counts an arrival and returns this entry's share of its row now. */
+  /** Counts an arriving request and returns this entry's current share of its row. */
   getShare(row: PolicyRow, active: number, tokens: number): RowShare {
     const name = getRowName(row);
     const allocated = this.getAllocatedRow(name, row);
@@ -110,7 +113,7 @@
 
   private getAllocatedRow(name: string, row: PolicyRow): AllocatedRow {
     const present = this.allocatedRows.get(name);
-    // A row that was edited has other limits: what was lent of the old ones says nothing.
+    // A row that was edited has other limits, so an allocation from the old limits does not apply to it.
     if (present?.row === row) return present;
     const allocated: AllocatedRow = {
       row,
@@ -127,7 +130,7 @@
     return allocated;
   }
 
-  /** Asks again and again while requests come; ends when none came for a loan's time. */
+  /** Renews the allocation every `ask_interval` while requests arrive; ends after an interval without any. */
   private async refreshWhileActive(name: string, allocated: AllocatedRow): Promise<void> {
     allocated.isRefreshing = true;
     while (allocated.requests > 0 && this.allocatedRows.get(name) === allocated) {
@@ -159,7 +162,10 @@
     if (answer.isOk()) this.setAllocation(allocated, (answer.value as ShareReply).amounts, now);
   }
 
-  /** Counts the loan from when it was asked for: the lender cannot have counted from earlier. */
+  /**
+   * Counts the allocation's duration from when it was requested: the allocator counts from a later time, so that the
+   * share expires here first.
+   */
   private setAllocation(allocated: AllocatedRow, amounts: Amounts | undefined, requestedAt: number): void {
     if (!amounts) return;
     allocated.amounts = amounts;
@@ -180,7 +186,7 @@
     const isFirst = allocated.requestedAt === -Infinity;
     allocated.wanted = measured.map((amount, dimension) => {
       const before = allocated.wanted[dimension] ?? 0;
-      // More is asked for at once, less only by and by: demand comes in bursts.
+      // A higher demand is requested at once and a lower one only gradually, because requests arrive in bursts.
       return isFirst || amount > before ? amount : before + (amount - before) * demandSmoothing;
     });
     allocated.requests = 0;
--- a/packages/entry/src/wireFailure.ts
+++ b/packages/entry/src/wireFailure.ts
@@ -1,11 +1,11 @@
 /**
- * Failures between entries: a code and its values, never a text.
+ * Encodes failures for messages between entries: as a code and its values, without text.
  * @module
  */
 import { Failure, FailureCode } from "@gladewall/kernel";
 import type { WireFailure } from "./peerKinds.js";
 
-/** Returns a failure as it is sent. */
+/** Encodes a failure for a message to a peer. */
 export function encodeFailure(failure: Failure): WireFailure {
   return {
     code: failure.code,
@@ -15,7 +15,7 @@
   };
 }
 
-/** Returns a failure that was sent; a code of a newer version reads as `Internal`. */
+/** Decodes a failure from a peer. A code that this version does not know becomes `Internal`. */
 export function decodeFailure(wire: WireFailure): Failure {
   const isKnown = FailureCode[wire.code] !== undefined;
   const code = isKnown ? wire.code : FailureCode.Internal;
