--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -123,12 +123,12 @@
   };
 
   /** Records the end of the attempt in the endpoint's load estimate. */
-  end(emittedBefore: number, isGood: boolean): void {
+  end(emittedBefore: number, isComplete: boolean): void {
     const { endpoint, prefillTokens } = this.options;
     const { envelope, log } = this.request;
     if (this.isFirstChunk) endpoint.load.recordFirstToken(prefillTokens, 0);
     const tokens = (envelope.model?.promptTokens ?? 0) + log.end - emittedBefore;
-    endpoint.load.recordEnd(this.parts.clock.getTime() - this.startedAt, tokens, isGood);
+    endpoint.load.recordEnd(this.parts.clock.getTime() - this.startedAt, tokens, isComplete);
     this.parts.fleet.notifyCapacity(envelope.service);
   }
 
@@ -136,7 +136,7 @@
     const now = this.parts.clock.getTime();
     if (this.isFirstChunk) {
       this.isFirstChunk = false;
-      this.request.firstAt ??= now;
+      this.request.firstChunkAt ??= now;
       this.options.endpoint.load.recordFirstToken(this.options.prefillTokens, now - this.startedAt);
     }
     if (chunk.usage) this.recordUsage(chunk);
--- a/packages/entry/src/backupStore.ts
+++ b/packages/entry/src/backupStore.ts
@@ -46,7 +46,7 @@
 }
 
 /** A backup copy of a peer's request. */
-interface Copy {
+interface BackupCopy {
   readonly envelope: Envelope;
   readonly holder: PeerIdentity;
   /** Monotonic time of the request's deadline. */
@@ -71,7 +71,7 @@
 
 /** Stores the backup copies of peers' requests. */
 export class BackupStore {
-  private readonly copies = new Map<string, Copy>();
+  private readonly copies = new Map<string, BackupCopy>();
   private readonly idsByKey = new Map<string, string>();
   private isClosed = false;
 
@@ -114,7 +114,7 @@
       return { isHeld: false, existing: existing.id, existingBody: existing.bodyDigest };
     }
     this.removeExpired();
-    const copy: Copy = {
+    const copy: BackupCopy = {
       envelope,
       holder,
       deadline: this.parts.clock.getTime() + message.remaining,
@@ -153,16 +153,16 @@
     return { unknown };
   }
 
-  private addProgress(copy: Copy, item: ProgressItem): void {
+  private addProgress(copy: BackupCopy, item: ProgressItem): void {
     const { id } = copy.envelope;
     // Chunks that were sent twice, because an acknowledgement was late, are added only once.
-    const known = copy.firstIndex + copy.chunks.length;
-    for (const chunk of item.chunks.slice(Math.max(0, known - item.from)))
+    const endIndex = copy.firstIndex + copy.chunks.length;
+    for (const chunk of item.chunks.slice(Math.max(0, endIndex - item.from)))
       copy.chunks.push(decodeChunk(chunk));
     copy.progress = { ...item, head: item.head ?? copy.progress.head, run: item.run ?? copy.progress.run };
     this.addDecisions(id, item);
-    const hasEnded = item.isComplete || item.failure !== undefined;
-    if (!hasEnded) return;
+    const isEnded = item.isComplete || item.failure !== undefined;
+    if (!isEnded) return;
     this.removeCopy(copy);
     // The ended request is kept here too, because its holder may be lost before the caller has read the response, or
     // the key may be used again.
@@ -170,7 +170,7 @@
     if (!wasNotRun) this.storeEnded(copy);
   }
 
-  private storeEnded(copy: Copy): void {
+  private storeEnded(copy: BackupCopy): void {
     if (this.parts.requests.isHeld(copy.envelope.id)) return;
     const request = this.createRequest(copy);
     this.parts.requests.finish(request);
@@ -228,7 +228,7 @@
     return true;
   }
 
-  private createRequest(copy: Copy): ActiveRequest {
+  private createRequest(copy: BackupCopy): ActiveRequest {
     const { envelope, deadline, chunks, progress } = copy;
     const request = this.parts.requests.adopt(envelope, deadline);
     request.run = progress.run;
@@ -247,7 +247,7 @@
     }
   }
 
-  private removeCopy(copy: Copy): void {
+  private removeCopy(copy: BackupCopy): void {
     const { id, keyDigest } = copy.envelope;
     this.copies.delete(id);
     if (keyDigest !== undefined && this.idsByKey.get(keyDigest) === id) this.idsByKey.delete(keyDigest);
--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -66,8 +66,8 @@
 }
 
 /** Sends progress to one peer: the requests with unsent progress, and whether a send loop is running. */
-interface Flusher {
-  readonly dirty: Set<ReplicatedRequest>;
+interface ProgressSender {
+  readonly pending: Set<ReplicatedRequest>;
   isRunning: boolean;
 }
 
@@ -76,7 +76,7 @@
 /** Maintains copies of this entry's requests at peers. */
 export class BackupWriter {
   private readonly replicated = new Map<string, ReplicatedRequest>();
-  private readonly flushers = new Map<string, Flusher>();
+  private readonly senders = new Map<string, ProgressSender>();
 
   private constructor(private readonly parts: BackupParts) {
     parts.links.onLinkDown((peer) => this.handlePeerLost(peer.name));
@@ -110,7 +110,7 @@
     if (!replicated) return;
     // Without a backup there is no acknowledgement to wait for.
     if (replicated.peers.size === 0) request.log.release(Infinity);
-    for (const peer of replicated.peers.keys()) this.flush(peer, replicated);
+    for (const peer of replicated.peers.keys()) this.scheduleProgress(peer, replicated);
   }
 
   /** Reports the end of a request to its backups; it is tracked until they have acknowledged the end. */
@@ -266,9 +266,9 @@
       progress: this.createProgressItem(request, acknowledged),
     };
     const progress = this.getProgress(request);
-    const started = clock.getTime();
+    const startedAt = clock.getTime();
     const answer = await links.call(peer, message, settings.backups.ack_timeout);
-    metrics.copyTime.record(clock.getTime() - started);
+    metrics.copyTime.record(clock.getTime() - startedAt);
     if (answer.isErr()) return undefined;
     metrics.copiedBytes.add(request.envelope.body.length);
     const reply = answer.value as CopyReply;
@@ -276,25 +276,25 @@
     return reply;
   }
 
-  private flush(peer: string, replicated: ReplicatedRequest): void {
-    let flusher = this.flushers.get(peer);
-    if (!flusher) this.flushers.set(peer, (flusher = { dirty: new Set(), isRunning: false }));
-    flusher.dirty.add(replicated);
-    if (!flusher.isRunning) void this.runFlusher(peer, flusher);
+  private scheduleProgress(peer: string, replicated: ReplicatedRequest): void {
+    let sender = this.senders.get(peer);
+    if (!sender) this.senders.set(peer, (sender = { pending: new Set(), isRunning: false }));
+    sender.pending.add(replicated);
+    if (!sender.isRunning) void this.runSender(peer, sender);
   }
 
   /** Sends new progress, one batch at a time; what is reported meanwhile goes into the next batch. */
-  private async runFlusher(peer: string, flusher: Flusher): Promise<void> {
-    flusher.isRunning = true;
-    while (flusher.dirty.size > 0) {
+  private async runSender(peer: string, sender: ProgressSender): Promise<void> {
+    sender.isRunning = true;
+    while (sender.pending.size > 0) {
       await waitFor(this.parts.clock, this.parts.settings.backups.progress_interval);
-      const group = [...flusher.dirty];
-      flusher.dirty.clear();
-      const isSent = await this.sendProgress(peer, group);
+      const batch = [...sender.pending];
+      sender.pending.clear();
+      const isSent = await this.sendProgress(peer, batch);
       if (isSent) continue;
-      for (const replicated of group) this.dropPeer(peer, replicated);
+      for (const replicated of batch) this.dropPeer(peer, replicated);
     }
-    flusher.isRunning = false;
+    sender.isRunning = false;
   }
 
   /** Stops using a peer that did not reply, and tells it so, because it may still hold its copy. */
@@ -304,15 +304,15 @@
     if (replicated.peers.delete(peer)) this.handleBackupLost(replicated);
   }
 
-  private async sendProgress(peer: string, group: readonly ReplicatedRequest[]): Promise<boolean> {
+  private async sendProgress(peer: string, batch: readonly ReplicatedRequest[]): Promise<boolean> {
     const { links, settings, metrics } = this.parts;
-    const sent: SentProgress[] = [];
+    const sentProgress: SentProgress[] = [];
     const items: ProgressItem[] = [];
-    for (const replicated of group) {
+    for (const replicated of batch) {
       const acknowledged = replicated.peers.get(peer);
       if (!acknowledged) continue;
       items.push(this.createProgressItem(replicated.request, acknowledged));
-      sent.push({
+      sentProgress.push({
         replicated,
         progress: this.getProgress(replicated.request),
         state: replicated.request.log.state,
@@ -324,7 +324,8 @@
     if (answer.isErr()) return false;
     metrics.progressFrames.add();
     const unknown = new Set((answer.value as ProgressReply).unknown);
-    for (const each of sent) this.acknowledge(each, peer, unknown.has(each.replicated.request.envelope.id));
+    for (const each of sentProgress)
+      this.acknowledge(each, peer, unknown.has(each.replicated.request.envelope.id));
     return true;
   }
 
@@ -385,7 +386,7 @@
 
 /** Returns the number of chunks that every backup has, because any of them may take the request over. */
 function getMinChunks(peers: ReadonlyMap<string, BackupProgress>): number {
-  let least = Infinity;
-  for (const { chunks } of peers.values()) least = Math.min(least, chunks);
-  return least;
+  let min = Infinity;
+  for (const { chunks } of peers.values()) min = Math.min(min, chunks);
+  return min;
 }
--- a/packages/entry/src/decisionHistory.ts
+++ b/packages/entry/src/decisionHistory.ts
@@ -18,9 +18,9 @@
 
   /** Adds a decision about a request. */
   add(request: string, decision: DecisionRecord): void {
-    const present = this.decisions.get(request);
-    if (present) {
-      present.push(decision);
+    const existing = this.decisions.get(request);
+    if (existing) {
+      existing.push(decision);
       return;
     }
     this.decisions.set(request, [decision]);
--- a/packages/entry/src/dispatcher.ts
+++ b/packages/entry/src/dispatcher.ts
@@ -144,17 +144,17 @@
       if (withCapacity.length === 0 && hasUsableEndpoint) return;
       const queued = queue.take();
       if (!queued) return;
-      queued.settle(this.placeWaiting(queued, withCapacity, loads));
+      queued.settle(this.placeOne(queued, withCapacity, loads));
     }
   }
 
-  private placeWaiting(
+  private placeOne(
     queued: QueuedRequest,
     withCapacity: readonly EndpointLoadEstimate[],
     loads: readonly EndpointLoadEstimate[],
   ): Result<QueuedPlacement, Failure> {
-    const hasOthers = withCapacity.some((load) => !queued.request.excluded.has(load.record.id));
-    const candidates = hasOthers ? withCapacity : loads;
+    const hasUntried = withCapacity.some((load) => !queued.request.excluded.has(load.record.id));
+    const candidates = hasUntried ? withCapacity : loads;
     const placement = placeRequest(queued.request, candidates, this.prefixes, this.getOptions());
     if (placement.isErr()) return Err(placement.error.withRetryAfter(noEndpointRetryAfterMs));
     const { endpoint, cachedTokens } = placement.value;
--- a/packages/entry/src/entryMetrics.ts
+++ b/packages/entry/src/entryMetrics.ts
@@ -90,7 +90,7 @@
 
   /** Counts the tokens that must be computed again because an endpoint's work on a request was lost. */
   countLostTokens(request: ActiveRequest, endpoint: string): void {
-    if (!request.envelope.model || request.firstAt === undefined) return;
+    if (!request.envelope.model || request.firstChunkAt === undefined) return;
     const labels = { endpoint };
     const lost = request.envelope.model.promptTokens + request.log.end;
     this.recomputedTokens.add(lost);
--- a/packages/entry/src/fleet.ts
+++ b/packages/entry/src/fleet.ts
@@ -98,10 +98,10 @@
 
   private handleChange(status: InstanceStatus): void {
     if (status.record.role !== InstanceRole.Endpoint) return;
-    const present = this.endpoints.get(status.record.id);
-    const isSameIncarnation = present && isSameInstance(present.load.record, status.record);
+    const current = this.endpoints.get(status.record.id);
+    const isSameIncarnation = current && isSameInstance(current.load.record, status.record);
     if (!isSameIncarnation && !isUsable(status)) return;
-    const endpoint = isSameIncarnation ? present : this.addEndpoint(status.record, present);
+    const endpoint = isSameIncarnation ? current : this.addEndpoint(status.record, current);
     if (!endpoint) return;
     const wasLeaving = endpoint.load.isLeaving;
     endpoint.load.isLeaving = !isUsable(status);
@@ -134,7 +134,7 @@
     this.endpoints.set(record.id, endpoint);
     const loads = this.loadsByService.get(record.service) ?? [];
     this.loadsByService.set(record.service, [...loads, load]);
-    void this.followLoad(endpoint);
+    void this.pollLoad(endpoint);
     return endpoint;
   }
 
@@ -158,7 +158,7 @@
     return Math.max(interval, (this.endpoints.size / polls) * millisecondsPerSecond);
   }
 
-  private async followLoad(endpoint: Endpoint): Promise<void> {
+  private async pollLoad(endpoint: Endpoint): Promise<void> {
     const { signal } = endpoint.stop;
     // Spreads the first reads, so that many endpoints that appear together are not all read at once.
     const spreadMs = this.getPollIntervalMs() - this.settings.load_interval;
--- a/packages/entry/src/leavingRuns.ts
+++ b/packages/entry/src/leavingRuns.ts
@@ -72,10 +72,10 @@
    * run has no output yet, so that it is moved.
    */
   private estimateRemainingMs(request: ActiveRequest): number {
-    const { envelope, log, firstAt } = request;
+    const { envelope, log, firstChunkAt } = request;
     const left = (envelope.model?.outputTokens ?? 0) - log.end;
     if (!envelope.model) return 0;
-    if (firstAt === undefined || log.end === 0) return Infinity;
-    return left * ((this.clock.getTime() - firstAt) / log.end);
+    if (firstChunkAt === undefined || log.end === 0) return Infinity;
+    return left * ((this.clock.getTime() - firstChunkAt) / log.end);
   }
 }
--- a/packages/entry/src/requests.ts
+++ b/packages/entry/src/requests.ts
@@ -47,7 +47,7 @@
   /** Whether an endpoint may have started to process the request. */
   mayHaveRun = false;
   /** Monotonic time of the first token or byte of the response. */
-  firstAt: number | undefined;
+  firstChunkAt: number | undefined;
 
   private constructor(
     readonly envelope: Envelope,
--- a/packages/entry/src/rowShares.ts
+++ b/packages/entry/src/rowShares.ts
@@ -112,9 +112,9 @@
   }
 
   private getAllocatedRow(name: string, row: PolicyRow): AllocatedRow {
-    const present = this.allocatedRows.get(name);
+    const current = this.allocatedRows.get(name);
     // A row that was edited has other limits, so an allocation from the old limits does not apply to it.
-    if (present?.row === row) return present;
+    if (current?.row === row) return current;
     const allocated: AllocatedRow = {
       row,
       amounts: undefined,
@@ -145,8 +145,8 @@
   private async requestAllocation(name: string, allocated: AllocatedRow): Promise<void> {
     const now = this.clock.getTime();
     const wanted = this.measureDemand(allocated, now);
-    const isHeld = allocated.expiresAt > now;
-    const held = (isHeld ? allocated.amounts : undefined) ?? zeroAmounts;
+    const isCurrent = allocated.expiresAt > now;
+    const held = (isCurrent ? allocated.amounts : undefined) ?? zeroAmounts;
     const allocator = getAllocator(name, this.members.getLive());
     if (allocator === this.own) {
       this.setAllocation(
--- a/packages/entry/src/runner.ts
+++ b/packages/entry/src/runner.ts
@@ -172,8 +172,8 @@
       const attempt = { endpoint, attempt: attempts.count, prefillTokens, cacheSource, rest: options.rest };
       const result = await this.parts.attempts.run(request, attempt);
       if (result.isOk()) return result;
-      const next = this.decideNext(request, endpoint, attempts, result.error, options);
-      if (next.isErr()) return next;
+      const retry = this.handleAttemptFailure(request, endpoint, attempts, result.error, options);
+      if (retry.isErr()) return retry;
     }
   }
 
@@ -226,7 +226,8 @@
         const failure = Failure.create(FailureCode.AlreadyRun, { request: other });
         return Err(failure.withOutcome(Outcome.Unknown));
       }
-      const end = found.value.attachedTo === id ? FollowResult.Cycle : await this.pipe(request, found.value);
+      const end =
+        found.value.attachedTo === id ? FollowResult.Cycle : await this.copyResponse(request, found.value);
       const result = this.finishFollowing(request, found.value, end);
       if (result) return result;
       await waitFor(this.parts.clock, this.parts.settings.backups.locate_pause, request.stop.signal);
@@ -241,7 +242,7 @@
     end: FollowResult,
   ): Promise<Result<void, Failure>> | Result<void, Failure> | undefined {
     const { failure } = source.log;
-    const runItself = (): Promise<Result<void, Failure>> => {
+    const runOwn = (): Promise<Result<void, Failure>> => {
       request.attachedTo = undefined;
       return this.runAttempts(request, newRequestOptions);
     };
@@ -249,19 +250,19 @@
       [FollowResult.Complete]: () => Ok.EMPTY,
       // The followed request was not run and has no response, so this request may run.
       [FollowResult.Failed]: () =>
-        failure?.outcome === Outcome.NotRun ? runItself() : Err(failure ?? createAlreadyRunFailure(source)),
+        failure?.outcome === Outcome.NotRun ? runOwn() : Err(failure ?? createAlreadyRunFailure(source)),
       [FollowResult.NotHeld]: () =>
         Err(Failure.create(FailureCode.AlreadyRun, { request: source.envelope.id })),
       // Entries with different membership views made the two requests follow each other. The one with the lower id
       // runs, and the other waits for it.
-      [FollowResult.Cycle]: () => (request.envelope.id < source.envelope.id ? runItself() : undefined),
+      [FollowResult.Cycle]: () => (request.envelope.id < source.envelope.id ? runOwn() : undefined),
       [FollowResult.Moved]: () => undefined,
     };
     return handlers[end]();
   }
 
   /** Copies another request's response as it arrives, starting at the end of this request's own response. */
-  private async pipe(request: ActiveRequest, source: ActiveRequest): Promise<FollowResult> {
+  private async copyResponse(request: ActiveRequest, source: ActiveRequest): Promise<FollowResult> {
     const { log } = source;
     if (!log.canFollow(request.log.end)) return FollowResult.NotHeld;
     for await (const chunk of log.follow(request.log.end, request.stop.signal)) {
@@ -308,7 +309,7 @@
   }
 
   /** Decides what follows a failed attempt: Ok if the request is placed again, Err with the failure for the caller. */
-  private decideNext(
+  private handleAttemptFailure(
     request: ActiveRequest,
     endpoint: Endpoint,
     attempts: AttemptState,
@@ -320,7 +321,7 @@
     if (failure.outcome !== Outcome.NotRun) request.mayHaveRun = true;
     if (request.stopReason !== undefined) return Err(createStopFailure(request, failure));
     const wasMoved = request.attemptStop.signal.aborted;
-    if (!wasMoved) this.countFailure(endpoint, failure);
+    if (!wasMoved) this.recordEndpointFailure(endpoint, failure);
     const decision = decideAfterFailure({
       request,
       failure,
@@ -369,7 +370,7 @@
     }
   }
 
-  private countFailure(endpoint: Endpoint, failure: Failure): void {
+  private recordEndpointFailure(endpoint: Endpoint, failure: Failure): void {
     if (failure.code === FailureCode.BadRequest) return;
     const { backoff, backoff_highest: highest } = this.parts.settings.endpoints;
     endpoint.load.recordFailure(backoff, highest);
@@ -389,7 +390,7 @@
     log.complete();
     budget.deposit();
     const total = clock.getTime() - request.startedAt;
-    const first = (request.firstAt ?? clock.getTime()) - request.startedAt;
+    const first = (request.firstChunkAt ?? clock.getTime()) - request.startedAt;
     const output = envelope.model ? log.end : 0;
     metrics.countEnd(envelope, first, total, output);
     decisions.add(envelope.id, DecisionStage.Outcome, DecisionRule.Finished, { total, first, output });
