--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -147,12 +147,12 @@
       if (answer.isErr()) continue;
       for (const id of (answer.value as HandoverReply).taken) taken.set(id, peer);
     }
-    for (const request of requests) this.resumeUnlessTaken(request, taken);
+    for (const request of requests) this.retainUnlessTaken(request, taken);
     return taken;
   }
 
-  /** Continues to hold a request that no backup accepted. */
-  private resumeUnlessTaken(request: ActiveRequest, taken: ReadonlyMap<string, string>): void {
+  /** Keeps holding a request that no backup accepted, and continues to send its progress. */
+  private retainUnlessTaken(request: ActiveRequest, taken: ReadonlyMap<string, string>): void {
     const replicated = this.replicated.get(request.envelope.id);
     if (!replicated || taken.has(request.envelope.id)) return;
     replicated.isHandoverPending = false;
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -47,7 +47,7 @@
   /** Returns the table in force, or why this entry takes no request now. */
   getTable(): Result<PolicyTable, Failure>;
   /** Returns the table in force although this entry may be leaving. */
-  getAnyTable(): Result<PolicyTable, Failure>;
+  getLatestTable(): Result<PolicyTable, Failure>;
 }
 
 /** A caller whose key is known. */
@@ -308,7 +308,7 @@
   /** Finds a request of the caller's own workspace; another's looks as if it did not exist. */
   private async findOwn(exchange: Exchange, id: string): Promise<Result<ActiveRequest, Failure>> {
     // A leaving entry still answers for what it has.
-    const caller = this.identify(exchange, this.parts.getAnyTable());
+    const caller = this.identify(exchange, this.parts.getLatestTable());
     if (caller.isErr()) return caller;
     const found = await this.parts.fetcher.fetch(id);
     if (found.isErr()) return found;
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -101,7 +101,7 @@
     const admission = AdmissionControl.create(settings.requests, clock, dispatcher, (row, active, tokens) =>
       this.shares.getShare(row, active, tokens),
     );
-    const getAnyTable = (): Result<PolicyTable, Failure> => membership.getLatestTable();
+    const getLatestTable = (): Result<PolicyTable, Failure> => membership.getLatestTable();
     this.routes = CallerRoutes.create({
       ...base,
       admission,
@@ -110,7 +110,7 @@
       fetcher,
       keys,
       getTable,
-      getAnyTable,
+      getLatestTable,
     }).routes;
     this.fleet = fleet;
     this.dispatcher = dispatcher;
