--- a/packages/entry/src/front.ts
+++ b/packages/entry/src/callerServer.ts
@@ -23,7 +23,7 @@
   /** Id of the request, which every answer carries. */
   readonly id: string;
   /** Aborted when the caller left. */
-  readonly gone: AbortSignal;
+  readonly callerLeft: AbortSignal;
 }
 
 /** Handles an exchange; a failure is sent as a problem. */
@@ -37,11 +37,11 @@
 }
 
 /** The port. */
-export class Front implements Closeable {
+export class CallerServer implements Closeable {
   private readonly server: Server;
   /** Answers that callers have not fully taken. */
   private active = 0;
-  private idleWakers: (() => void)[] = [];
+  private idleWaiters: (() => void)[] = [];
 
   private constructor(
     private readonly settings: EntrySettings["front"],
@@ -70,8 +70,8 @@
     logger: Logger,
     routes: readonly Route[],
     createId: () => string,
-  ): Front {
-    return new Front(settings, logger, routes, createId);
+  ): CallerServer {
+    return new CallerServer(settings, logger, routes, createId);
   }
 
   /** Starts to listen; returns `host:port`. */
@@ -87,7 +87,7 @@
 
   /** Resolves when every caller has its answer. */
   async waitForIdle(): Promise<void> {
-    while (this.active > 0) await new Promise<void>((resolve) => this.idleWakers.push(resolve));
+    while (this.active > 0) await new Promise<void>((resolve) => this.idleWaiters.push(resolve));
   }
 
   /** Takes no new connections and lets the present ones finish what they have. */
@@ -102,11 +102,11 @@
     await done;
   }
 
-  private countEnd(): void {
+  private handleResponseClosed(): void {
     this.active -= 1;
     if (this.active > 0) return;
-    const wakers = this.idleWakers;
-    this.idleWakers = [];
+    const wakers = this.idleWaiters;
+    this.idleWaiters = [];
     wakers.forEach((wake) => wake());
   }
 
@@ -115,7 +115,7 @@
     this.active += 1;
     response.on("close", () => {
       gone.abort();
-      this.countEnd();
+      this.handleResponseClosed();
     });
     response.setTimeout(this.settings.write_timeout, () => this.endSlowReader(response));
     const id = this.createId();
@@ -125,7 +125,7 @@
     const checked = checkHeaders(request.rawHeaders);
     if (checked.isErr()) return endWithProblem(request, response, checked.error, id);
     try {
-      const failure = await this.route({ request, response, url, id, gone: gone.signal });
+      const failure = await this.route({ request, response, url, id, callerLeft: gone.signal });
       if (failure) endWithProblem(request, response, failure, id);
     } catch (error) {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -17,9 +17,9 @@
 import type { EntrySettings } from "./entrySettings.js";
 import { createRequestId } from "./envelope.js";
 import { DecisionHistory } from "./decisionHistory.js";
-import { Front } from "./front.js";
+import { CallerServer } from "./callerServer.js";
 import { Membership } from "./membership.js";
-import { OperatorPort } from "./operatorPort.js";
+import { OperatorServer } from "./operatorServer.js";
 import { createPlatformClients, type PlatformClients } from "./platform.js";
 import { Serving } from "./serving.js";
 
@@ -30,7 +30,7 @@
   readonly peers: string;
 }
 
-const leavingRetryAfter = 1_000;
+const leavingRetryAfterMs = 1_000;
 
 /** A running entry. */
 export class Entry {
@@ -41,8 +41,8 @@
   private ending: Promise<void> | undefined;
   private readonly membership: Membership;
   private readonly serving: Serving;
-  private readonly front: Front;
-  private readonly operators: OperatorPort;
+  private readonly front: CallerServer;
+  private readonly operators: OperatorServer;
 
   private constructor(
     private settings: EntrySettings,
@@ -61,12 +61,14 @@
     const { membership, history } = this;
     const getTable = (): Result<PolicyTable, Failure> => this.getTable();
     this.serving = Serving.create({ ...base, membership, metrics, history, getTable });
-    this.front = Front.create(settings.front, logger, this.serving.routes, () => createRequestId(entry.name));
-    this.operators = OperatorPort.create({
+    this.front = CallerServer.create(settings.front, logger, this.serving.routes, () =>
+      createRequestId(entry.name),
+    );
+    this.operators = OperatorServer.create({
       settings: settings.operators,
       metrics,
       history,
-      getUnready: () => this.getUnready(),
+      getUnreadyReason: () => this.getUnreadyReason(),
       getStatus: () => this.getStatus(),
     });
     membership.onOwnNotice((remaining) => void this.leave(remaining));
@@ -114,7 +116,7 @@
   }
 
   /** Returns why this entry takes no request now, undefined while it does. */
-  getUnready(): string | undefined {
+  getUnreadyReason(): string | undefined {
     const table = this.getTable();
     return table.isErr() ? table.error.text : undefined;
   }
@@ -195,16 +197,16 @@
 
   private async waitForIdleWithin(limit: number): Promise<void> {
     let cancel = (): void => undefined;
-    const isOver = new Promise<void>((resolve) => {
+    const timedOut = new Promise<void>((resolve) => {
       const timer = this.clock.startTimer(limit, resolve);
       cancel = () => timer.cancel();
     });
-    await Promise.race([this.waitForIdle(), isOver]);
+    await Promise.race([this.waitForIdle(), timedOut]);
     cancel();
   }
 
   private getTable(): Result<PolicyTable, Failure> {
-    if (this.isLeaving) return Err(Failure.create(FailureCode.Leaving, {}, leavingRetryAfter));
+    if (this.isLeaving) return Err(Failure.create(FailureCode.Leaving, {}, leavingRetryAfterMs));
     return this.membership.getTable();
   }
 
@@ -220,14 +222,22 @@
     const { name, hall } = this.settings.entry;
     const open = this.serving.requests.getOpenCount();
     const peers = this.links.getLinked();
-    return { entry: name, hall, version: this.version, unready: this.getUnready(), open, peers, instances };
+    return {
+      entry: name,
+      hall,
+      version: this.version,
+      unready: this.getUnreadyReason(),
+      open,
+      peers,
+      instances,
+    };
   }
 
   private setGauges(): void {
     const { registry } = this.metrics;
     registry.registerGauge("gladewall_configuration_version", "Version in force.", () => this.version);
     registry.registerGauge("gladewall_ready", "1 while requests are taken.", () =>
-      this.getUnready() === undefined ? 1 : 0,
+      this.getUnreadyReason() === undefined ? 1 : 0,
     );
   }
 }
--- a/packages/entry/src/entryMetrics.ts
+++ b/packages/entry/src/entryMetrics.ts
@@ -65,7 +65,7 @@
   }
 
   /** Latency to the first token or byte of a row's requests, milliseconds. */
-  getFirst(row: string): LatencyHistogram {
+  getFirstOutputLatency(row: string): LatencyHistogram {
     return this.registry.getLatencyHistogram(
       "gladewall_first_milliseconds",
       "Time to the first token or byte.",
@@ -76,9 +76,9 @@
   }
 
   /** Counts a request that ended whole. */
-  countEnd(envelope: Envelope, first: number, total: number, output: number): void {
+  countCompletion(envelope: Envelope, first: number, total: number, output: number): void {
     const { row } = envelope;
-    this.getFirst(row).record(first);
+    this.getFirstOutputLatency(row).record(first);
     this.registry
       .getLatencyHistogram("gladewall_total_milliseconds", "Time to the end of the answer.", { row })
       .record(total);
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -17,15 +17,15 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import { type Envelope, type Header, ModelForm, type ModelRequest } from "./types.js";
 
-const idBytes = 15;
-const highestKeyLength = 255;
+const requestIdBytes = 15;
+const maxKeyLength = 255;
 const defaultOutputTokens = 256;
 const webWorkTokens = 1;
 const classPattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
 /** Returns a new request id: the entry that took it, then random characters that nobody can guess. */
 export function createRequestId(entry: string): string {
-  return `${entry}.${randomBytes(idBytes).toString("base64url")}`;
+  return `${entry}.${randomBytes(requestIdBytes).toString("base64url")}`;
 }
 
 /** Returns the entry that took a request, by the request's id. */
@@ -34,25 +34,28 @@
 }
 
 /** What a caller's headers say about how to treat the request. */
-export interface RequestMarks {
+export interface RequestDirectives {
   readonly class: string;
   readonly key: string | undefined;
-  readonly isNever: boolean;
+  readonly forbidsRepeat: boolean;
 }
 
 /** Reads the headers that steer a request; fails with `BadRequest`. */
-export function readMarks(request: IncomingMessage, defaultClass: string): Result<RequestMarks, Failure> {
+export function readDirectives(
+  request: IncomingMessage,
+  defaultClass: string,
+): Result<RequestDirectives, Failure> {
   const requestClass = getHeader(request, "gladewall-class") ?? defaultClass;
   const key = getHeader(request, "idempotency-key");
   const repeat = getHeader(request, "gladewall-repeat");
   if (!classPattern.test(requestClass)) return refuse("Gladewall-Class is not a class name");
-  if (key !== undefined && (key.length === 0 || key.length > highestKeyLength)) {
-    return refuse(`Idempotency-Key must have 1 to ${highestKeyLength} characters`);
+  if (key !== undefined && (key.length === 0 || key.length > maxKeyLength)) {
+    return refuse(`Idempotency-Key must have 1 to ${maxKeyLength} characters`);
   }
   if (repeat !== undefined && repeat !== "never" && repeat !== "allowed") {
     return refuse("Gladewall-Repeat is neither never nor allowed");
   }
-  return Ok({ class: requestClass, key, isNever: repeat === "never" });
+  return Ok({ class: requestClass, key, forbidsRepeat: repeat === "never" });
 }
 
 function getHeader(request: IncomingMessage, name: string): string | undefined {
@@ -64,7 +67,7 @@
   return Err(Failure.create(FailureCode.BadRequest, { detail }));
 }
 
-interface ModelBody {
+interface ModelRequestBody {
   readonly model?: unknown;
   readonly messages?: unknown;
   readonly prompt?: unknown;
@@ -79,13 +82,13 @@
 }
 
 /** A model request's service and parameters. */
-export interface ParsedModel {
+export interface ParsedModelRequest {
   readonly service: string;
   readonly model: ModelRequest;
 }
 
 /** Parses a model request's body; fails with `BadRequest`. */
-export function parseModel(body: Uint8Array, form: ModelForm): Result<ParsedModel, Failure> {
+export function parseModelRequest(body: Uint8Array, form: ModelForm): Result<ParsedModelRequest, Failure> {
   const parsed = tryParseBody(body);
   if (!parsed) return refuse("the body is not a JSON object");
   if (typeof parsed.model !== "string") return refuse("model must be the name of a service");
@@ -113,7 +116,7 @@
   return Ok({ service: parsed.model, model });
 }
 
-function tryParseBody(body: Uint8Array): ModelBody | undefined {
+function tryParseBody(body: Uint8Array): ModelRequestBody | undefined {
   try {
     const parsed: unknown = JSON.parse(Buffer.from(body).toString("utf8"));
     return typeof parsed === "object" && parsed !== null && !Array.isArray(parsed) ? parsed : undefined;
@@ -143,7 +146,7 @@
   readonly id: string;
   readonly workspace: string;
   readonly service: ServiceRecord;
-  readonly marks: RequestMarks;
+  readonly directives: RequestDirectives;
   readonly row: PolicyRow;
   readonly rowName: string;
   readonly method: string;
@@ -156,9 +159,9 @@
 
 /** Creates the envelope. The strictest of caller, row and service decides about repeating. */
 export function createEnvelope(input: EnvelopeInput): Envelope {
-  const { marks, row, service } = input;
+  const { directives, row, service } = input;
   const isNever =
-    marks.isNever ||
+    directives.forbidsRepeat ||
     row.repeat === RepeatRule.Never ||
     getServiceRepeatRule(service, input.method, input.path) === RepeatRule.Never;
   return {
@@ -166,13 +169,13 @@
     workspace: input.workspace,
     service: service.name,
     kind: service.kind,
-    class: marks.class,
+    class: directives.class,
     method: input.method,
     path: input.path,
     headers: input.headers,
     body: input.body,
     repeat: isNever ? RepeatRule.Never : RepeatRule.Allowed,
-    keyDigest: getKeyDigest(input.workspace, marks),
+    keyDigest: getKeyDigest(input.workspace, directives),
     bodyDigest: getDigest(service.name, input.method, input.path, input.body),
     priority: row.priority,
     weight: row.weight,
@@ -184,8 +187,8 @@
 }
 
 /** Returns the digest of a caller's key, which is its workspace's own; undefined without a key. */
-export function getKeyDigest(workspace: string, marks: RequestMarks): string | undefined {
-  return marks.key === undefined ? undefined : getDigest(workspace, marks.key);
+export function getKeyDigest(workspace: string, directives: RequestDirectives): string | undefined {
+  return directives.key === undefined ? undefined : getDigest(workspace, directives.key);
 }
 
 function getDigest(...parts: readonly (string | Uint8Array)[]): string {
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -8,7 +8,7 @@
 import type { Header } from "./types.js";
 
 /** Headers of ours that an endpoint must not take from a caller. */
-const ownHeaders: ReadonlySet<string> = new Set([
+const reservedHeaders: ReadonlySet<string> = new Set([
   "authorization",
   "expect",
   "host",
@@ -23,8 +23,8 @@
   "x-forwarded-for",
 ]);
 
-const ownPrefix = "gladewall-";
-const singleHeaders: ReadonlySet<string> = new Set([
+const reservedPrefix = "gladewall-";
+const singletonHeaders: ReadonlySet<string> = new Set([
   "authorization",
   "content-length",
   "content-type",
@@ -44,7 +44,7 @@
   const seen = new Set<string>();
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = (rawHeaders[index] ?? "").toLowerCase();
-    if (singleHeaders.has(name) && seen.has(name)) return refuse(`${name} stands twice`);
+    if (singletonHeaders.has(name) && seen.has(name)) return refuse(`${name} stands twice`);
     seen.add(name);
     const value = rawHeaders[index + 1] ?? "";
     if (name === "transfer-encoding" && value.toLowerCase() !== "chunked")
@@ -66,20 +66,25 @@
   remoteAddress: string,
   trustedProxies: number,
 ): readonly Header[] {
-  const named = getConnectionNames(rawHeaders);
+  const named = getConnectionHeaders(rawHeaders);
   const headers: Header[] = [];
   const forwarded: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = (rawHeaders[index] ?? "").toLowerCase();
     const value = rawHeaders[index + 1] ?? "";
     if (name === "x-forwarded-for") forwarded.push(...value.split(",").map((part) => part.trim()));
-    if (hopByHopHeaders.has(name) || ownHeaders.has(name) || named.has(name) || name.startsWith(ownPrefix))
+    if (
+      hopByHopHeaders.has(name) ||
+      reservedHeaders.has(name) ||
+      named.has(name) ||
+      name.startsWith(reservedPrefix)
+    )
       continue;
     headers.push([name, value]);
   }
   // Only the last hops were written by balancers we trust; what stands before them is the caller's own claim.
-  const believed = trustedProxies === 0 ? [] : forwarded.slice(-trustedProxies);
-  const path = [...believed, remoteAddress];
+  const trusted = trustedProxies === 0 ? [] : forwarded.slice(-trustedProxies);
+  const path = [...trusted, remoteAddress];
   headers.push(["x-forwarded-for", path.join(", ")]);
   headers.push(["forwarded", path.map((address) => `for=${formatForwarded(address)}`).join(", ")]);
   return headers;
@@ -90,7 +95,7 @@
   return `"[${address.replace(/[^0-9A-Fa-f:.]/g, "")}]"`;
 }
 
-function getConnectionNames(rawHeaders: readonly string[]): ReadonlySet<string> {
+function getConnectionHeaders(rawHeaders: readonly string[]): ReadonlySet<string> {
   const named = new Set<string>();
   for (let index = 0; index < rawHeaders.length; index += 2) {
     if (rawHeaders[index]?.toLowerCase() !== "connection") continue;
@@ -102,7 +107,7 @@
 /** Returns an endpoint's headers that a caller gets. */
 export function selectResponseHeaders(headers: IncomingHttpHeaders): readonly Header[] {
   const connection = headers.connection;
-  const named = getConnectionNames(connection === undefined ? [] : ["connection", connection]);
+  const named = getConnectionHeaders(connection === undefined ? [] : ["connection", connection]);
   const selected: Header[] = [];
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || name === "x-load" || hopByHopHeaders.has(name) || named.has(name)) continue;
--- a/packages/entry/src/modelResponse.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -13,7 +13,7 @@
 
 const millisecondsPerSecond = 1000;
 /** Milliseconds after which a caller comes back to a stream that goes on elsewhere. */
-const movedRetry = 100;
+const movedRetryMs = 100;
 
 /** How one form of answer is written. */
 interface FormWriter {
@@ -43,20 +43,20 @@
 };
 
 /** How a caller takes an answer. */
-export interface ResponseView {
+export interface ResponseDelivery {
   readonly isStream: boolean;
   /** Position from which to give it. */
-  readonly from: number;
+  readonly fromPosition: number;
 }
 
 /** Writes an answer until its end or until the caller left; the signal aborts then. */
 export async function writeModelResponse(
   response: ServerResponse,
   request: ActiveRequest,
-  view: ResponseView,
+  view: ResponseDelivery,
   signal: AbortSignal,
 ): Promise<void> {
-  if (view.isStream) return writeStream(response, request, view.from, signal);
+  if (view.isStream) return writeStream(response, request, view.fromPosition, signal);
   const text: string[] = [];
   let finish = "stop";
   let usage: Usage | undefined;
@@ -105,7 +105,7 @@
 /** Ends a stream so that the caller comes back with `Last-Event-ID`: no end mark, and the time to wait before. */
 function endMovedStream(response: ServerResponse, id: string): void {
   if (!response.headersSent) return sendMoved(response, id);
-  response.end(`: goes on at /v1/requests/${id}\nretry: ${movedRetry}\n\n`);
+  response.end(`: goes on at /v1/requests/${id}\nretry: ${movedRetryMs}\n\n`);
 }
 
 function startStream(response: ServerResponse, id: string): void {
--- a/packages/entry/src/operatorPort.ts
+++ b/packages/entry/src/operatorServer.ts
@@ -12,12 +12,12 @@
 import { sendProblem } from "./problem.js";
 
 /** What the port shows. */
-export interface OperatorParts {
+export interface OperatorServerParts {
   readonly settings: EntrySettings["operators"];
   readonly metrics: EntryMetrics;
   readonly history: DecisionHistory;
   /** Returns why the entry takes no requests, undefined while it does. */
-  getUnready(): string | undefined;
+  getUnreadyReason(): string | undefined;
   /** Returns what the entry knows of itself and others. */
   getStatus(): unknown;
 }
@@ -31,11 +31,11 @@
 }
 
 /** The port. */
-export class OperatorPort implements Closeable {
+export class OperatorServer implements Closeable {
   private readonly server: Server;
   private readonly routes: readonly OperatorRoute[];
 
-  private constructor(private readonly parts: OperatorParts) {
+  private constructor(private readonly parts: OperatorServerParts) {
     this.server = createServer((request, response) => this.handle(request, response));
     this.routes = [
       { pattern: /^\/healthz$/, needsKey: false, handle: (response) => sendText(response, 200, "ok\n") },
@@ -54,8 +54,8 @@
     ];
   }
 
-  static create(parts: OperatorParts): OperatorPort {
-    return new OperatorPort(parts);
+  static create(parts: OperatorServerParts): OperatorServer {
+    return new OperatorServer(parts);
   }
 
   /** Starts to listen; returns `host:port`. */
@@ -95,7 +95,7 @@
   }
 
   private sendReadiness(response: ServerResponse): void {
-    const reason = this.parts.getUnready();
+    const reason = this.parts.getUnreadyReason();
     if (reason === undefined) sendText(response, 200, "ready\n");
     else sendText(response, 503, `${reason}\n`);
   }
--- a/packages/entry/src/platform.ts
+++ b/packages/entry/src/platform.ts
@@ -23,10 +23,10 @@
 import type { EntrySettings } from "./entrySettings.js";
 import type { AddressOptions } from "./types.js";
 
-const noticeWait = 10_000;
-const retryPause = 200;
+const noticeWaitMs = 10_000;
+const retryPauseMs = 200;
 /** Unchanged readings that are still merged. */
-const unchangedCounted = 3;
+const maxMergedUnchanged = 3;
 
 /** The three outside systems of the platform. */
 export interface PlatformClients {
@@ -62,7 +62,7 @@
   private tasks: readonly Promise<void>[] = [];
   /** Readings in a row that found the list unchanged. */
   private unchanged = 0;
-  private isSilent = false;
+  private isListUnavailable = false;
 
   private constructor(
     private readonly clients: PlatformClients,
@@ -91,13 +91,13 @@
   async readList(): Promise<void> {
     const list = await this.clients.list.read();
     if (list.isErr()) {
-      this.setSilent(list.error);
+      this.handleListFailure(list.error);
       return;
     }
-    this.isSilent = false;
+    this.isListUnavailable = false;
     // A few readings of the same list still count: absence is only believed after several.
     this.unchanged = list.value.isUnchanged ? this.unchanged + 1 : 0;
-    if (this.unchanged <= unchangedCounted) this.view.mergeList(list.value.records);
+    if (this.unchanged <= maxMergedUnchanged) this.view.mergeList(list.value.records);
   }
 
   async close(): Promise<void> {
@@ -106,9 +106,9 @@
   }
 
   /** Says once that the list is silent, not with every reading. */
-  private setSilent(failure: Failure): void {
-    if (!this.isSilent) this.logger.warn("list.silent", { text: failure.text });
-    this.isSilent = true;
+  private handleListFailure(failure: Failure): void {
+    if (!this.isListUnavailable) this.logger.warn("list.silent", { text: failure.text });
+    this.isListUnavailable = true;
   }
 
   private async followList(): Promise<void> {
@@ -123,9 +123,9 @@
     const { signal } = this.stop;
     let last = 0;
     while (!signal.aborted) {
-      const batch = await this.clients.notices.waitForNotices(last, noticeWait, signal);
+      const batch = await this.clients.notices.waitForNotices(last, noticeWaitMs, signal);
       if (batch.isErr()) {
-        await waitFor(this.clock, retryPause, signal);
+        await waitFor(this.clock, retryPauseMs, signal);
         continue;
       }
       last = batch.value.last;
--- a/packages/entry/src/plugins/httpCall.ts
+++ b/packages/entry/src/plugins/httpCall.ts
@@ -24,7 +24,7 @@
 }
 
 /** One call. */
-export interface Call {
+export interface ServiceCall {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
   readonly path: string;
   readonly body?: string;
@@ -35,7 +35,7 @@
 }
 
 const connectionsPerPool = 16;
-const endpointKeepAlive = 60_000;
+const endpointKeepAliveMs = 60_000;
 
 /** Creates a pool of connections to an address. */
 export function createPool(address: string, connectTimeout: number): Pool {
@@ -54,7 +54,7 @@
     connect: { timeout: connectTimeout },
     headersTimeout: idleTimeout,
     bodyTimeout: idleTimeout,
-    keepAliveTimeout: endpointKeepAlive,
+    keepAliveTimeout: endpointKeepAliveMs,
   });
 }
 
@@ -73,16 +73,16 @@
 }
 
 /** Makes a call. Fails with `ServiceUnavailable`, or `ServiceAnswerLost` where a change may have taken effect. */
-export async function callService(pool: Pool, call: Call): Promise<Result<CallResponse, Failure>> {
+export async function callService(pool: Pool, call: ServiceCall): Promise<Result<CallResponse, Failure>> {
   const timeout = AbortSignal.timeout(call.timeout);
   const signal = call.signal ? AbortSignal.any([timeout, call.signal]) : timeout;
   try {
     const { method, path, headers = {} } = call;
-    const answer = await pool.request({ method, path, headers, body: call.body ?? null, signal });
-    const tag = answer.headers["etag"];
+    const response = await pool.request({ method, path, headers, body: call.body ?? null, signal });
+    const tag = response.headers["etag"];
     return Ok({
-      status: answer.statusCode,
-      body: await answer.body.text(),
+      status: response.statusCode,
+      body: await response.body.text(),
       tag: typeof tag === "string" ? tag : undefined,
     });
   } catch (error) {
@@ -93,13 +93,13 @@
 }
 
 /** Parses JSON; fails with `ServiceUnavailable`. */
-export function parseJson<Shape>(answer: CallResponse): Result<Shape, Failure> {
+export function parseJson<Shape>(response: CallResponse): Result<Shape, Failure> {
   try {
-    return Ok(JSON.parse(answer.body) as Shape);
+    return Ok(JSON.parse(response.body) as Shape);
   } catch {
     return Err(
       Failure.create(FailureCode.ServiceUnavailable, {
-        detail: `unreadable answer, status ${answer.status}`,
+        detail: `unreadable answer, status ${response.status}`,
       }),
     );
   }
--- a/packages/entry/src/plugins/httpKeyValue.ts
+++ b/packages/entry/src/plugins/httpKeyValue.ts
@@ -23,7 +23,7 @@
 const statusNotFound = 404;
 const statusTooLarge = 413;
 const statusOk = 200;
-const valueLimit = 1_048_576;
+const maxValueBytes = 1_048_576;
 
 /** Client of the service. */
 class HttpKeyValue implements KeyValueService {
@@ -58,8 +58,8 @@
   }
 
   async compareAndSwap(key: string, value: Uint8Array, expected: number): Promise<Result<number, Failure>> {
-    if (value.length > valueLimit) {
-      return Err(Failure.create(FailureCode.ValueTooLarge, { size: value.length, limit: valueLimit }));
+    if (value.length > maxValueBytes) {
+      return Err(Failure.create(FailureCode.ValueTooLarge, { size: value.length, limit: maxValueBytes }));
     }
     const operation = {
       Verb: "cas",
@@ -67,12 +67,12 @@
       Value: Buffer.from(value).toString("base64"),
       Index: expected,
     };
-    const answer = await this.change("/v1/txn", JSON.stringify([{ KV: operation }]));
-    if (answer.isErr()) return answer;
-    if (answer.value.status === statusConflict)
+    const response = await this.change("/v1/txn", JSON.stringify([{ KV: operation }]));
+    if (response.isErr()) return response;
+    if (response.value.status === statusConflict)
       return Err(Failure.create(FailureCode.ServiceConflict, { key }));
-    if (answer.value.status !== statusOk) return Err(createStatusFailure(answer.value.status));
-    const parsed = parseJson<SwapResponse>(answer.value);
+    if (response.value.status !== statusOk) return Err(createStatusFailure(response.value.status));
+    const parsed = parseJson<SwapResponse>(response.value);
     const revision = parsed.isOk() ? parsed.value.Results[0]?.KV.ModifyIndex : undefined;
     return revision === undefined ? Err(Failure.create(FailureCode.ServiceAnswerLost)) : Ok(revision);
   }
@@ -87,24 +87,24 @@
     if (session.isErr()) return session;
     const path = `${getPath(name)}?acquire=${encodeURIComponent(session.value)}`;
     const acquired = await this.change(path, holder);
-    const answer = acquired.andThen((text) => parseJson<{ Acquired: boolean; LockIndex: number }>(text));
-    if (answer.isErr()) return answer;
-    if (answer.value.Acquired) return Ok({ session: session.value, fence: answer.value.LockIndex });
+    const response = acquired.andThen((text) => parseJson<{ Acquired: boolean; LockIndex: number }>(text));
+    if (response.isErr()) return response;
+    if (response.value.Acquired) return Ok({ session: session.value, fence: response.value.LockIndex });
     await this.releaseLease(session.value);
     return Ok(undefined);
   }
 
   async renewLease(session: string): Promise<Result<void, Failure>> {
-    const answer = await this.change(`/v1/session/renew/${encodeURIComponent(session)}`, "");
-    if (answer.isErr()) return answer;
-    if (answer.value.status === statusNotFound)
+    const response = await this.change(`/v1/session/renew/${encodeURIComponent(session)}`, "");
+    if (response.isErr()) return response;
+    if (response.value.status === statusNotFound)
       return Err(Failure.create(FailureCode.LeaseLost, { lease: session }));
-    return answer.value.status === statusOk ? Ok.EMPTY : Err(createStatusFailure(answer.value.status));
+    return response.value.status === statusOk ? Ok.EMPTY : Err(createStatusFailure(response.value.status));
   }
 
   async releaseLease(session: string): Promise<Result<void, Failure>> {
-    const answer = await this.change(`/v1/session/destroy/${encodeURIComponent(session)}`, "");
-    return answer.isErr() ? answer : Ok.EMPTY;
+    const response = await this.change(`/v1/session/destroy/${encodeURIComponent(session)}`, "");
+    return response.isErr() ? response : Ok.EMPTY;
   }
 
   async close(): Promise<void> {
@@ -123,15 +123,15 @@
 
 function createStatusFailure(status: number): Failure {
   if (status === statusTooLarge)
-    return Failure.create(FailureCode.ValueTooLarge, { size: "?", limit: valueLimit });
+    return Failure.create(FailureCode.ValueTooLarge, { size: "?", limit: maxValueBytes });
   return Failure.create(FailureCode.ServiceUnavailable, { detail: `status ${status}` });
 }
 
-function parseRead(answer: Result<CallResponse, Failure>): Result<StoredValue | undefined, Failure> {
-  if (answer.isErr()) return answer;
-  if (answer.value.status === statusNotFound) return Ok(undefined);
-  if (answer.value.status !== statusOk) return Err(createStatusFailure(answer.value.status));
-  return parseJson<readonly ReadEntry[]>(answer.value).map(([entry]) =>
+function parseRead(response: Result<CallResponse, Failure>): Result<StoredValue | undefined, Failure> {
+  if (response.isErr()) return response;
+  if (response.value.status === statusNotFound) return Ok(undefined);
+  if (response.value.status !== statusOk) return Err(createStatusFailure(response.value.status));
+  return parseJson<readonly ReadEntry[]>(response.value).map(([entry]) =>
     entry ? { value: Buffer.from(entry.Value, "base64"), revision: entry.ModifyIndex } : undefined,
   );
 }
--- a/packages/entry/src/plugins/httpPlatform.ts
+++ b/packages/entry/src/plugins/httpPlatform.ts
@@ -35,12 +35,12 @@
     const { timeout } = this.options;
     const headers: Record<string, string> = this.tag === undefined ? {} : { "if-none-match": this.tag };
     const call = { method: "GET", path: "/v1/instances", headers, effect: CallEffect.None, timeout } as const;
-    const answer = await callService(this.pool, call);
-    if (answer.isOk() && answer.value.status === statusUnchanged)
+    const response = await callService(this.pool, call);
+    if (response.isOk() && response.value.status === statusUnchanged)
       return Ok({ records: this.records, isUnchanged: true });
-    const parsed = answer.andThen((text) => parseJson<{ instances: readonly InstanceRecord[] }>(text));
-    if (answer.isErr() || parsed.isErr()) return Err(createListFailure(parsed));
-    this.tag = answer.value.tag;
+    const parsed = response.andThen((text) => parseJson<{ instances: readonly InstanceRecord[] }>(text));
+    if (response.isErr() || parsed.isErr()) return Err(createListFailure(parsed));
+    this.tag = response.value.tag;
     this.records = parsed.value.instances;
     return Ok({ records: this.records, isUnchanged: false });
   }
@@ -74,14 +74,14 @@
   ): Promise<Result<NoticeBatch, Failure>> {
     const path = `/v1/notices?after=${after}&wait=${wait}`;
     const timeout = wait + this.options.timeout;
-    const answer = await callService(this.pool, {
+    const response = await callService(this.pool, {
       method: "GET",
       path,
       effect: CallEffect.None,
       timeout,
       signal,
     });
-    return answer.andThen((text) => parseJson<NoticeBatch>(text));
+    return response.andThen((text) => parseJson<NoticeBatch>(text));
   }
 
   async close(): Promise<void> {
--- a/packages/entry/src/plugins/openaiEngine.ts
+++ b/packages/entry/src/plugins/openaiEngine.ts
@@ -41,8 +41,8 @@
 
 const statusOk = 200;
 const statusNotFound = 404;
-const endMark = "[DONE]";
-const cancelTimeout = 1_000;
+const endOfStream = "[DONE]";
+const cancelTimeoutMs = 1_000;
 const startedHeader = "x-run-started";
 
 /** Client of one engine. */
@@ -80,11 +80,11 @@
 
   async cancel(runId: string): Promise<CancelOutcome> {
     const path = `/v1/runs/${encodeURIComponent(runId)}`;
-    const call = { method: "DELETE", path, effect: CallEffect.None, timeout: cancelTimeout } as const;
-    const answer = await callService(this.pool, call);
-    const word = answer.andThen((text) => parseJson<{ state: string }>(text));
-    if (word.isErr()) return CancelOutcome.Unknown;
-    return cancelWords[word.value.state] ?? CancelOutcome.Unknown;
+    const call = { method: "DELETE", path, effect: CallEffect.None, timeout: cancelTimeoutMs } as const;
+    const response = await callService(this.pool, call);
+    const reply = response.andThen((text) => parseJson<{ state: string }>(text));
+    if (reply.isErr()) return CancelOutcome.Unknown;
+    return cancelOutcomes[reply.value.state] ?? CancelOutcome.Unknown;
   }
 
   getCacheSource(runId: string): string {
@@ -93,13 +93,13 @@
 
   async readLoad(): Promise<Result<LoadReport, Failure>> {
     const timeout = this.options.connectTimeout;
-    const answer = await callService(this.pool, {
+    const response = await callService(this.pool, {
       method: "GET",
       path: "/load",
       effect: CallEffect.None,
       timeout,
     });
-    return answer.andThen((text) => parseJson<LoadReport>(text));
+    return response.andThen((text) => parseJson<LoadReport>(text));
   }
 
   async close(): Promise<void> {
@@ -113,18 +113,18 @@
   ): Promise<Result<void, Failure>> {
     const endpoint = this.options.record.id;
     try {
-      const answer = await this.pool.request(request);
-      if (answer.statusCode !== statusOk) {
-        const isStarted = answer.headers[startedHeader] !== "no";
-        const body = await answer.body.text();
+      const response = await this.pool.request(request);
+      if (response.statusCode !== statusOk) {
+        const isStarted = response.headers[startedHeader] !== "no";
+        const body = await response.body.text();
         return Err(
-          createStatusFailure(answer.statusCode, isStarted, endpoint, request.method === "GET", body),
+          createStatusFailure(response.statusCode, isStarted, endpoint, request.method === "GET", body),
         );
       }
-      const load = readLoadHeader(answer.headers);
+      const load = readLoadHeader(response.headers);
       if (load) sink.setLoad(load);
       const reader = FrameReader.create(dispatch, sink, endpoint);
-      return await reader.read(answer.body as unknown as ReadableStream<Uint8Array>);
+      return await reader.read(response.body as unknown as ReadableStream<Uint8Array>);
     } catch (error) {
       if (request.method === "POST" && isNeverSent(error)) {
         return Err(Failure.create(FailureCode.EndpointUnreachable, { endpoint }));
@@ -134,7 +134,7 @@
   }
 }
 
-const cancelWords: Readonly<Record<string, CancelOutcome>> = {
+const cancelOutcomes: Readonly<Record<string, CancelOutcome>> = {
   "not-started": CancelOutcome.NotStarted,
   started: CancelOutcome.Started,
 };
@@ -222,27 +222,27 @@
   }
 
   private async handleEvent(event: EventSourceMessage): Promise<void> {
-    if (event.data === endMark) {
+    if (event.data === endOfStream) {
       // An end mark without a finish reason is not the end of a whole answer.
       if (this.hasFinish) this.isDone = true;
       else this.failure = Failure.create(FailureCode.EndpointCut, { endpoint: this.endpoint });
       return;
     }
-    const place = /^(\d+):(\d+)$/.exec(event.id ?? "");
-    const attempt = Number(place?.[1]);
-    const position = Number(place?.[2]);
-    if (!place) return this.setBadAnswer();
+    const match = /^(\d+):(\d+)$/.exec(event.id ?? "");
+    const attempt = Number(match?.[1]);
+    const position = Number(match?.[2]);
+    if (!match) return this.failBadResponse();
     if (attempt !== this.dispatch.attempt || position < this.next) return;
     if (position > this.next) {
       this.failure = Failure.create(FailureCode.EndpointCut, { endpoint: this.endpoint });
       return;
     }
     const chunk = tryParseChunk(event.data);
-    if (!chunk) return this.setBadAnswer();
+    if (!chunk) return this.failBadResponse();
     await this.addChunk(chunk, position, event.data);
   }
 
-  private setBadAnswer(): void {
+  private failBadResponse(): void {
     this.failure = Failure.create(FailureCode.EndpointBadAnswer, { endpoint: this.endpoint });
   }
 
--- a/packages/entry/src/plugins/webService.ts
+++ b/packages/entry/src/plugins/webService.ts
@@ -41,20 +41,20 @@
     const endpoint = this.options.record.id;
     let position = 0;
     try {
-      const answer = await this.pool.request(createRequest(dispatch, signal));
-      const isRefusal = answer.headers[startedHeader] === "no";
+      const response = await this.pool.request(createRequest(dispatch, signal));
+      const isRefusal = response.headers[startedHeader] === "no";
       if (isRefusal) {
-        await answer.body.dump();
+        await response.body.dump();
         return Err(Failure.create(FailureCode.EndpointRefused));
       }
-      if (mayRetryStatus(dispatch, answer.statusCode)) {
-        await answer.body.dump();
-        return Err(Failure.create(FailureCode.EndpointFailed, { endpoint, status: answer.statusCode }));
+      if (mayRetryStatus(dispatch, response.statusCode)) {
+        await response.body.dump();
+        return Err(Failure.create(FailureCode.EndpointFailed, { endpoint, status: response.statusCode }));
       }
-      const load = readLoadHeader(answer.headers);
+      const load = readLoadHeader(response.headers);
       if (load) sink.setLoad(load);
-      sink.setHead({ status: answer.statusCode, headers: selectResponseHeaders(answer.headers) });
-      for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
+      sink.setHead({ status: response.statusCode, headers: selectResponseHeaders(response.headers) });
+      for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
         await sink.add({ position, data: bytes });
         position += bytes.length;
       }
@@ -80,13 +80,13 @@
 
   async readLoad(): Promise<Result<LoadReport, Failure>> {
     const timeout = this.options.connectTimeout;
-    const answer = await callService(this.pool, {
+    const response = await callService(this.pool, {
       method: "GET",
       path: "/load",
       effect: CallEffect.None,
       timeout,
     });
-    return answer.andThen((text) => parseJson<LoadReport>(text));
+    return response.andThen((text) => parseJson<LoadReport>(text));
   }
 
   async close(): Promise<void> {
--- a/packages/entry/src/problem.ts
+++ b/packages/entry/src/problem.ts
@@ -7,7 +7,7 @@
 import { type Failure, outcomeNames } from "@gladewall/kernel";
 
 const millisecondsPerSecond = 1000;
-const statusCallerGone = 499;
+const statusClientClosedRequest = 499;
 
 /** Returns the body of a failure. */
 export function formatProblem(failure: Failure, requestId: string): string {
@@ -33,7 +33,7 @@
 /** Sends a failure; does nothing where the head is already out. */
 export function sendProblem(response: ServerResponse, failure: Failure, requestId: string): void {
   if (response.headersSent || response.destroyed) return;
-  if (failure.status === statusCallerGone) return void response.destroy();
+  if (failure.status === statusClientClosedRequest) return void response.destroy();
   const body = formatProblem(failure, requestId);
   response.setHeader("content-type", "application/problem+json");
   response.setHeader("content-length", Buffer.byteLength(body));
--- a/packages/entry/src/requestBody.ts
+++ b/packages/entry/src/requestBody.ts
@@ -10,11 +10,11 @@
 /** Bounds of a body. */
 export interface BodyLimits {
   /** Bytes that may be held in memory. */
-  readonly held: number;
+  readonly maxHeldBytes: number;
   /** Bytes in all. */
-  readonly total: number;
+  readonly maxTotalBytes: number;
   /** Milliseconds without a byte. */
-  readonly idle: number;
+  readonly idleTimeoutMs: number;
 }
 
 /** A body: its held head, and the rest where it is larger than what may be held. */
@@ -37,12 +37,13 @@
   clock: Clock,
 ): Promise<Result<RequestBody, Failure>> {
   const declared = Number(request.headers["content-length"] ?? "0");
-  if (declared > limits.total) return Err(Failure.create(FailureCode.BodyTooLarge, { limit: limits.total }));
+  if (declared > limits.maxTotalBytes)
+    return Err(Failure.create(FailureCode.BodyTooLarge, { limit: limits.maxTotalBytes }));
   const source = readChunks(request, limits, clock);
   const chunks: Uint8Array[] = [];
   let size = 0;
   try {
-    while (size <= limits.held) {
+    while (size <= limits.maxHeldBytes) {
       const next = await source.next();
       if (next.done) return Ok({ head: Buffer.concat(chunks), rest: undefined });
       chunks.push(next.value);
@@ -63,18 +64,18 @@
   const iterator = request[Symbol.asyncIterator]() as AsyncIterator<Uint8Array>;
   let size = 0;
   while (true) {
-    const next = await nextWithin(iterator, limits.idle, clock);
+    const next = await readWithTimeout(iterator, limits.idleTimeoutMs, clock);
     if (next.done) break;
     size += next.value.length;
-    if (size > limits.total)
-      throw new BodyFailure(Failure.create(FailureCode.BodyTooLarge, { limit: limits.total }));
+    if (size > limits.maxTotalBytes)
+      throw new BodyFailure(Failure.create(FailureCode.BodyTooLarge, { limit: limits.maxTotalBytes }));
     yield next.value;
   }
   if (!request.complete)
     throw new BodyFailure(Failure.create(FailureCode.BadRequest, { detail: "the body was cut short" }));
 }
 
-function nextWithin(
+function readWithTimeout(
   iterator: AsyncIterator<Uint8Array>,
   idle: number,
   clock: Clock,
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -22,8 +22,14 @@
 import type { DecisionWriter } from "./decisions.js";
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { EntrySettings } from "./entrySettings.js";
-import { createEnvelope, isModelService, parseModel, readMarks, type RequestMarks } from "./envelope.js";
-import type { Exchange, Route } from "./front.js";
+import {
+  createEnvelope,
+  isModelService,
+  parseModelRequest,
+  readDirectives,
+  type RequestDirectives,
+} from "./envelope.js";
+import type { Exchange, Route } from "./callerServer.js";
 import { selectRequestHeaders } from "./headers.js";
 import type { KeyLookup } from "./keyLookup.js";
 import { sendProblem } from "./problem.js";
@@ -59,7 +65,7 @@
 /** A request on its way to acceptance. */
 interface Candidate {
   readonly caller: Caller;
-  readonly marks: RequestMarks;
+  readonly directives: RequestDirectives;
   readonly service: ServiceRecord;
   readonly path: string;
   readonly body: RequestBody;
@@ -86,7 +92,7 @@
       {
         pattern: /^\/v1\/requests\/([A-Za-z0-9._~-]+)$/,
         methods: {
-          GET: (exchange, match) => this.handleReturn(exchange, match[1] ?? ""),
+          GET: (exchange, match) => this.handleReattach(exchange, match[1] ?? ""),
           DELETE: (exchange, match) => this.handleCancel(exchange, match[1] ?? ""),
         },
       },
@@ -105,12 +111,16 @@
     const { settings, clock } = this.parts;
     const caller = this.authenticate(exchange);
     if (caller.isErr()) return caller.error;
-    const marks = readMarks(exchange.request, settings.requests.default_class);
-    if (marks.isErr()) return marks.error;
+    const directives = readDirectives(exchange.request, settings.requests.default_class);
+    if (directives.isErr()) return directives.error;
     const { body_bytes: total, body_timeout: idle } = settings.front;
-    const body = await readBody(exchange.request, { held: total, total, idle }, clock);
+    const body = await readBody(
+      exchange.request,
+      { maxHeldBytes: total, maxTotalBytes: total, idleTimeoutMs: idle },
+      clock,
+    );
     if (body.isErr()) return body.error;
-    const parsed = parseModel(body.value.head, form);
+    const parsed = parseModelRequest(body.value.head, form);
     if (parsed.isErr()) return parsed.error;
     const service = caller.value.table.getService(parsed.value.service);
     if (!service || !isModelService(service)) {
@@ -118,7 +128,14 @@
     }
     const { model } = parsed.value;
     const path = exchange.url.pathname;
-    const candidate = { caller: caller.value, marks: marks.value, service, path, body: body.value, model };
+    const candidate = {
+      caller: caller.value,
+      directives: directives.value,
+      service,
+      path,
+      body: body.value,
+      model,
+    };
     return this.accept(exchange, candidate);
   }
 
@@ -126,18 +143,22 @@
     const { settings, clock } = this.parts;
     const caller = this.authenticate(exchange);
     if (caller.isErr()) return caller.error;
-    const marks = readMarks(exchange.request, settings.requests.default_class);
-    if (marks.isErr()) return marks.error;
+    const directives = readDirectives(exchange.request, settings.requests.default_class);
+    if (directives.isErr()) return directives.error;
     const service = caller.value.table.getService(name);
     if (!service || service.kind !== ServiceKind.Web)
       return Failure.create(FailureCode.UnknownService, { service: name });
     const { upload_bytes: total, body_timeout: idle } = settings.front;
-    const body = await readBody(exchange.request, { held: settings.requests.copy_bytes, total, idle }, clock);
+    const body = await readBody(
+      exchange.request,
+      { maxHeldBytes: settings.requests.copy_bytes, maxTotalBytes: total, idleTimeoutMs: idle },
+      clock,
+    );
     if (body.isErr()) return body.error;
     const target = `${path}${exchange.url.search}`;
     const candidate = {
       caller: caller.value,
-      marks: marks.value,
+      directives: directives.value,
       service,
       path: target,
       body: body.value,
@@ -148,21 +169,21 @@
 
   private async accept(exchange: Exchange, candidate: Candidate): Promise<Failure | undefined> {
     const { admission, metrics, requests, decisions } = this.parts;
-    const { caller, marks, service, model } = candidate;
+    const { caller, directives, service, model } = candidate;
     const { workspace } = caller;
-    const row = caller.table.getRow(workspace, service.name, marks.class);
+    const row = caller.table.getRow(workspace, service.name, directives.class);
     if (!row) {
-      const values = { workspace, service: service.name, class: marks.class };
+      const values = { workspace, service: service.name, class: directives.class };
       return this.refuse(exchange, Failure.create(FailureCode.NoRow, values));
     }
     const envelope = this.createEnvelope(exchange, candidate, row);
     const isStream = model?.isStream ?? false;
-    const same = envelope.keyDigest === undefined ? undefined : requests.getByKey(envelope.keyDigest);
-    if (same) return this.answerSame(exchange, same, envelope, isStream);
+    const existing = envelope.keyDigest === undefined ? undefined : requests.getByKey(envelope.keyDigest);
+    if (existing) return this.answerFromExisting(exchange, existing, envelope, isStream);
     const promptTokens = model?.promptTokens ?? 0;
     const work = promptTokens + (model?.outputTokens ?? 0);
     const admitted = admission.admit(row, { service: service.name, promptTokens, work });
-    if (admitted.isErr()) return this.refuseUnlessKnown(exchange, envelope, admitted.error, isStream);
+    if (admitted.isErr()) return this.refuseUnlessKeyUsed(exchange, envelope, admitted.error, isStream);
     metrics.admitted.add();
     const { version } = caller.table;
     const inputs = { row: envelope.row, version, priority: row.priority, tokens: promptTokens };
@@ -177,12 +198,12 @@
   }
 
   private createEnvelope(exchange: Exchange, candidate: Candidate, row: PolicyRow): Envelope {
-    const { caller, marks, service, model } = candidate;
+    const { caller, directives, service, model } = candidate;
     return createEnvelope({
       id: exchange.id,
       workspace: caller.workspace,
       service,
-      marks,
+      directives,
       row,
       rowName: getRowName(row),
       method: exchange.request.method ?? "",
@@ -209,7 +230,7 @@
    * Refuses a request, but not one whose key was used before: that one gets the answer of the first, which costs
    * nothing. Where it cannot be known whether the key was used, the outcome is not said to be "not run".
    */
-  private async refuseUnlessKnown(
+  private async refuseUnlessKeyUsed(
     exchange: Exchange,
     envelope: Envelope,
     failure: Failure,
@@ -226,7 +247,7 @@
   }
 
   /** A key used again at this entry gets the answer of the request that has it. */
-  private async answerSame(
+  private async answerFromExisting(
     exchange: Exchange,
     same: ActiveRequest,
     envelope: Envelope,
@@ -263,22 +284,23 @@
     from: number,
     isStream: boolean,
   ): Promise<void> {
-    const { response, gone } = exchange;
-    exchange.gone.addEventListener("abort", () => this.handleGone(request));
-    if (request.envelope.model) await writeModelResponse(response, request, { isStream, from }, gone);
+    const { response, callerLeft: gone } = exchange;
+    exchange.callerLeft.addEventListener("abort", () => this.handleCallerLeft(request));
+    if (request.envelope.model)
+      await writeModelResponse(response, request, { isStream, fromPosition: from }, gone);
     else await writeWebResponse(response, request, gone);
   }
 
   /** A run without a key goes on for a grace time after its last caller left, so that the caller can come back. */
-  private handleGone(request: ActiveRequest): void {
+  private handleCallerLeft(request: ActiveRequest): void {
     if (!request.isOpen || request.envelope.keyDigest !== undefined) return;
     this.parts.clock.startTimer(this.parts.settings.requests.resume_grace, () => {
       if (request.isOpen && request.log.readerCount === 0) request.stop.abort(StopReason.CallerLeft);
     });
   }
 
-  private async handleReturn(exchange: Exchange, id: string): Promise<Failure | undefined> {
-    const found = await this.findOwn(exchange, id);
+  private async handleReattach(exchange: Exchange, id: string): Promise<Failure | undefined> {
+    const found = await this.findInWorkspace(exchange, id);
     if (found.isErr()) return found.error;
     const request = found.value;
     const eventId = exchange.request.headers["last-event-id"];
@@ -293,7 +315,7 @@
   }
 
   private async handleCancel(exchange: Exchange, id: string): Promise<Failure | undefined> {
-    const found = await this.findOwn(exchange, id);
+    const found = await this.findInWorkspace(exchange, id);
     if (found.isErr()) return found.error;
     await this.parts.fetcher.cancel(found.value);
     await found.value.log.waitForEnd();
@@ -306,7 +328,7 @@
   }
 
   /** Finds a request of the caller's own workspace; another's looks as if it did not exist. */
-  private async findOwn(exchange: Exchange, id: string): Promise<Result<ActiveRequest, Failure>> {
+  private async findInWorkspace(exchange: Exchange, id: string): Promise<Result<ActiveRequest, Failure>> {
     // A leaving entry still answers for what it has.
     const caller = this.identify(exchange, this.parts.getLatestTable());
     if (caller.isErr()) return caller;
--- a/packages/entry/src/runner.ts
+++ b/packages/entry/src/runner.ts
@@ -392,7 +392,7 @@
     const total = clock.getTime() - request.startedAt;
     const first = (request.firstChunkAt ?? clock.getTime()) - request.startedAt;
     const output = envelope.model ? log.end : 0;
-    metrics.countEnd(envelope, first, total, output);
+    metrics.countCompletion(envelope, first, total, output);
     decisions.add(envelope.id, DecisionStage.Outcome, DecisionRule.Finished, { total, first, output });
     const { id, workspace, service, class: requestClass } = envelope;
     logger.info("request.finished", {
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -24,7 +24,7 @@
 import type { EntryMetrics } from "./entryMetrics.js";
 import type { DecisionHistory } from "./decisionHistory.js";
 import { Fleet } from "./fleet.js";
-import type { Route } from "./front.js";
+import type { Route } from "./callerServer.js";
 import { KeyLookup } from "./keyLookup.js";
 import { LeavingRuns } from "./leavingRuns.js";
 import type { Membership, MembershipParts } from "./membership.js";
@@ -49,7 +49,7 @@
   private readonly fleet: Fleet;
   private readonly dispatcher: Dispatcher;
   private readonly backups: BackupWriter;
-  private readonly copies: BackupStore;
+  private readonly backupStore: BackupStore;
   private readonly runner: RequestRunner;
   private readonly shares: RowShares;
   private readonly claimStore: ClaimStore;
@@ -80,12 +80,12 @@
     };
     const backups = BackupWriter.create(base);
     const resume = (request: ActiveRequest, options: ResumeOptions): void => this.resume(request, options);
-    this.copies = BackupStore.create({ ...base, resume });
-    const fetcher = ResponseFetcher.create({ ...base, hasCopy: (id) => this.copies.has(id) });
+    this.backupStore = BackupStore.create({ ...base, resume });
+    const fetcher = ResponseFetcher.create({ ...base, hasCopy: (id) => this.backupStore.has(id) });
     const attempts = AttemptRunner.create({ ...base, entry: name, prefixes, backups });
     this.claimStore = this.createClaimStore();
     const claims = ClaimClient.create(name, this.claimStore, links, view, settings.claims.peer_timeout);
-    const keys = KeyLookup.create(name, links, view, this.copies, claims, settings.backups.ack_timeout);
+    const keys = KeyLookup.create(name, links, view, this.backupStore, claims, settings.backups.ack_timeout);
     const claimGuard = ClaimGuard.create(
       createWriterName(name, parts.incarnation),
       claims,
@@ -140,11 +140,11 @@
 
   /** Takes no peer's requests over any more. */
   stopTakeovers(): void {
-    this.copies.close();
+    this.backupStore.close();
   }
 
   async close(): Promise<void> {
-    this.copies.close();
+    this.backupStore.close();
     await this.fleet.close();
   }
 
@@ -203,7 +203,7 @@
     registry.registerGauge("gladewall_lent_rows", "Rows that this entry lends.", () =>
       this.shares.getManagedCount(),
     );
-    registry.registerGauge("gladewall_copies", "Copies held for peers.", () => this.copies.size);
+    registry.registerGauge("gladewall_copies", "Copies held for peers.", () => this.backupStore.size);
     registry.registerGauge("gladewall_protected", "Requests with a copy elsewhere.", () =>
       this.backups.getReplicatedCount(),
     );
--- a/packages/operator/src/bench/capacityBench.ts
+++ b/packages/operator/src/bench/capacityBench.ts
@@ -11,7 +11,7 @@
 import { LocalFleet } from "../local/localFleet.js";
 import { sampleConfiguration, sampleKeys } from "../local/sampleTable.js";
 import { Caller } from "../soak/caller.js";
-import { AskKind, Verdict } from "../soak/types.js";
+import { CallerRequestKind, ResultKind } from "../soak/types.js";
 import { type Fit, fitLine } from "./fitLine.js";
 
 /** One measured fleet. */
@@ -203,16 +203,21 @@
 async function measureRequests(print: (line: string) => void): Promise<readonly RequestPoint[]> {
   const fleet = await createFleet(9);
   let turn = 0;
-  const fronts = fleet.getLiveFronts();
+  const fronts = fleet.getCallerAddresses();
   const caller = Caller.create({
     chooseEntry: () => fronts[turn++ % fronts.length] ?? "",
     key: sampleKeys.cab,
-    patience: 20_000,
+    timeoutMs: 20_000,
     modelService: "model",
     webService: "booking",
   });
   const points: RequestPoint[] = [];
-  for (const kind of [AskKind.Stream, AskKind.Draft, AskKind.Booking, AskKind.Page]) {
+  for (const kind of [
+    CallerRequestKind.Stream,
+    CallerRequestKind.Draft,
+    CallerRequestKind.Booking,
+    CallerRequestKind.Page,
+  ]) {
     points.push(await measureKind(fleet, caller, kind));
     const point = points[points.length - 1];
     if (point)
@@ -225,7 +230,11 @@
   return points;
 }
 
-async function measureKind(fleet: LocalFleet, caller: Caller, kind: AskKind): Promise<RequestPoint> {
+async function measureKind(
+  fleet: LocalFleet,
+  caller: Caller,
+  kind: CallerRequestKind,
+): Promise<RequestPoint> {
   const idle = await measureIdle(fleet);
   const before = readCounters(fleet);
   const processorBefore = process.cpuUsage();
@@ -233,16 +242,21 @@
   let whole = 0;
   for (let index = 0; index < requestCount; index += concurrency) {
     const asks = Array.from({ length: concurrency }, (_, place) =>
-      caller.ask({ kind, mark: `capacity-${kind}-${index + place}`, outputTokens, requestClass: "standard" }),
+      caller.makeRequest({
+        kind,
+        mark: `capacity-${kind}-${index + place}`,
+        outputTokens,
+        requestClass: "standard",
+      }),
     );
     const told = await Promise.all(asks);
-    whole += told.filter(({ verdict }) => verdict === Verdict.Whole).length;
+    whole += told.filter(({ verdict }) => verdict === ResultKind.Complete).length;
   }
   const used = getMilliseconds(process.cpuUsage(processorBefore));
   const after = readCounters(fleet);
   const elapsed = performance.now() - started;
   return {
-    kind: AskKind[kind],
+    kind: CallerRequestKind[kind],
     requests: whole,
     peerBytes: (after.sentBytes - before.sentBytes - idle.bytes * elapsed) / whole,
     processorMs: (used - idle.processor * elapsed) / whole,
--- a/packages/operator/src/bench/claimsBench.ts
+++ b/packages/operator/src/bench/claimsBench.ts
@@ -20,7 +20,7 @@
 
 const rates = [1, 10, 100, 1_000];
 const millisecondsPerSecond = 1000;
-const tick = 10;
+const tickMs = 10;
 
 /** Runs the bench, `window` milliseconds a rate. */
 export async function runClaimsBench(window: number, print: (line: string) => void): Promise<unknown> {
@@ -51,7 +51,7 @@
     prefix: "gladewall/",
     calls_per_second: 1_000,
   }).expect("the plug-ins are known");
-  const ledger = ClaimStore.create({
+  const claimStore = ClaimStore.create({
     service: clients.keyValue,
     clock: SystemClock.create(),
     prefix: "claims/",
@@ -65,16 +65,16 @@
   let won = 0;
   const claim = async (number: number): Promise<void> => {
     const started = performance.now();
-    const outcome = await ledger.claim(createClaim(number));
+    const outcome = await claimStore.claim(createClaim(number));
     latency.record(performance.now() - started);
     if (outcome.isOk() && outcome.value.isWon) won += 1;
   };
   const running: Promise<void>[] = [];
   const started = performance.now();
-  const due = (): number => ((performance.now() - started) / millisecondsPerSecond) * rate;
+  const getDueCount = (): number => ((performance.now() - started) / millisecondsPerSecond) * rate;
   while (performance.now() - started < window) {
-    while (running.length < due()) running.push(claim(running.length));
-    await new Promise((resolve) => setTimeout(resolve, tick));
+    while (running.length < getDueCount()) running.push(claim(running.length));
+    await new Promise((resolve) => setTimeout(resolve, tickMs));
   }
   await Promise.all(running);
   const seconds = (performance.now() - started) / millisecondsPerSecond;
--- a/packages/operator/src/bench/stalenessBench.ts
+++ b/packages/operator/src/bench/stalenessBench.ts
@@ -35,7 +35,7 @@
   readonly requestsPerSecond: number;
 }
 
-interface Placed {
+interface Placement {
   readonly engine: number;
   readonly at: number;
   readonly readingMs: number;
@@ -63,7 +63,7 @@
 const warmUpMs = 5_000;
 const lengthMs = 40_000;
 /** Placements older than this are shown in every view. */
-const keptMs = 1_500;
+const visibleAfterMs = 1_500;
 const resolution = 1_000_000;
 
 /** Runs all cases. */
@@ -84,21 +84,21 @@
 /** Plays one case. */
 export function measureCase(fleet: Fleet, ageMs: number, rule: ChoiceRule): StalenessPoint {
   const draws = SeededRandom.create(seed);
-  const getShare = (): number => draws.getInteger(0, resolution - 1) / resolution;
+  const drawFraction = (): number => draws.getInteger(0, resolution - 1) / resolution;
   const busyUntil = new Float64Array(fleet.engines);
   const waits: number[] = [];
-  let recent: Placed[] = [];
+  let recent: Placement[] = [];
   for (let time = 0; time < lengthMs;) {
-    time += (-Math.log(1 - getShare()) * 1_000) / fleet.requestsPerSecond;
-    const readingMs = (draws.chooseWeighted(prompts)?.readingMs ?? 0) * (0.5 + getShare());
+    time += (-Math.log(1 - drawFraction()) * 1_000) / fleet.requestsPerSecond;
+    const readingMs = (draws.chooseWeighted(prompts)?.readingMs ?? 0) * (0.5 + drawFraction());
     // An instance's own requests are a share of all: it knows those at once, the others after the age.
     const unseen = recent.filter(
-      ({ at }) => at > time - ageMs * (0.5 + getShare()) && getShare() > 1 / fleet.instances,
+      ({ at }) => at > time - ageMs * (0.5 + drawFraction()) && drawFraction() > 1 / fleet.instances,
     );
-    const engine = chooseEngine(busyUntil, unseen, time, rule, getShare);
+    const engine = chooseEngine(busyUntil, unseen, time, rule, drawFraction);
     const startsAt = Math.max(time, busyUntil[engine]!);
     busyUntil[engine] = startsAt + readingMs;
-    recent = [...recent.filter(({ at }) => at > time - keptMs), { engine, at: time, readingMs }];
+    recent = [...recent.filter(({ at }) => at > time - visibleAfterMs), { engine, at: time, readingMs }];
     if (time > warmUpMs) waits.push(startsAt - time);
   }
   return { ...fleet, ageMs, rule: rule.name, ...summarize(waits) };
@@ -106,18 +106,18 @@
 
 function chooseEngine(
   busyUntil: Float64Array,
-  unseen: readonly Placed[],
+  unseen: readonly Placement[],
   time: number,
   { drawn, spreadMs }: ChoiceRule,
-  getShare: () => number,
+  drawFraction: () => number,
 ): number {
   const hidden = new Map<number, number>();
   for (const { engine, readingMs } of unseen) hidden.set(engine, (hidden.get(engine) ?? 0) + readingMs);
   let best = 0;
   let leastMs = Infinity;
-  for (const engine of drawEngines(busyUntil.length, drawn, getShare)) {
+  for (const engine of drawEngines(busyUntil.length, drawn, drawFraction)) {
     const knownMs = Math.max(0, busyUntil[engine]! - time - (hidden.get(engine) ?? 0));
-    const score = knownMs + getShare() * spreadMs;
+    const score = knownMs + drawFraction() * spreadMs;
     if (score >= leastMs) continue;
     leastMs = score;
     best = engine;
@@ -125,10 +125,10 @@
   return best;
 }
 
-function drawEngines(count: number, drawn: number | undefined, getShare: () => number): Iterable<number> {
+function drawEngines(count: number, drawn: number | undefined, drawFraction: () => number): Iterable<number> {
   if (drawn === undefined || drawn >= count) return Array.from({ length: count }, (_, engine) => engine);
   const chosen = new Set<number>();
-  while (chosen.size < drawn) chosen.add(Math.floor(getShare() * count));
+  while (chosen.size < drawn) chosen.add(Math.floor(drawFraction() * count));
   return chosen;
 }
 
--- a/packages/operator/src/local/localFleet.ts
+++ b/packages/operator/src/local/localFleet.ts
@@ -53,9 +53,9 @@
 const reclaimablePrice = 120;
 const onDemandPrice = 400;
 /** Links that each entry keeps: the default of `[peers] links`. */
-const standingLinks = 16;
+const linksPerEntry = 16;
 /** Milliseconds between readings of the list: short, so that a local fleet is soon linked. */
-const listInterval = 50;
+const listIntervalMs = 50;
 const weightBytes = 16_000_000_000;
 
 /** The running fleet. */
@@ -64,7 +64,7 @@
   readonly engines = new Map<string, FakeEngine>();
   readonly webs = new Map<string, FakeWebService>();
   /** Instances that were killed. */
-  private readonly dead = new Set<string>();
+  private readonly killed = new Set<string>();
   /** Instances that have their notice. */
   private readonly leaving = new Set<string>();
   private readonly endpointRecords = new Map<string, InstanceRecord>();
@@ -97,10 +97,10 @@
 
   /** Resolves when every entry has the configuration and is linked with all others. */
   async waitUntilReady(): Promise<void> {
-    const live = this.entries.filter(({ record }) => !this.dead.has(record.id));
+    const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     await Promise.all(live.map(({ entry }) => entry.waitUntilReady()));
     await Promise.all(
-      live.map(({ entry }) => entry.links.waitForLinks(Math.min(live.length - 1, standingLinks))),
+      live.map(({ entry }) => entry.links.waitForLinks(Math.min(live.length - 1, linksPerEntry))),
     );
   }
 
@@ -136,7 +136,7 @@
     const settings = parseSettings(entrySchema, this.formatSettings(draft), {
       file: "(local)",
       environment: {},
-      overrides: [`platform.list_interval=${listInterval}`, ...this.options.overrides],
+      overrides: [`platform.list_interval=${listIntervalMs}`, ...this.options.overrides],
     });
     const entry = Entry.create(settings.expect("local settings are good"), this.options.logger);
     const started = entry.expect("local plug-ins are known");
@@ -149,9 +149,9 @@
   }
 
   /** Callers' addresses of entries that run and are ready, as a balancer sees them. */
-  getLiveFronts(): readonly string[] {
-    const live = this.entries.filter(({ record }) => !this.dead.has(record.id));
-    const ready = live.filter(({ entry }) => entry.getUnready() === undefined);
+  getCallerAddresses(): readonly string[] {
+    const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
+    const ready = live.filter(({ entry }) => entry.getUnreadyReason() === undefined);
     return (ready.length > 0 ? ready : live).map(({ addresses }) => addresses.front);
   }
 
@@ -165,15 +165,15 @@
   /** Kills an entry as a death does; the list says so after its lag. */
   async killEntry(id: string): Promise<void> {
     const local = this.entries.find(({ record }) => record.id === id);
-    if (!local || this.dead.has(id)) return;
-    this.dead.add(id);
+    if (!local || this.killed.has(id)) return;
+    this.killed.add(id);
     this.platform.remove(id);
     await local.entry.kill();
   }
 
   /** Kills an endpoint as a death does. */
   async killEndpoint(id: string): Promise<void> {
-    this.dead.add(id);
+    this.killed.add(id);
     this.platform.remove(id);
     await (this.engines.get(id) ?? this.webs.get(id))?.close();
   }
@@ -210,12 +210,12 @@
 
   /** Engines that run. */
   getLiveEngines(): readonly FakeEngine[] {
-    return [...this.engines].filter(([id]) => !this.dead.has(id)).map(([, engine]) => engine);
+    return [...this.engines].filter(([id]) => !this.killed.has(id)).map(([, engine]) => engine);
   }
 
   /** Web endpoints that run. */
   getLiveWebs(): readonly FakeWebService[] {
-    return [...this.webs].filter(([id]) => !this.dead.has(id)).map(([, web]) => web);
+    return [...this.webs].filter(([id]) => !this.killed.has(id)).map(([, web]) => web);
   }
 
   /** Starts another endpoint of the same service in place of one that was taken. */
@@ -226,12 +226,12 @@
   }
 
   private isFree(id: string): boolean {
-    return !this.dead.has(id) && !this.leaving.has(id);
+    return !this.killed.has(id) && !this.leaving.has(id);
   }
 
   /** Resolves when every running entry satisfies a condition. */
   async waitForView(condition: (entry: Entry) => boolean): Promise<void> {
-    const live = this.entries.filter(({ record }) => !this.dead.has(record.id));
+    const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     while (!live.every(({ entry }) => condition(entry))) {
       await new Promise((resolve) => setImmediate(resolve));
     }
@@ -244,7 +244,7 @@
     headers: Readonly<Record<string, string>> = {},
     index = 0,
   ): Promise<{ readonly status: number; readonly body: unknown }> {
-    const fronts = this.getLiveFronts();
+    const fronts = this.getCallerAddresses();
     const authorization = `Bearer ${sampleKeys.cab}`;
     const answer = await request(`http://${fronts[index % fronts.length]}${path}`, {
       method: "POST",
@@ -256,7 +256,7 @@
 
   /** Stops everything: entries as planned, then the stand-ins. */
   async close(): Promise<void> {
-    const live = this.entries.filter(({ record }) => !this.dead.has(record.id));
+    const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     await Promise.all(live.map(({ entry }) => entry.stop()));
     await Promise.all([...this.engines.values(), ...this.webs.values()].map((standin) => standin.close()));
     await Promise.all([this.keyValue.close(), this.platform.close(), this.weights.close()]);
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -7,13 +7,13 @@
 import { runLocal } from "./commands/local.js";
 
 /** Exit codes of `gladewall`. */
-export enum OperatorExit {
-  Good = 0,
+export enum OperatorExitCode {
+  Success = 0,
   Failed = 1,
-  BadUse = 2,
+  InvalidUsage = 2,
 }
 
-const leastEntries = 2;
+const minEntries = 2;
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
@@ -28,9 +28,9 @@
     (command) =>
       command
         .option("exit", { type: "boolean", default: false, describe: "end after the sample requests" })
-        .option("entries", { type: "number", default: 3, describe: `entries, at least ${leastEntries}` })
+        .option("entries", { type: "number", default: 3, describe: `entries, at least ${minEntries}` })
         .option("verbose", { type: "boolean", default: false, describe: "write the entries' logs" })
-        .check((options) => options.entries >= leastEntries || `at least ${leastEntries} entries`),
+        .check((options) => options.entries >= minEntries || `at least ${minEntries} entries`),
     async (options) => {
       process.exitCode = await runLocal(options, print);
     },
@@ -39,7 +39,7 @@
   .strict()
   .fail((message, error) => {
     process.stderr.write(`gladewall: ${message || String(error)}\n`);
-    process.exit(OperatorExit.BadUse);
+    process.exit(OperatorExitCode.InvalidUsage);
   })
   .version("0.1.0")
   .help();
--- a/packages/operator/src/soak/caller.ts
+++ b/packages/operator/src/soak/caller.ts
@@ -6,7 +6,7 @@
 import { Outcome, outcomeNames } from "@gladewall/kernel";
 import { createParser, type EventSourceMessage } from "eventsource-parser";
 import { Agent, type Dispatcher, request } from "undici";
-import { type Ask, AskKind, type Told, Verdict } from "./types.js";
+import { type CallerRequest, CallerRequestKind, type CallerResult, ResultKind } from "./types.js";
 
 /** Options of a caller. */
 export interface CallerOptions {
@@ -14,13 +14,13 @@
   readonly chooseEntry: () => string;
   readonly key: string;
   /** Milliseconds after which a caller gives up. */
-  readonly patience: number;
+  readonly timeoutMs: number;
   readonly modelService: string;
   readonly webService: string;
 }
 
-const pause = 50;
-const headersTimeout = 20_000;
+const retryPauseMs = 50;
+const headersTimeoutMs = 20_000;
 const retryStatuses: ReadonlySet<number> = new Set([404, 429, 503]);
 const codeUnknownRequest = 2008;
 const millisecondsPerSecond = 1000;
@@ -32,8 +32,8 @@
 }
 
 /** State of one call, over all its returns. */
-interface Call {
-  readonly ask: Ask;
+interface CallState {
+  readonly request: CallerRequest;
   readonly started: number;
   readonly requests: string[];
   readonly parts: string[];
@@ -45,7 +45,7 @@
 }
 
 /** What one exchange led to; undefined means that the caller has to come back. */
-type Step = Pick<Told, "verdict" | "text" | "outcome" | "code"> | undefined;
+type Step = Pick<CallerResult, "verdict" | "text" | "outcome" | "code"> | undefined;
 
 const outcomesByName: ReadonlyMap<string, Outcome> = new Map([
   [outcomeNames[Outcome.NotRun], Outcome.NotRun],
@@ -56,8 +56,8 @@
 /** Makes requests and reports what it was told. */
 export class Caller {
   private readonly agent = new Agent({
-    headersTimeout,
-    bodyTimeout: headersTimeout,
+    headersTimeout: headersTimeoutMs,
+    bodyTimeout: headersTimeoutMs,
     keepAliveTimeout: 1_000,
   });
 
@@ -68,9 +68,9 @@
   }
 
   /** Makes one request and follows it to its end. */
-  async ask(ask: Ask): Promise<Told> {
-    const call: Call = {
-      ask,
+  async makeRequest(ask: CallerRequest): Promise<CallerResult> {
+    const call: CallState = {
+      request: ask,
       started: performance.now(),
       requests: [],
       parts: [],
@@ -79,14 +79,14 @@
       lastCode: undefined,
       firstMs: undefined,
     };
-    while (performance.now() - call.started < this.options.patience) {
+    while (performance.now() - call.started < this.options.timeoutMs) {
       const step = await this.tryStep(call);
-      if (step) return this.createTold(call, step);
+      if (step) return this.createResult(call, step);
       call.returns += 1;
-      await new Promise((resolve) => setTimeout(resolve, pause));
+      await new Promise((resolve) => setTimeout(resolve, retryPauseMs));
     }
-    return this.createTold(call, {
-      verdict: Verdict.Nothing,
+    return this.createResult(call, {
+      verdict: ResultKind.TimedOut,
       text: call.parts.join(""),
       outcome: undefined,
       code: call.lastCode,
@@ -97,12 +97,12 @@
     await this.agent.destroy();
   }
 
-  private createTold(call: Call, step: NonNullable<Step>): Told {
-    const { ask, requests, returns, firstMs } = call;
+  private createResult(call: CallState, step: NonNullable<Step>): CallerResult {
+    const { request: ask, requests, returns, firstMs } = call;
     return { ask, requests, returns, firstMs, ...step };
   }
 
-  private async tryStep(call: Call): Promise<Step> {
+  private async tryStep(call: CallState): Promise<Step> {
     try {
       const response = await this.send(call);
       call.firstMs ??= performance.now() - call.started;
@@ -114,44 +114,46 @@
   }
 
   /** Comes back to a request whose id is known, or makes it (again, with its key). */
-  private send(call: Call): Promise<Dispatcher.ResponseData> {
+  private send(call: CallState): Promise<Dispatcher.ResponseData> {
     const id = call.requests[call.requests.length - 1];
     const origin = `http://${this.options.chooseEntry()}`;
     const authorization = `Bearer ${this.options.key}`;
     if (id !== undefined) {
       const headers: Record<string, string> = { authorization };
-      if (call.ask.kind === AskKind.Stream) headers["accept"] = "text/event-stream";
+      if (call.request.kind === CallerRequestKind.Stream) headers["accept"] = "text/event-stream";
       if (call.lastEventId !== undefined) headers["last-event-id"] = call.lastEventId;
       return request(`${origin}/v1/requests/${id}`, { headers, dispatcher: this.agent });
     }
-    return this.sendFirst(call.ask, origin, { authorization });
+    return this.sendFirst(call.request, origin, { authorization });
   }
 
   private sendFirst(
-    ask: Ask,
+    ask: CallerRequest,
     origin: string,
     base: Record<string, string>,
   ): Promise<Dispatcher.ResponseData> {
     const headers: Record<string, string> = { ...base, "gladewall-class": ask.requestClass };
     headers["content-type"] = "application/json";
-    if (ask.kind !== AskKind.Stream && ask.kind !== AskKind.Page) headers["idempotency-key"] = ask.mark;
-    if (ask.kind === AskKind.Draft) headers["gladewall-repeat"] = "never";
+    if (ask.kind !== CallerRequestKind.Stream && ask.kind !== CallerRequestKind.Page)
+      headers["idempotency-key"] = ask.mark;
+    if (ask.kind === CallerRequestKind.Draft) headers["gladewall-repeat"] = "never";
     const { agent: dispatcher } = this;
     const service = `${origin}/s/${this.options.webService}`;
-    if (ask.kind === AskKind.Page) return request(`${service}/pages/${ask.mark}`, { headers, dispatcher });
-    if (ask.kind === AskKind.Booking) {
+    if (ask.kind === CallerRequestKind.Page)
+      return request(`${service}/pages/${ask.mark}`, { headers, dispatcher });
+    if (ask.kind === CallerRequestKind.Booking) {
       return request(`${service}/bookings`, { method: "POST", headers, body: ask.mark, dispatcher });
     }
     const body = JSON.stringify({
       model: this.options.modelService,
-      stream: ask.kind === AskKind.Stream,
+      stream: ask.kind === CallerRequestKind.Stream,
       max_tokens: ask.outputTokens,
       messages: [{ role: "user", content: ask.mark }],
     });
     return request(`${origin}/v1/chat/completions`, { method: "POST", headers, body, dispatcher });
   }
 
-  private async handle(call: Call, response: Dispatcher.ResponseData): Promise<Step> {
+  private async handle(call: CallState, response: Dispatcher.ResponseData): Promise<Step> {
     const id = response.headers["gladewall-request"];
     const { statusCode } = response;
     if (statusCode === 303 && typeof id === "string") {
@@ -161,23 +163,23 @@
     }
     if (statusCode >= 400) return this.handleProblem(call, response);
     if (typeof id === "string") addRequest(call, id);
-    if (call.ask.kind === AskKind.Stream) return this.readStream(call, response);
+    if (call.request.kind === CallerRequestKind.Stream) return this.readStream(call, response);
     const text = await response.body.text();
     return {
-      verdict: Verdict.Whole,
-      text: getAnswerText(call.ask, text),
+      verdict: ResultKind.Complete,
+      text: getAnswerText(call.request, text),
       outcome: undefined,
       code: undefined,
     };
   }
 
-  private async handleProblem(call: Call, response: Dispatcher.ResponseData): Promise<Step> {
+  private async handleProblem(call: CallState, response: Dispatcher.ResponseData): Promise<Step> {
     const problem = parseProblem(await response.body.text(), response);
     if (!problem) return undefined;
     call.lastCode = problem.code;
     if (problem.code === codeUnknownRequest) {
       // A keyed request is asked for again by its key; one without is looked for until patience ends.
-      if (call.ask.kind !== AskKind.Stream) call.requests.length = 0;
+      if (call.request.kind !== CallerRequestKind.Stream) call.requests.length = 0;
       return undefined;
     }
     const mayComeBack = problem.outcome === Outcome.NotRun && retryStatuses.has(response.statusCode);
@@ -185,10 +187,10 @@
       call.requests.length = 0;
       return undefined;
     }
-    return { verdict: Verdict.Problem, text: "", outcome: problem.outcome, code: problem.code };
+    return { verdict: ResultKind.Problem, text: "", outcome: problem.outcome, code: problem.code };
   }
 
-  private async readStream(call: Call, response: Dispatcher.ResponseData): Promise<Step> {
+  private async readStream(call: CallState, response: Dispatcher.ResponseData): Promise<Step> {
     let end: Step;
     const parser = createParser({ onEvent: (event) => (end ??= handleEvent(call, event)) });
     const decoder = new TextDecoder();
@@ -199,18 +201,18 @@
   }
 }
 
-function addRequest(call: Call, id: string): void {
+function addRequest(call: CallState, id: string): void {
   if (call.requests[call.requests.length - 1] !== id) call.requests.push(id);
 }
 
-function handleEvent(call: Call, event: EventSourceMessage): Step {
+function handleEvent(call: CallState, event: EventSourceMessage): Step {
   if (event.data === "[DONE]") {
-    return { verdict: Verdict.Whole, text: call.parts.join(""), outcome: undefined, code: undefined };
+    return { verdict: ResultKind.Complete, text: call.parts.join(""), outcome: undefined, code: undefined };
   }
   if (event.event === "error") {
     const problem = JSON.parse(event.data) as { code: number; outcome: string };
     const outcome = outcomesByName.get(problem.outcome);
-    return { verdict: Verdict.Problem, text: call.parts.join(""), outcome, code: problem.code };
+    return { verdict: ResultKind.Problem, text: call.parts.join(""), outcome, code: problem.code };
   }
   const chunk = JSON.parse(event.data) as { choices: readonly { delta: { content?: string } }[] };
   call.parts.push(chunk.choices[0]?.delta.content ?? "");
@@ -230,13 +232,13 @@
 }
 
 /** Returns the part of an answer that shows whose it is. */
-function getAnswerText(ask: Ask, text: string): string {
+function getAnswerText(ask: CallerRequest, text: string): string {
   const body = JSON.parse(text) as {
     body?: string;
     path?: string;
     choices?: readonly { message: { content: string } }[];
   };
-  if (ask.kind === AskKind.Booking) return body.body ?? "";
-  if (ask.kind === AskKind.Page) return body.path ?? "";
+  if (ask.kind === CallerRequestKind.Booking) return body.body ?? "";
+  if (ask.kind === CallerRequestKind.Page) return body.path ?? "";
   return body.choices?.[0]?.message.content ?? "";
 }
--- a/packages/operator/src/soak/checker.ts
+++ b/packages/operator/src/soak/checker.ts
@@ -4,7 +4,13 @@
  */
 import { Outcome } from "@gladewall/kernel";
 import { getFullText, type RunRecord, RunState, type WebRecord } from "@gladewall/standins";
-import { type Ask, AskKind, type ViolationCounts, type Told, Verdict } from "./types.js";
+import {
+  type CallerRequest,
+  CallerRequestKind,
+  type ViolationCounts,
+  type CallerResult,
+  ResultKind,
+} from "./types.js";
 
 /** What the endpoints did. */
 export interface EndpointRecords {
@@ -13,42 +19,45 @@
 }
 
 /** A broken promise in words, for finding its cause. */
-export interface Finding {
+export interface Violation {
   readonly promise: keyof ViolationCounts;
-  readonly told: Told;
+  readonly told: CallerResult;
   readonly detail: string;
 }
 
 /** Result of a check. */
 export interface CheckResult {
   readonly violations: ViolationCounts;
-  readonly findings: readonly Finding[];
-  readonly whole: number;
+  readonly findings: readonly Violation[];
+  readonly complete: number;
   readonly problems: number;
   /** Problems whose outcome is "unknown" or "ran". */
-  readonly unsure: number;
+  readonly uncertain: number;
 }
 
-const onceKinds: ReadonlySet<AskKind> = new Set([AskKind.Draft, AskKind.Booking]);
+const onceKinds: ReadonlySet<CallerRequestKind> = new Set([
+  CallerRequestKind.Draft,
+  CallerRequestKind.Booking,
+]);
 
 /** Checks every promise for every caller. */
-export function checkPromises(told: readonly Told[], records: EndpointRecords): CheckResult {
-  const broken: ViolationCounts = { lost: 0, doubled: 0, foreign: 0, cut: 0, notRunButRan: 0 };
-  const findings: Finding[] = [];
+export function checkGuarantees(told: readonly CallerResult[], records: EndpointRecords): CheckResult {
+  const violations: ViolationCounts = { lost: 0, doubled: 0, foreign: 0, cut: 0, notRunButRan: 0 };
+  const findings: Violation[] = [];
   const counts = countRuns(records);
   for (const each of told) {
-    for (const finding of findBroken(each, counts.get(each.ask.mark) ?? 0)) {
-      broken[finding.promise] += 1;
+    for (const finding of findViolations(each, counts.get(each.ask.mark) ?? 0)) {
+      violations[finding.promise] += 1;
       findings.push(finding);
     }
   }
-  const problems = told.filter((each) => each.verdict === Verdict.Problem);
+  const problems = told.filter((each) => each.verdict === ResultKind.Problem);
   return {
-    violations: broken,
+    violations: violations,
     findings,
-    whole: told.filter((each) => each.verdict === Verdict.Whole).length,
+    complete: told.filter((each) => each.verdict === ResultKind.Complete).length,
     problems: problems.length,
-    unsure: problems.filter((each) => each.outcome !== Outcome.NotRun).length,
+    uncertain: problems.filter((each) => each.outcome !== Outcome.NotRun).length,
   };
 }
 
@@ -72,24 +81,24 @@
   return counts;
 }
 
-function findBroken(told: Told, runs: number): readonly Finding[] {
-  const findings: Finding[] = [];
+function findViolations(told: CallerResult, runs: number): readonly Violation[] {
+  const findings: Violation[] = [];
   const add = (promise: keyof ViolationCounts, detail: string): void =>
     void findings.push({ promise, told, detail });
-  if (told.verdict === Verdict.Nothing) add("lost", `no final answer after ${told.returns} returns`);
+  if (told.verdict === ResultKind.TimedOut) add("lost", `no final answer after ${told.returns} returns`);
   if (onceKinds.has(told.ask.kind) && runs > 1) add("doubled", `ran ${runs} times`);
-  const saysNotRun = told.verdict === Verdict.Problem && told.outcome === Outcome.NotRun;
+  const saysNotRun = told.verdict === ResultKind.Problem && told.outcome === Outcome.NotRun;
   if (saysNotRun && runs > 0) add("notRunButRan", `ran ${runs} times, code ${told.code}`);
-  if (told.verdict !== Verdict.Whole) return findings;
-  const expected = getExpected(told.ask);
+  if (told.verdict !== ResultKind.Complete) return findings;
+  const expected = getExpectedText(told.ask);
   if (told.text === expected) return findings;
   const isPrefix = expected.startsWith(told.text);
   add(isPrefix ? "cut" : "foreign", `got ${JSON.stringify(told.text.slice(0, 80))}`);
   return findings;
 }
 
-function getExpected(ask: Ask): string {
-  if (ask.kind === AskKind.Booking) return ask.mark;
-  if (ask.kind === AskKind.Page) return `/pages/${ask.mark}`;
+function getExpectedText(ask: CallerRequest): string {
+  if (ask.kind === CallerRequestKind.Booking) return ask.mark;
+  if (ask.kind === CallerRequestKind.Page) return `/pages/${ask.mark}`;
   return getFullText(`user: ${ask.mark}`, ask.outputTokens);
 }
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -9,7 +9,7 @@
 /** Failures counted by kind. */
 export interface FaultCounts {
   reclaims: number;
-  deaths: number;
+  crashes: number;
   outages: number;
   misbehaviours: number;
 }
@@ -17,12 +17,12 @@
 interface Fault {
   readonly name: string;
   readonly weight: number;
-  readonly provoke: () => Promise<void>;
+  readonly inject: () => Promise<void>;
 }
 
-const leastEntries = 4;
-const leastEndpoints = 2;
-const replaceAfter = 500;
+const minEntries = 4;
+const minEndpoints = 2;
+const replaceDelayMs = 500;
 const engineFaults = [
   EngineFault.CutStream,
   EngineFault.Refuse,
@@ -41,8 +41,8 @@
 ];
 
 /** Provokes failures until told to stop. */
-export class FaultScript {
-  readonly counts: FaultCounts = { reclaims: 0, deaths: 0, outages: 0, misbehaviours: 0 };
+export class FaultInjector {
+  readonly counts: FaultCounts = { reclaims: 0, crashes: 0, outages: 0, misbehaviours: 0 };
   private readonly faults: readonly Fault[];
   private readonly running = new Set<Promise<void>>();
   private isStopped = false;
@@ -54,25 +54,25 @@
     private readonly log: (line: string) => void,
   ) {
     this.faults = [
-      { name: "endpoint reclaimed with notice", weight: 5, provoke: () => this.reclaimEndpoint(true) },
+      { name: "endpoint reclaimed with notice", weight: 5, inject: () => this.reclaimEndpoint(true) },
       {
         name: "endpoint dies before it acts on its notice",
         weight: 2,
-        provoke: () => this.reclaimEndpoint(false),
+        inject: () => this.reclaimEndpoint(false),
       },
-      { name: "entry reclaimed with notice", weight: 3, provoke: () => this.reclaimEntry(true) },
-      { name: "entry dies before it acts on its notice", weight: 2, provoke: () => this.reclaimEntry(false) },
-      { name: "entry dies", weight: 2, provoke: () => this.killEntry() },
-      { name: "endpoint dies", weight: 2, provoke: () => this.killEndpoint() },
-      { name: "a wave takes two data halls", weight: 1, provoke: () => this.reclaimHalls() },
-      { name: "key-value service fails", weight: 4, provoke: () => this.failService() },
-      { name: "engine misbehaves", weight: 4, provoke: () => this.failEngine() },
-      { name: "web endpoint misbehaves", weight: 3, provoke: () => this.failWeb() },
+      { name: "entry reclaimed with notice", weight: 3, inject: () => this.reclaimEntry(true) },
+      { name: "entry dies before it acts on its notice", weight: 2, inject: () => this.reclaimEntry(false) },
+      { name: "entry dies", weight: 2, inject: () => this.killEntry() },
+      { name: "endpoint dies", weight: 2, inject: () => this.killEndpoint() },
+      { name: "a wave takes two data halls", weight: 1, inject: () => this.reclaimHalls() },
+      { name: "key-value service fails", weight: 4, inject: () => this.failService() },
+      { name: "engine misbehaves", weight: 4, inject: () => this.failEngine() },
+      { name: "web endpoint misbehaves", weight: 3, inject: () => this.failWeb() },
     ];
   }
 
-  static create(fleet: LocalFleet, seeded: SeededRandom, log: (line: string) => void): FaultScript {
-    return new FaultScript(fleet, seeded, log);
+  static create(fleet: LocalFleet, seeded: SeededRandom, log: (line: string) => void): FaultInjector {
+    return new FaultInjector(fleet, seeded, log);
   }
 
   /** Provokes a failure each `pauseMs` on average, often several at once, until `stop`. */
@@ -94,14 +94,14 @@
 
   private start(fault: Fault): void {
     this.log(fault.name);
-    const task: Promise<void> = fault.provoke().finally(() => this.running.delete(task));
+    const task: Promise<void> = fault.inject().finally(() => this.running.delete(task));
     this.running.add(task);
   }
 
-  private async reclaimEndpoint(hasTime: boolean): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEndpoints(leastEndpoints));
+  private async reclaimEndpoint(hasNotice: boolean): Promise<void> {
+    const id = this.seeded.choose(this.fleet.getReplaceableEndpoints(minEndpoints));
     if (id === undefined) return;
-    await this.takeEndpoint(id, hasTime ? this.seeded.getInteger(500, 2_500) : 0);
+    await this.takeEndpoint(id, hasNotice ? this.seeded.getInteger(500, 2_500) : 0);
   }
 
   private async takeEndpoint(id: string, notice: number): Promise<void> {
@@ -110,39 +110,39 @@
     this.fleet.markLeaving(id);
     await pause(notice);
     await this.fleet.killEndpoint(id);
-    await pause(replaceAfter);
+    await pause(replaceDelayMs);
     await this.fleet.replaceEndpoint(id);
   }
 
-  private async reclaimEntry(hasTime: boolean): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEntries(leastEntries));
+  private async reclaimEntry(hasNotice: boolean): Promise<void> {
+    const id = this.seeded.choose(this.fleet.getReplaceableEntries(minEntries));
     if (id === undefined) return;
     this.counts.reclaims += 1;
-    if (!hasTime) this.counts.deaths += 1;
-    const notice = hasTime ? this.seeded.getInteger(1_200, 2_500) : 0;
+    if (!hasNotice) this.counts.crashes += 1;
+    const notice = hasNotice ? this.seeded.getInteger(1_200, 2_500) : 0;
     this.fleet.platform.reclaim(id, notice);
     this.fleet.markLeaving(id);
     await pause(notice);
     await this.fleet.killEntry(id);
-    await pause(replaceAfter);
+    await pause(replaceDelayMs);
     await this.fleet.addEntry(this.fleet.entries.length);
   }
 
   private async killEntry(): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEntries(leastEntries));
+    const id = this.seeded.choose(this.fleet.getReplaceableEntries(minEntries));
     if (id === undefined) return;
-    this.counts.deaths += 1;
+    this.counts.crashes += 1;
     await this.fleet.killEntry(id);
-    await pause(replaceAfter);
+    await pause(replaceDelayMs);
     await this.fleet.addEntry(this.fleet.entries.length);
   }
 
   private async killEndpoint(): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEndpoints(leastEndpoints));
+    const id = this.seeded.choose(this.fleet.getReplaceableEndpoints(minEndpoints));
     if (id === undefined) return;
-    this.counts.deaths += 1;
+    this.counts.crashes += 1;
     await this.fleet.killEndpoint(id);
-    await pause(replaceAfter);
+    await pause(replaceDelayMs);
     await this.fleet.replaceEndpoint(id);
   }
 
@@ -150,7 +150,7 @@
     const first = this.seeded.getInteger(0, this.fleet.options.halls.length - 1);
     const halls = new Set([this.fleet.getHall(first), this.fleet.getHall(first + 1)]);
     const notice = this.seeded.getInteger(1_000, 2_500);
-    const taken = this.fleet.getReclaimable(halls, leastEndpoints);
+    const taken = this.fleet.getReclaimable(halls, minEndpoints);
     await Promise.all(taken.map((id) => this.takeEndpoint(id, notice)));
   }
 
--- a/packages/operator/src/soak/main.ts
+++ b/packages/operator/src/soak/main.ts
@@ -7,16 +7,16 @@
 import { runSoak, type SoakResult, userSizes } from "./soak.js";
 
 const millisecondsPerMinute = 60_000;
-const highestMinutes = 30;
-const findingsShown = 10;
+const maxMinutes = 30;
+const maxViolationsShown = 10;
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
 function printResult(user: string, result: SoakResult): void {
-  const { violations: broken, findings, whole, problems, unsure } = result.check;
-  const { reclaims, deaths, outages, misbehaviours } = result.faults;
+  const { violations: broken, findings, complete: whole, problems, uncertain: unsure } = result.check;
+  const { reclaims, crashes: deaths, outages, misbehaviours } = result.faults;
   print(
     `${user}: ${result.requests} requests, ${whole} whole, ${problems} problems (${unsure} unsure), ${result.returns} returns`,
   );
@@ -27,14 +27,14 @@
   print(
     `  broken promises: lost ${lost}, doubled ${doubled}, foreign ${foreign}, cut ${cut}, "not run" that ran ${notRunButRan}`,
   );
-  for (const finding of findings.slice(0, findingsShown))
+  for (const finding of findings.slice(0, maxViolationsShown))
     print(`    ${finding.promise}: ${finding.detail} ${JSON.stringify(finding.told)}`);
 }
 
 const options = await yargs(process.argv.slice(2))
   .scriptName("soak")
   .option("seed", { type: "number", default: 1 })
-  .option("minutes", { type: "number", default: 1, describe: `at most ${highestMinutes}` })
+  .option("minutes", { type: "number", default: 1, describe: `at most ${maxMinutes}` })
   .option("entries", { type: "number", default: 9 })
   .option("callers", { type: "number", default: 24 })
   .option("requests", { type: "number", default: 20_000, describe: "requests in all, at most" })
@@ -43,8 +43,8 @@
   .parseAsync();
 
 const users = options.user === undefined ? Object.keys(userSizes) : [options.user];
-const minutes = Math.min(highestMinutes, options.minutes) / users.length;
-let brokenCount = 0;
+const minutes = Math.min(maxMinutes, options.minutes) / users.length;
+let violationCount = 0;
 for (const name of users) {
   const user = userSizes[name];
   if (!user) continue;
@@ -52,12 +52,12 @@
     seed: options.seed,
     user,
     entries: options.entries,
-    duration: minutes * millisecondsPerMinute,
+    durationMs: minutes * millisecondsPerMinute,
     callers: options.callers,
-    highestRequests: options.requests,
+    maxRequests: options.requests,
     print: () => undefined,
   });
   printResult(name, result);
-  brokenCount += countViolations(result.check.violations);
+  violationCount += countViolations(result.check.violations);
 }
-process.exitCode = brokenCount === 0 ? 0 : 1;
+process.exitCode = violationCount === 0 ? 0 : 1;
--- a/packages/operator/src/soak/soak.ts
+++ b/packages/operator/src/soak/soak.ts
@@ -8,10 +8,10 @@
 import { LocalFleet } from "../local/localFleet.js";
 import { sampleConfiguration, sampleKeys } from "../local/sampleTable.js";
 import { Caller } from "./caller.js";
-import { checkPromises, type CheckResult } from "./checker.js";
-import { type FaultCounts, FaultScript } from "./faults.js";
+import { checkGuarantees, type CheckResult } from "./checker.js";
+import { type FaultCounts, FaultInjector } from "./faults.js";
 import { SeededRandom } from "./seededRandom.js";
-import { type Ask, AskKind, type Told } from "./types.js";
+import { type CallerRequest, CallerRequestKind, type CallerResult } from "./types.js";
 
 /** Sizes of one user. */
 export interface UserSize {
@@ -32,11 +32,11 @@
   readonly user: UserSize;
   readonly entries: number;
   /** Milliseconds of failures. */
-  readonly duration: number;
+  readonly durationMs: number;
   /** Callers that ask at the same time. */
   readonly callers: number;
   /** Requests in all, at most. */
-  readonly highestRequests: number;
+  readonly maxRequests: number;
   readonly print: (line: string) => void;
 }
 
@@ -48,8 +48,8 @@
   readonly returns: number;
 }
 
-const faultPause = 700;
-const patience = 40_000;
+const faultPauseMs = 700;
+const callerTimeoutMs = 40_000;
 const overrides = [
   "peers.ping_interval=100",
   "peers.lost_after=800",
@@ -65,36 +65,36 @@
 ];
 const unlimited = { requestsPerSecond: 1e6, tokensPerSecond: 1e9, concurrency: 1e6 };
 const kinds = [
-  { kind: AskKind.Stream, weight: 4 },
-  { kind: AskKind.Whole, weight: 2 },
-  { kind: AskKind.Draft, weight: 2 },
-  { kind: AskKind.Booking, weight: 3 },
-  { kind: AskKind.Page, weight: 1 },
+  { kind: CallerRequestKind.Stream, weight: 4 },
+  { kind: CallerRequestKind.Whole, weight: 2 },
+  { kind: CallerRequestKind.Draft, weight: 2 },
+  { kind: CallerRequestKind.Booking, weight: 3 },
+  { kind: CallerRequestKind.Page, weight: 1 },
 ];
 
 /** Runs a soak to its end. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const fleet = await createSoakFleet(options);
   const seeded = SeededRandom.create(options.seed);
-  const script = FaultScript.create(fleet, SeededRandom.create(options.seed + 1), (line) =>
+  const script = FaultInjector.create(fleet, SeededRandom.create(options.seed + 1), (line) =>
     options.print(`  ${line}`),
   );
   const caller = createSoakCaller(fleet);
-  const end = performance.now() + options.duration;
-  const told: Told[] = [];
+  const end = performance.now() + options.durationMs;
+  const told: CallerResult[] = [];
   let asked = 0;
   const work = async (): Promise<void> => {
-    while (performance.now() < end && asked < options.highestRequests) {
+    while (performance.now() < end && asked < options.maxRequests) {
       asked += 1;
-      told.push(await caller.ask(createAsk(seeded, asked)));
+      told.push(await caller.makeRequest(createRequest(seeded, asked)));
     }
   };
-  const failing = script.run(faultPause);
+  const failing = script.run(faultPauseMs);
   const working = Promise.all(Array.from({ length: options.callers }, work));
-  await new Promise((resolve) => setTimeout(resolve, options.duration));
+  await new Promise((resolve) => setTimeout(resolve, options.durationMs));
   await Promise.all([script.stop(), failing]);
   await working;
-  const check = checkPromises(told, fleet.getRecords());
+  const check = checkGuarantees(told, fleet.getRecords());
   await caller.close();
   await fleet.close();
   const returns = told.reduce((sum, each) => sum + each.returns, 0);
@@ -119,20 +119,20 @@
 function createSoakCaller(fleet: LocalFleet): Caller {
   let turn = 0;
   const chooseEntry = (): string => {
-    const fronts = fleet.getLiveFronts();
+    const fronts = fleet.getCallerAddresses();
     return fronts[turn++ % fronts.length] ?? "";
   };
   return Caller.create({
     chooseEntry,
     key: sampleKeys.cab,
-    patience,
+    timeoutMs: callerTimeoutMs,
     modelService: "model",
     webService: "booking",
   });
 }
 
-function createAsk(seeded: SeededRandom, number: number): Ask {
-  const kind = seeded.chooseWeighted(kinds)?.kind ?? AskKind.Stream;
+function createRequest(seeded: SeededRandom, number: number): CallerRequest {
+  const kind = seeded.chooseWeighted(kinds)?.kind ?? CallerRequestKind.Stream;
   const outputTokens = seeded.getInteger(3, 120);
   const requestClass = seeded.getInteger(0, 3) === 0 ? "urgent" : "standard";
   return { kind, mark: `soak-${number}-${seeded.getInteger(0, 1e9)}`, outputTokens, requestClass };
--- a/packages/operator/src/soak/types.ts
+++ b/packages/operator/src/soak/types.ts
@@ -5,7 +5,7 @@
 import type { Outcome } from "@gladewall/kernel";
 
 /** Kinds of request that the soak makes. */
-export enum AskKind {
+export enum CallerRequestKind {
   /** A model's answer, streamed; may be repeated. */
   Stream = 1,
   /** A model's answer in one document; may be repeated; with a key. */
@@ -19,8 +19,8 @@
 }
 
 /** One request that a caller makes. */
-export interface Ask {
-  readonly kind: AskKind;
+export interface CallerRequest {
+  readonly kind: CallerRequestKind;
   /** Unique text that the endpoint's record shows. */
   readonly mark: string;
   readonly outputTokens: number;
@@ -28,19 +28,19 @@
 }
 
 /** What a caller was told in the end. */
-export enum Verdict {
+export enum ResultKind {
   /** A whole answer. */
-  Whole = 1,
+  Complete = 1,
   /** A refusal or failure with an outcome. */
   Problem = 2,
   /** Nothing in all the time it had. */
-  Nothing = 3,
+  TimedOut = 3,
 }
 
 /** What became of one request, as its caller saw it. */
-export interface Told {
-  readonly ask: Ask;
-  readonly verdict: Verdict;
+export interface CallerResult {
+  readonly ask: CallerRequest;
+  readonly verdict: ResultKind;
   /** Text of a whole answer. */
   readonly text: string;
   /** Outcome and code of a problem. */
--- a/packages/operator/test/promises.test.ts
+++ b/packages/operator/test/promises.test.ts
@@ -3,16 +3,16 @@
 import type { Configuration } from "@gladewall/policy";
 import { EngineFault, KeyValueFault, fastEngineOptions, WebFault } from "@gladewall/standins";
 import {
-  type Ask,
-  AskKind,
+  type CallerRequest,
+  CallerRequestKind,
   Caller,
-  checkPromises,
+  checkGuarantees,
   countViolations,
   LocalFleet,
   sampleConfiguration,
   sampleKeys,
-  type Told,
-  Verdict,
+  type CallerResult,
+  ResultKind,
 } from "../src/index.js";
 
 const slowEngine = { ...fastEngineOptions, tokenIntervalMs: 10 };
@@ -45,11 +45,11 @@
     overrides: [...quickLosses, ...(changes.overrides ?? [])],
   });
   let turn = 0;
-  const alive = (): readonly string[] => fleet.getLiveFronts();
+  const alive = (): readonly string[] => fleet.getCallerAddresses();
   const caller = Caller.create({
     chooseEntry: () => alive()[turn++ % alive().length] ?? "",
     key: sampleKeys.cab,
-    patience: 15_000,
+    timeoutMs: 15_000,
     modelService: "model",
     webService: "booking",
   });
@@ -62,12 +62,12 @@
 
 let marks = 0;
 
-function createAsk(kind: AskKind, outputTokens = 30): Ask {
+function createAsk(kind: CallerRequestKind, outputTokens = 30): CallerRequest {
   return { kind, mark: `mark-${marks++}`, outputTokens, requestClass: "standard" };
 }
 
-function check(t: Test, fleet: LocalFleet, told: readonly Told[]): void {
-  const result = checkPromises(told, fleet.getRecords());
+function check(t: Test, fleet: LocalFleet, told: readonly CallerResult[]): void {
+  const result = checkGuarantees(told, fleet.getRecords());
   t.equal(countViolations(result.violations), 0, JSON.stringify(result.findings));
 }
 
@@ -93,13 +93,13 @@
 
 t.test("a holder that dies in the middle: each kind of request goes on at its backup", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  for (const kind of [AskKind.Stream, AskKind.Whole, AskKind.Draft]) {
+  for (const kind of [CallerRequestKind.Stream, CallerRequestKind.Whole, CallerRequestKind.Draft]) {
     const ask = createAsk(kind, 60);
-    const telling = caller.ask(ask);
+    const telling = caller.makeRequest(ask);
     await waitForTokens(fleet, ask.mark, 10);
     await fleet.killEntry(getHolder(fleet, ask.mark));
     const told = await telling;
-    t.equal(told.verdict, Verdict.Whole, AskKind[kind]);
+    t.equal(told.verdict, ResultKind.Complete, CallerRequestKind[kind]);
     check(t, fleet, [told]);
     await fleet.addEntry(fleet.entries.length);
     await fleet.waitUntilReady();
@@ -108,12 +108,12 @@
 
 t.test("holder and endpoint die together: the backup runs the rest from what was given", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  const ask = createAsk(AskKind.Stream, 60);
-  const telling = caller.ask(ask);
+  const ask = createAsk(CallerRequestKind.Stream, 60);
+  const telling = caller.makeRequest(ask);
   const engine = await waitForTokens(fleet, ask.mark, 20);
   await Promise.all([fleet.killEntry(getHolder(fleet, ask.mark)), fleet.killEndpoint(engine)]);
   const told = await telling;
-  t.equal(told.verdict, Verdict.Whole);
+  t.equal(told.verdict, ResultKind.Complete);
   check(t, fleet, [told]);
 });
 
@@ -121,13 +121,13 @@
   "an endpoint that dies in the middle: repeatable answers go on elsewhere, a draft is told as unsure",
   async (t) => {
     const { fleet, caller } = await createFleet(t);
-    const [stream, draft] = [createAsk(AskKind.Stream, 60), createAsk(AskKind.Draft, 60)];
-    const telling = [caller.ask(stream), caller.ask(draft)];
+    const [stream, draft] = [createAsk(CallerRequestKind.Stream, 60), createAsk(CallerRequestKind.Draft, 60)];
+    const telling = [caller.makeRequest(stream), caller.makeRequest(draft)];
     const engines = [await waitForTokens(fleet, stream.mark, 10), await waitForTokens(fleet, draft.mark, 10)];
     for (const engine of new Set(engines)) await fleet.killEndpoint(engine);
     const told = await Promise.all(telling);
-    t.equal(told[0]?.verdict, Verdict.Whole);
-    t.equal(told[1]?.verdict, Verdict.Problem);
+    t.equal(told[0]?.verdict, ResultKind.Complete);
+    t.equal(told[1]?.verdict, ResultKind.Problem);
     t.equal(told[1]?.outcome, Outcome.Ran);
     check(t, fleet, told);
   },
@@ -135,17 +135,19 @@
 
 t.test("an endpoint with notice gets nothing new, and its long runs move without loss", async (t) => {
   const { fleet, caller } = await createFleet(t, { runners: 3 });
-  const ask = createAsk(AskKind.Stream, 150);
-  const telling = caller.ask(ask);
+  const ask = createAsk(CallerRequestKind.Stream, 150);
+  const telling = caller.makeRequest(ask);
   const engine = await waitForTokens(fleet, ask.mark, 10);
   fleet.platform.reclaim(engine, 600);
   await fleet.waitForView((entry) => entry.view.get(engine)?.reclaimAt !== undefined);
   const before = fleet.engines.get(engine)?.records.length;
-  const others = await Promise.all(Array.from({ length: 12 }, () => caller.ask(createAsk(AskKind.Whole, 3))));
+  const others = await Promise.all(
+    Array.from({ length: 12 }, () => caller.makeRequest(createAsk(CallerRequestKind.Whole, 3))),
+  );
   t.equal(fleet.engines.get(engine)?.records.length, before, "nothing new went to the leaving endpoint");
   const told = await telling;
   await fleet.killEndpoint(engine);
-  t.equal(told.verdict, Verdict.Whole);
+  t.equal(told.verdict, ResultKind.Complete);
   const moved = [...fleet.engines.values()]
     .flatMap(({ records }) => records)
     .find((run) => run.prompt.includes(ask.mark) && run.start > 0);
@@ -155,15 +157,19 @@
 
 t.test("an entry with notice hands over: waiting callers are sent on, streams are resumed", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  const asks = [createAsk(AskKind.Stream, 120), createAsk(AskKind.Whole, 120), createAsk(AskKind.Draft, 120)];
-  const telling = asks.map((ask) => caller.ask(ask));
+  const asks = [
+    createAsk(CallerRequestKind.Stream, 120),
+    createAsk(CallerRequestKind.Whole, 120),
+    createAsk(CallerRequestKind.Draft, 120),
+  ];
+  const telling = asks.map((ask) => caller.makeRequest(ask));
   for (const ask of asks) await waitForTokens(fleet, ask.mark, 5);
   const holder = getHolder(fleet, asks[0]!.mark);
   fleet.platform.reclaim(holder, 500);
   const told = await Promise.all(telling);
   t.same(
     told.map(({ verdict }) => verdict),
-    [Verdict.Whole, Verdict.Whole, Verdict.Whole],
+    [ResultKind.Complete, ResultKind.Complete, ResultKind.Complete],
   );
   t.ok(told[0]!.returns > 0, "the stream's caller came back");
   check(t, fleet, told);
@@ -171,16 +177,16 @@
 
 t.test("a planned stop cuts nothing short", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  const asks = [createAsk(AskKind.Stream, 60), createAsk(AskKind.Draft, 60)];
-  const telling = asks.map((ask) => caller.ask(ask));
+  const asks = [createAsk(CallerRequestKind.Stream, 60), createAsk(CallerRequestKind.Draft, 60)];
+  const telling = asks.map((ask) => caller.makeRequest(ask));
   for (const ask of asks) await waitForTokens(fleet, ask.mark, 5);
   await Promise.all(fleet.entries.map(({ entry }) => entry.stop()));
   const told = await Promise.all(telling);
   t.same(
     told.map(({ verdict, returns }) => [verdict, returns]),
     [
-      [Verdict.Whole, 0],
-      [Verdict.Whole, 0],
+      [ResultKind.Complete, 0],
+      [ResultKind.Complete, 0],
     ],
   );
   check(t, fleet, told);
@@ -188,13 +194,17 @@
 
 t.test("one key at two entries at once runs once, and both callers get the one answer", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  for (const kind of [AskKind.Booking, AskKind.Draft]) {
+  for (const kind of [CallerRequestKind.Booking, CallerRequestKind.Draft]) {
     const ask = createAsk(kind, 20);
-    const told = await Promise.all([caller.ask(ask), caller.ask(ask), caller.ask(ask)]);
+    const told = await Promise.all([
+      caller.makeRequest(ask),
+      caller.makeRequest(ask),
+      caller.makeRequest(ask),
+    ]);
     t.same(
       told.map(({ verdict }) => verdict),
-      [Verdict.Whole, Verdict.Whole, Verdict.Whole],
-      AskKind[kind],
+      [ResultKind.Complete, ResultKind.Complete, ResultKind.Complete],
+      CallerRequestKind[kind],
     );
     check(t, fleet, told);
   }
@@ -212,8 +222,8 @@
     t.match(booking.body, { code: FailureCode.ClaimUnavailable, outcome: "not-run" });
     const unkeyed = await fleet.post("/s/booking/bookings", "booked-without-key");
     t.equal(unkeyed.status, 201);
-    const told = await caller.ask(createAsk(AskKind.Stream, 5));
-    t.equal(told.verdict, Verdict.Whole);
+    const told = await caller.makeRequest(createAsk(CallerRequestKind.Stream, 5));
+    t.equal(told.verdict, ResultKind.Complete);
     t.equal(fleet.getRecords().calls.filter(({ body }) => body === "booked").length, 0);
     fleet.keyValue.setFault(KeyValueFault.None);
     const again = await fleet.post("/s/booking/bookings", "booked", { "idempotency-key": "key-1" });
@@ -226,11 +236,13 @@
   const { fleet, caller } = await createFleet(t);
   fleet.keyValue.setFault(KeyValueFault.ResponseLost);
   const told = await Promise.all(
-    [AskKind.Booking, AskKind.Draft].map((kind) => caller.ask(createAsk(kind, 5))),
+    [CallerRequestKind.Booking, CallerRequestKind.Draft].map((kind) =>
+      caller.makeRequest(createAsk(kind, 5)),
+    ),
   );
   t.same(
     told.map(({ verdict }) => verdict),
-    [Verdict.Whole, Verdict.Whole],
+    [ResultKind.Complete, ResultKind.Complete],
   );
   check(t, fleet, told);
 });
@@ -260,12 +272,14 @@
     const [engine] = fleet.engines.values();
     engine!.fault = fault;
     engine!.faultAfter = 3;
-    const asks = [AskKind.Stream, AskKind.Whole, AskKind.Draft].map((kind) => createAsk(kind, 8));
-    const told = await Promise.all(asks.map((ask) => caller.ask(ask)));
+    const asks = [CallerRequestKind.Stream, CallerRequestKind.Whole, CallerRequestKind.Draft].map((kind) =>
+      createAsk(kind, 8),
+    );
+    const told = await Promise.all(asks.map((ask) => caller.makeRequest(ask)));
     check(t, fleet, told);
     t.same(
       told.slice(0, 2).map(({ verdict }) => verdict),
-      [Verdict.Whole, Verdict.Whole],
+      [ResultKind.Complete, ResultKind.Complete],
       EngineFault[fault],
     );
     engine!.fault = EngineFault.None;
@@ -277,13 +291,13 @@
   async (t) => {
     const { fleet, caller } = await createFleet(t);
     for (const web of fleet.webs.values()) web.fault = WebFault.CutAfterWork;
-    const ask = createAsk(AskKind.Booking);
-    const told = await caller.ask(ask);
-    t.equal(told.verdict, Verdict.Problem);
+    const ask = createAsk(CallerRequestKind.Booking);
+    const told = await caller.makeRequest(ask);
+    t.equal(told.verdict, ResultKind.Problem);
     t.equal(told.outcome, Outcome.Unknown);
     for (const web of fleet.webs.values()) web.fault = WebFault.HalfBody;
-    const half = await caller.ask(createAsk(AskKind.Booking));
-    t.equal(half.verdict, Verdict.Problem);
+    const half = await caller.makeRequest(createAsk(CallerRequestKind.Booking));
+    t.equal(half.verdict, ResultKind.Problem);
     t.equal(half.outcome, Outcome.Ran);
     check(t, fleet, [told, half]);
   },
