--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -1,5 +1,6 @@
 /**
- * The callers' HTTP port: bounds on headers, bodies, time and connections, and a table of routes.
+ * The HTTP server for callers. Limits the size of headers, the time that a request or a slow reader may take and the
+ * number of connections, and dispatches each request to the first route whose pattern matches its path.
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
@@ -15,31 +16,31 @@
 import { checkHeaders } from "./headers.js";
 import { sendProblem } from "./problem.js";
 
-/** One caller's request on its way through the front. */
+/** One HTTP request of a caller with its response. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly url: URL;
-  /** Id of the request, which every answer carries. */
+  /** Request id, which every response carries in `gladewall-request`. */
   readonly id: string;
-  /** Aborted when the caller left. */
+  /** Aborts when the caller's connection closes. */
   readonly callerLeft: AbortSignal;
 }
 
-/** Handles an exchange; a failure is sent as a problem. */
+/** Handles an exchange. A returned failure is sent to the caller as `application/problem+json`. */
 export type RouteHandler = (exchange: Exchange, match: RegExpExecArray) => Promise<Failure | undefined>;
 
-/** A route: the first whose pattern matches the path decides. */
+/** A route. The first route whose pattern matches the path handles the request. */
 export interface Route {
   readonly pattern: RegExp;
-  /** Handlers by method; `*` takes any. */
+  /** Handlers by HTTP method; `*` handles every other method. */
   readonly methods: Readonly<Record<string, RouteHandler>>;
 }
 
-/** The port. */
+/** Listens for callers and dispatches their requests to routes. */
 export class CallerServer implements Closeable {
   private readonly server: Server;
-  /** Answers that callers have not fully taken. */
+  /** Number of responses that are not closed yet. */
   private active = 0;
   private idleWaiters: (() => void)[] = [];
 
@@ -53,7 +54,8 @@
       {
         maxHeaderSize: settings.header_bytes,
         headersTimeout: settings.header_timeout,
-        // Bodies have a bound of their own that a steady slow sender does not trip.
+        // Disabled because `readBody` limits the time between two chunks instead, so that a large body which arrives
+        // slowly but steadily is accepted.
         requestTimeout: 0,
         connectionsCheckingInterval: Math.min(1_000, settings.header_timeout),
         insecureHTTPParser: false,
@@ -64,7 +66,7 @@
     this.server.maxConnections = settings.connections;
   }
 
-  /** Creates the port; `open` makes it listen. */
+  /** Creates the server; `open` makes it listen. */
   static create(
     settings: EntrySettings["front"],
     logger: Logger,
@@ -74,23 +76,23 @@
     return new CallerServer(settings, logger, routes, createId);
   }
 
-  /** Starts to listen; returns `host:port`. */
+  /** Starts to listen and returns the address as `host:port`. */
   async open(): Promise<string> {
     await listen(this.server, this.settings.listen);
     return this.address;
   }
 
-  /** `host:port`. */
+  /** Address that the server listens on, as `host:port`. */
   get address(): string {
     return getListenAddress(this.server);
   }
 
-  /** Resolves when every caller has its answer. */
+  /** Resolves when no response is open. */
   async waitForIdle(): Promise<void> {
     while (this.active > 0) await new Promise<void>((resolve) => this.idleWaiters.push(resolve));
   }
 
-  /** Takes no new connections and lets the present ones finish what they have. */
+  /** Accepts no new connections; requests on open connections are still completed. */
   stopAccepting(): void {
     this.server.close();
     this.server.closeIdleConnections();
@@ -147,7 +149,7 @@
     return Failure.create(FailureCode.NotFound);
   }
 
-  /** A caller that takes nothing is cut only while there is something for it to take. */
+  /** Closes the connection of a caller that does not read, but only while written bytes wait to be read. */
   private endSlowReader(response: ServerResponse): void {
     if (response.writableLength > 0) response.destroy();
   }
@@ -155,7 +157,7 @@
 
 function tryParseUrl(request: IncomingMessage): URL | undefined {
   const target = request.url ?? "/";
-  // Only the origin form: an absolute target could name another host to another parser.
+  // Accepts only the origin form, because another parser could take the host from an absolute target.
   if (!target.startsWith("/")) return undefined;
   try {
     return new URL(`http://entry${target}`);
@@ -164,7 +166,10 @@
   }
 }
 
-/** Sends a failure; a body that was not read ends the connection, so that it is not taken for a next request. */
+/**
+ * Sends a failure. Closes the connection if the request's body was not read to its end, so that the remaining bytes are
+ * not parsed as the next request.
+ */
 function endWithProblem(
   request: IncomingMessage,
   response: ServerResponse,
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,6 +1,6 @@
 /**
- * One entry: puts the parts together, starts them in order, and ends in one of three ways: as planned, within a
- * notice, or at once.
+ * One entry, that is, one instance of `gladewalld`. Creates its components and starts them in order. It ends in one of
+ * three ways: a planned stop, a stop within the time of a reclaim notice, or an immediate close.
  * @module
  */
 import {
@@ -23,7 +23,7 @@
 import { createPlatformClients, type PlatformClients } from "./platform.js";
 import { Serving } from "./serving.js";
 
-/** Addresses that a started entry listens on. */
+/** Addresses that a started entry listens on, each as `host:port`. */
 export interface EntryAddresses {
   readonly front: string;
   readonly operators: string;
@@ -37,7 +37,7 @@
   readonly metrics = EntryMetrics.create();
   readonly history: DecisionHistory;
   private isLeaving = false;
-  /** The one way this entry ends, once it has begun to. */
+  /** Settles when the entry has closed; undefined until a stop begins. A later stop returns the same promise. */
   private ending: Promise<void> | undefined;
   private readonly membership: Membership;
   private readonly serving: Serving;
@@ -75,7 +75,7 @@
     this.setGauges();
   }
 
-  /** Creates an entry from settings; fails where they name unknown plug-ins. Nothing is opened yet. */
+  /** Creates an entry from settings without opening its ports. Fails with `PluginUnknown`. */
   static create(
     settings: EntrySettings,
     logger: Logger,
@@ -86,7 +86,7 @@
     );
   }
 
-  /** What this entry knows of all instances. */
+  /** State of all instances that this entry knows. */
   get view(): MembershipView {
     return this.membership.view;
   }
@@ -101,7 +101,10 @@
     return this.membership.follower.version;
   }
 
-  /** Opens the ports and starts following; callers are served as soon as a configuration is known. */
+  /**
+   * Opens the ports and starts to follow the platform and the configuration. Callers are served once a configuration is
+   * known.
+   */
   async start(): Promise<EntryAddresses> {
     const peers = await this.membership.open();
     const operators = await this.operators.open();
@@ -115,7 +118,7 @@
     await this.membership.follower.waitForFirst();
   }
 
-  /** Returns why this entry takes no request now, undefined while it does. */
+  /** Returns the reason for which this entry accepts no requests, or undefined while it accepts them. */
   getUnreadyReason(): string | undefined {
     const table = this.getTable();
     return table.isErr() ? table.error.text : undefined;
@@ -126,30 +129,30 @@
     return this.serving.requests.getOpen().map((request) => request.envelope.id);
   }
 
-  /** Puts settings that can be re-read in force. */
+  /** Applies the settings that can be reloaded. */
   reload(settings: EntrySettings): void {
     this.settings = settings;
   }
 
-  /** Stops as planned: takes nothing new, lets every request end, then closes. */
+  /** Planned stop: accepts no new requests, waits until every request has ended, then closes. */
   stop(): Promise<void> {
     this.ending ??= this.stopAsPlanned();
     return this.ending;
   }
 
   /**
-   * Leaves within a notice of so many milliseconds: lets requests end while there is time, then hands the rest over
-   * to their backups and closes.
+   * Stops within `remaining` milliseconds: lets requests end until `notice_lead` milliseconds before that, then hands the
+   * others over to their backups and closes.
    */
   leave(remaining: number): Promise<void> {
     this.ending ??= this.leaveWithin(remaining);
     return this.ending;
   }
 
-  /** Closes at once, as a death does. */
+  /** Closes immediately, with the effect of a crash: open requests are neither finished nor handed over. */
   async kill(): Promise<void> {
     const { keyValue, list, notices } = this.clients;
-    // All at once: what reaches outside must not outlive the rest.
+    // Closes all components concurrently, so that none still calls the platform or peers after the others have closed.
     await Promise.all([
       keyValue.close(),
       this.serving.close(),
@@ -189,7 +192,7 @@
     this.logger.info("entry.stopped", {});
   }
 
-  /** Resolves when every request has ended and every caller has its answer. */
+  /** Resolves when every request has ended and every response is sent. */
   private async waitForIdle(): Promise<void> {
     await this.serving.requests.waitForIdle();
     await this.front.waitForIdle();
--- a/packages/entry/src/entryMetrics.ts
+++ b/packages/entry/src/entryMetrics.ts
@@ -1,12 +1,12 @@
 /**
- * The metrics of an entry, named once.
+ * Defines the names and help texts of the metrics that an entry records.
  * @module
  */
 import { type Counter, type Failure, type LatencyHistogram, Metrics } from "@gladewall/kernel";
 import type { ActiveRequest } from "./requests.js";
 import type { Envelope } from "./types.js";
 
-/** Counters and latencies of one entry. */
+/** Counters and latency histograms of one entry. */
 export class EntryMetrics {
   readonly retries: Counter;
   readonly resumes: Counter;
@@ -64,7 +64,7 @@
     return new EntryMetrics(registry);
   }
 
-  /** Latency to the first token or byte of a row's requests, milliseconds. */
+  /** Returns the histogram of the time to the first token or byte for the requests of a policy row, milliseconds. */
   getFirstOutputLatency(row: string): LatencyHistogram {
     return this.registry.getLatencyHistogram(
       "gladewall_first_milliseconds",
@@ -75,7 +75,7 @@
     );
   }
 
-  /** Counts a request that ended whole. */
+  /** Records a request with a complete response: milliseconds to its first output and its end, and output tokens. */
   countCompletion(envelope: Envelope, first: number, total: number, output: number): void {
     const { row } = envelope;
     this.getFirstOutputLatency(row).record(first);
@@ -88,7 +88,7 @@
     this.registry.getCounter("gladewall_finished_total", "Requests that ended whole.", { row }).add();
   }
 
-  /** Counts the tokens that must be computed again because an endpoint's work on a request was lost. */
+  /** Counts the tokens that must be computed again because an endpoint failed while it ran a request. */
   countLostTokens(request: ActiveRequest, endpoint: string): void {
     if (!request.envelope.model || request.firstChunkAt === undefined) return;
     const labels = { endpoint };
@@ -97,7 +97,7 @@
     this.registry.getCounter("gladewall_lost_work_total", "Tokens lost by endpoint.", labels).add(lost);
   }
 
-  /** Counts a request that ended without a whole answer. */
+  /** Counts an accepted request that ended without a complete response. */
   countFailure(envelope: Envelope, failure: Failure): void {
     const labels = { row: envelope.row, failure: failure.name };
     this.registry
@@ -105,7 +105,7 @@
       .add();
   }
 
-  /** Counts a request that was refused before it was accepted. */
+  /** Counts a request that was refused at admission. */
   countRefusal(failure: Failure): void {
     const labels = { failure: failure.name };
     this.registry.getCounter("gladewall_refused_total", "Requests refused at the door.", labels).add();
--- a/packages/entry/src/entrySettings.ts
+++ b/packages/entry/src/entrySettings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of `gladewalld`: every key, its unit, range and default.
+ * The settings of `gladewalld`: each key with its unit, default, range and description.
  * @module
  */
 import {
@@ -18,7 +18,7 @@
 
 const mebibyte = 1_048_576;
 
-/** The schema. Section and key names are those of the INI file. */
+/** Schema of the settings. Section and key names are those of the INI file. */
 export const entrySchema = {
   entry: {
     name: createText("Name of this entry, unique among entries."),
@@ -309,10 +309,10 @@
   },
 } as const;
 
-/** Typed settings of an entry. */
+/** Settings of an entry, as values of the schema's types. */
 export type EntrySettings = SettingsOf<typeof entrySchema>;
 
-/** Returns the operators' page of all settings, which `docs/operating/settings.md` is a copy of. */
+/** Returns the reference page of all settings. `docs/operating/settings.md` is a copy of it. */
 export function formatSettingsPage(): string {
   const head =
     "# Settings\n\nWritten by `gladewalld --reference`. One INI file; every key stands in its section.\n\n";
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -1,5 +1,6 @@
 /**
- * Makes an envelope of a caller's request: which service, class and model parameters, whether it may be repeated.
+ * Parses a caller's request into an envelope: the service, the class and the model parameters, and whether the request
+ * may be repeated after a failure.
  * @module
  */
 import { createHash, randomBytes } from "node:crypto";
@@ -23,24 +24,24 @@
 const webWorkTokens = 1;
 const classPattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
-/** Returns a new request id: the entry that took it, then random characters that nobody can guess. */
+/** Returns a new request id: the name of the entry that accepts it, a dot and 15 random bytes in base64url. */
 export function createRequestId(entry: string): string {
   return `${entry}.${randomBytes(requestIdBytes).toString("base64url")}`;
 }
 
-/** Returns the entry that took a request, by the request's id. */
+/** Returns the name of the entry that accepted a request, which is the part of its id before the last dot. */
 export function getEntryOfRequest(id: string): string {
   return id.slice(0, id.lastIndexOf("."));
 }
 
-/** What a caller's headers say about how to treat the request. */
+/** Directives in a caller's request headers: class, idempotency key, and whether the request must not be repeated. */
 export interface RequestDirectives {
   readonly class: string;
   readonly key: string | undefined;
   readonly forbidsRepeat: boolean;
 }
 
-/** Reads the headers that steer a request; fails with `BadRequest`. */
+/** Reads the directives from a request's headers. Fails with `BadRequest`. */
 export function readDirectives(
   request: IncomingMessage,
   defaultClass: string,
@@ -81,13 +82,13 @@
   readonly response_format?: unknown;
 }
 
-/** A model request's service and parameters. */
+/** Service and parameters of a model request. */
 export interface ParsedModelRequest {
   readonly service: string;
   readonly model: ModelRequest;
 }
 
-/** Parses a model request's body; fails with `BadRequest`. */
+/** Parses the body of a model request. Fails with `BadRequest`. */
 export function parseModelRequest(body: Uint8Array, form: ModelForm): Result<ParsedModelRequest, Failure> {
   const parsed = tryParseBody(body);
   if (!parsed) return refuse("the body is not a JSON object");
@@ -141,7 +142,7 @@
   return typeof prompt === "string" ? prompt : undefined;
 }
 
-/** What an envelope is made of. */
+/** Values that an envelope is created from. */
 export interface EnvelopeInput {
   readonly id: string;
   readonly workspace: string;
@@ -157,7 +158,7 @@
   readonly arrived: number;
 }
 
-/** Creates the envelope. The strictest of caller, row and service decides about repeating. */
+/** Creates an envelope. The request may be repeated only if the caller, the policy row and the service all allow it. */
 export function createEnvelope(input: EnvelopeInput): Envelope {
   const { directives, row, service } = input;
   const isNever =
@@ -186,7 +187,7 @@
   };
 }
 
-/** Returns the digest of a caller's key, which is its workspace's own; undefined without a key. */
+/** Returns the digest of a workspace and its idempotency key, or undefined without a key. */
 export function getKeyDigest(workspace: string, directives: RequestDirectives): string | undefined {
   return directives.key === undefined ? undefined : getDigest(workspace, directives.key);
 }
@@ -194,20 +195,20 @@
 function getDigest(...parts: readonly (string | Uint8Array)[]): string {
   const hash = createHash("sha256");
   for (const part of parts) {
-    // Each part is preceded by its length, so that no two lists of parts read alike.
+    // Each part is preceded by its length, so that two different lists of parts never give the same input.
     hash.update(`${part.length}:`);
     hash.update(part);
   }
   return hash.digest("hex");
 }
 
-/** Returns the tokens of work a request is charged for. */
+/** Returns the number of tokens that a request is charged with: prompt and output of a model request, otherwise 1. */
 export function getWorkTokens(envelope: Envelope): number {
   if (!envelope.model) return webWorkTokens;
   return envelope.model.promptTokens + envelope.model.outputTokens;
 }
 
-/** Tells whether a service of this kind takes requests of this form. */
+/** Returns whether a service serves models. */
 export function isModelService(service: ServiceRecord): boolean {
   return service.kind === ServiceKind.Model;
 }
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -1,5 +1,6 @@
 /**
- * Headers on their way through: what is refused, what is dropped, and what is added.
+ * Header handling of the proxy: refuses ambiguous request headers, and selects the headers that are forwarded to
+ * endpoints and to callers.
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
@@ -7,7 +8,7 @@
 import { Err, Ok, type Result } from "ts-results-es";
 import type { Header } from "./types.js";
 
-/** Headers of ours that an endpoint must not take from a caller. */
+/** Headers that the gateway sets or handles itself; a caller's values are not forwarded to endpoints. */
 const reservedHeaders: ReadonlySet<string> = new Set([
   "authorization",
   "expect",
@@ -37,8 +38,9 @@
 ]);
 
 /**
- * Refuses header shapes by which two parsers could see two requests. The HTTP parser already refuses most; a header
- * that must stand once is refused when it stands twice, and a length beside an encoding always.
+ * Refuses headers that two parsers could read as different requests (request smuggling). The HTTP parser already refuses
+ * most of them. This also refuses a singleton header that occurs twice, and `content-length` together with
+ * `transfer-encoding`.
  */
 export function checkHeaders(rawHeaders: readonly string[]): Result<void, Failure> {
   const seen = new Set<string>();
@@ -60,7 +62,10 @@
   return Err(Failure.create(FailureCode.HeadersRefused, { detail }));
 }
 
-/** Returns the caller's headers that an endpoint gets, with the way they came. */
+/**
+ * Returns the caller's headers that are forwarded to an endpoint, with `x-forwarded-for` and `forwarded` for the
+ * addresses of the trusted proxies' clients and of the peer that is connected.
+ */
 export function selectRequestHeaders(
   rawHeaders: readonly string[],
   remoteAddress: string,
@@ -82,7 +87,7 @@
       continue;
     headers.push([name, value]);
   }
-  // Only the last hops were written by balancers we trust; what stands before them is the caller's own claim.
+  // Only the last `trustedProxies` addresses were written by trusted proxies; a caller can forge those before them.
   const trusted = trustedProxies === 0 ? [] : forwarded.slice(-trustedProxies);
   const path = [...trusted, remoteAddress];
   headers.push(["x-forwarded-for", path.join(", ")]);
@@ -104,7 +109,7 @@
   return named;
 }
 
-/** Returns an endpoint's headers that a caller gets. */
+/** Returns the endpoint's response headers that are forwarded to the caller. */
 export function selectResponseHeaders(headers: IncomingHttpHeaders): readonly Header[] {
   const connection = headers.connection;
   const named = getConnectionHeaders(connection === undefined ? [] : ["connection", connection]);
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * The entry: everything between a caller and an endpoint.
+ * The entry: accepts callers' requests, places them on endpoints and returns the responses. Importing this module
+ * registers the plug-ins.
  * @module
  */
 import "./plugins/httpKeyValue.js";
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `gladewalld`: one entry. SIGTERM and SIGINT are a planned stop, a second one says what is still waiting, SIGHUP
- * re-reads the settings.
+ * The daemon `gladewalld`, which runs one entry. SIGTERM and SIGINT start a planned stop; a second one logs the requests
+ * that have not ended. SIGHUP reloads the settings.
  * @module
  */
 import {
--- a/packages/entry/src/modelResponse.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -1,6 +1,6 @@
 /**
- * Writes a model's answer to a caller: as SSE while it grows, or as one JSON document at its end. Event ids carry
- * request and position, so that a caller can come back for the rest.
+ * Writes a model's response to a caller: as server-sent events while it is generated, or as one JSON document once it is
+ * complete. Event ids are `request:position`, so that a caller can reconnect and read the rest.
  * @module
  */
 import type { ServerResponse } from "node:http";
@@ -12,10 +12,10 @@
 import { type ResponseChunk, ModelForm, type Usage } from "./types.js";
 
 const millisecondsPerSecond = 1000;
-/** Milliseconds after which a caller comes back to a stream that goes on elsewhere. */
+/** Time after which a caller reconnects to a stream that another entry continues. */
 const movedRetryMs = 100;
 
-/** How one form of answer is written. */
+/** Formats the responses of one model form. */
 interface FormWriter {
   readonly chunkObject: string;
   readonly wholeObject: string;
@@ -42,14 +42,14 @@
   },
 };
 
-/** How a caller takes an answer. */
+/** How a response is delivered to a caller. */
 export interface ResponseDelivery {
   readonly isStream: boolean;
-  /** Position from which to give it. */
+  /** First token position to write; used for streams only. */
   readonly fromPosition: number;
 }
 
-/** Writes an answer until its end or until the caller left; the signal aborts then. */
+/** Writes a response until it ends or until the signal aborts because the caller left. */
 export async function writeModelResponse(
   response: ServerResponse,
   request: ActiveRequest,
@@ -86,7 +86,7 @@
 ): Promise<void> {
   for await (const chunk of request.log.follow(from, signal)) {
     if (!response.headersSent) startStream(response, request.envelope.id);
-    // Waits until the caller takes what was written: a slow reader holds back this task only.
+    // Waits until the caller has read what was written. A slow reader delays only this task.
     if (!response.write(formatEvent(request, chunk))) await waitForDrain(response, signal);
   }
   if (signal.aborted) return;
@@ -95,14 +95,17 @@
   if (failure && !response.headersSent) return sendProblem(response, failure, request.envelope.id);
   if (!response.headersSent) startStream(response, request.envelope.id);
   if (failure) {
-    // No end mark follows: a stream that was cut must not look whole.
+    // Omits `[DONE]`, because an interrupted stream must not look complete.
     response.end(`event: error\ndata: ${formatProblem(failure, request.envelope.id)}\n\n`);
     return;
   }
   response.end("data: [DONE]\n\n");
 }
 
-/** Ends a stream so that the caller comes back with `Last-Event-ID`: no end mark, and the time to wait before. */
+/**
+ * Ends a stream that another entry continues. Sends the reconnection time and omits `[DONE]`, so that the caller
+ * reconnects with `Last-Event-ID`.
+ */
 function endMovedStream(response: ServerResponse, id: string): void {
   if (!response.headersSent) return sendMoved(response, id);
   response.end(`: goes on at /v1/requests/${id}\nretry: ${movedRetryMs}\n\n`);
@@ -154,7 +157,7 @@
   });
 }
 
-/** Joins streamed choices that hold more than text: tool calls and probabilities come in pieces. */
+/** Creates the choice of a complete response. Tool calls and log probabilities are merged from the streamed chunks. */
 function formatWholeChoice(
   request: ActiveRequest,
   writer: FormWriter,
@@ -214,7 +217,7 @@
   };
 }
 
-/** Returns the position after the event that a `Last-Event-ID` names; undefined where it names none of ours. */
+/** Returns the position after the event that `Last-Event-ID` names, or undefined if it is no event of this request. */
 export function parseEventId(eventId: string, request: string): number | undefined {
   const prefix = `${request}:`;
   const text = eventId.startsWith(prefix) ? eventId.slice(prefix.length) : eventId;
--- a/packages/entry/src/operatorServer.ts
+++ b/packages/entry/src/operatorServer.ts
@@ -1,5 +1,6 @@
 /**
- * The operators' HTTP port: health, readiness, metrics, and with the operator key explanations and status.
+ * The HTTP server for operators: health, readiness and metrics without authentication, and status and explanations of
+ * requests with the operator key.
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
@@ -11,14 +12,14 @@
 import type { DecisionHistory } from "./decisionHistory.js";
 import { sendProblem } from "./problem.js";
 
-/** What the port shows. */
+/** Components that the server reads from. */
 export interface OperatorServerParts {
   readonly settings: EntrySettings["operators"];
   readonly metrics: EntryMetrics;
   readonly history: DecisionHistory;
-  /** Returns why the entry takes no requests, undefined while it does. */
+  /** Returns the reason for which the entry accepts no requests, or undefined while it accepts them. */
   getUnreadyReason(): string | undefined;
-  /** Returns what the entry knows of itself and others. */
+  /** Returns the status of the entry and the instances that it knows, as JSON values. */
   getStatus(): unknown;
 }
 
@@ -30,7 +31,7 @@
   readonly handle: OperatorHandler;
 }
 
-/** The port. */
+/** Listens for operators and serves their routes. */
 export class OperatorServer implements Closeable {
   private readonly server: Server;
   private readonly routes: readonly OperatorRoute[];
@@ -58,7 +59,7 @@
     return new OperatorServer(parts);
   }
 
-  /** Starts to listen; returns `host:port`. */
+  /** Starts to listen and returns the address as `host:port`. */
   async open(): Promise<string> {
     await listen(this.server, this.parts.settings.listen);
     return this.address;
--- a/packages/entry/src/platform.ts
+++ b/packages/entry/src/platform.ts
@@ -1,5 +1,6 @@
 /**
- * The platform as an entry meets it: its plug-ins, and the tasks that read the list and wait for notices.
+ * Access of an entry to the platform: creates the clients that the settings name, and runs the tasks that read the
+ * instance list and wait for reclaim notices.
  * @module
  */
 import {
@@ -25,17 +26,17 @@
 
 const noticeWaitMs = 10_000;
 const retryPauseMs = 200;
-/** Unchanged readings that are still merged. */
+/** Consecutive readings of an unchanged list that are still merged. */
 const maxMergedUnchanged = 3;
 
-/** The three outside systems of the platform. */
+/** Clients of the three services of the platform. */
 export interface PlatformClients {
   readonly keyValue: KeyValueService;
   readonly list: InstanceList;
   readonly notices: NoticeSource;
 }
 
-/** Creates the clients that the settings name; fails with `PluginUnknown`. */
+/** Creates the clients that the settings name. Fails with `PluginUnknown`. */
 export function createPlatformClients(settings: EntrySettings["platform"]): Result<PlatformClients, Failure> {
   const create = <Client>(kind: PluginKind, name: string, address: string): Result<Client, Failure> =>
     createFromPlugin<AddressOptions, Client>(kind, name, { address, timeout: settings.timeout });
@@ -56,11 +57,11 @@
   return Ok({ keyValue: keyValue.value, list: list.value, notices: notices.value });
 }
 
-/** Feeds the live view from the list and the notices. */
+/** Merges the instance list and reclaim notices into the membership view. */
 export class PlatformFollower implements Closeable {
   private readonly stop = new AbortController();
   private tasks: readonly Promise<void>[] = [];
-  /** Readings in a row that found the list unchanged. */
+  /** Number of consecutive readings that found the list unchanged. */
   private unchanged = 0;
   private isListUnavailable = false;
 
@@ -82,12 +83,12 @@
     return new PlatformFollower(clients, view, clock, logger, getListInterval);
   }
 
-  /** Starts both tasks. */
+  /** Starts to follow the list and the notices. */
   start(): void {
     this.tasks = [this.followList(), this.followNotices()];
   }
 
-  /** Reads the list once, so that a starting entry knows where it is. */
+  /** Reads the list once; an entry that starts does so before it follows the list. */
   async readList(): Promise<void> {
     const list = await this.clients.list.read();
     if (list.isErr()) {
@@ -95,7 +96,8 @@
       return;
     }
     this.isListUnavailable = false;
-    // A few readings of the same list still count: absence is only believed after several.
+    // The first readings of an unchanged list are still merged, because the view treats an instance as absent only after
+    // several readings without it.
     this.unchanged = list.value.isUnchanged ? this.unchanged + 1 : 0;
     if (this.unchanged <= maxMergedUnchanged) this.view.mergeList(list.value.records);
   }
@@ -105,7 +107,7 @@
     await Promise.all(this.tasks);
   }
 
-  /** Says once that the list is silent, not with every reading. */
+  /** Logs the first of several consecutive failures to read the list. */
   private handleListFailure(failure: Failure): void {
     if (!this.isListUnavailable) this.logger.warn("list.silent", { text: failure.text });
     this.isListUnavailable = true;
--- a/packages/entry/src/plugins/httpCall.ts
+++ b/packages/entry/src/plugins/httpCall.ts
@@ -1,29 +1,29 @@
 /**
- * One JSON call over HTTP for the platform's plug-ins, with failures told apart by whether the call can have taken
- * effect.
+ * HTTP calls of the plug-ins, with a JSON body. A failed call is reported differently depending on whether it may have
+ * taken effect at the server.
  * @module
  */
 import { Failure, FailureCode } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 import { errors, Pool } from "undici";
 
-/** Whether a lost answer may hide an effect. */
+/** Whether a call changes something at the server, which decides the failure if its response is lost. */
 export enum CallEffect {
-  /** Reading: asking again does no harm. */
+  /** Repeating the call does no harm, as with a read. */
   None = 1,
-  /** Writing: after the bytes are out the effect is not known. */
+  /** The call writes. Once bytes were sent, a missing response leaves its effect unknown. */
   Change = 2,
 }
 
-/** An HTTP answer read as text. */
+/** An HTTP response with its body as text. */
 export interface CallResponse {
   readonly status: number;
   readonly body: string;
-  /** Entity tag, where the answer has one. */
+  /** The `etag` header, if the response has one. */
   readonly tag: string | undefined;
 }
 
-/** One call. */
+/** Parameters of a call. `timeout` is in milliseconds. */
 export interface ServiceCall {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
   readonly path: string;
@@ -37,7 +37,7 @@
 const connectionsPerPool = 16;
 const endpointKeepAliveMs = 60_000;
 
-/** Creates a pool of connections to an address. */
+/** Creates a connection pool for a service of the platform at `host:port`. */
 export function createPool(address: string, connectTimeout: number): Pool {
   return new Pool(`http://${address}`, {
     connections: connectionsPerPool,
@@ -46,8 +46,8 @@
 }
 
 /**
- * Creates a pool of connections to an endpoint. Idle connections are kept for as long as the endpoint lets them: a new
- * one costs more than a request.
+ * Creates a connection pool for an endpoint. Idle connections stay open for as long as the endpoint's `keep-alive` header
+ * allows, or a minute without one, because opening a connection costs more than a request.
  */
 export function createEndpointPool(address: string, connectTimeout: number, idleTimeout: number): Pool {
   return new Pool(`http://${address}`, {
@@ -58,21 +58,21 @@
   });
 }
 
-/** Tells whether an error of undici means that no byte of the request can have arrived. */
+/** Returns whether an error of undici means that no byte of the request can have reached the server. */
 export function isNeverSent(error: unknown): boolean {
   if (error instanceof errors.ConnectTimeoutError) return true;
   const code = (error as { code?: string }).code;
   return code === "ECONNREFUSED" || code === "EHOSTUNREACH" || code === "ENETUNREACH" || code === "ENOTFOUND";
 }
 
-/** Returns an error's own words, for logs and details. */
+/** Returns the message of an error, or its code if it has no message. */
 export function getErrorText(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   const code = (error as { code?: string }).code;
   return error.message === "" ? (code ?? error.name) : error.message;
 }
 
-/** Makes a call. Fails with `ServiceUnavailable`, or `ServiceAnswerLost` where a change may have taken effect. */
+/** Makes a call. Fails with `ServiceAnswerLost` if a change may have taken effect, otherwise `ServiceUnavailable`. */
 export async function callService(pool: Pool, call: ServiceCall): Promise<Result<CallResponse, Failure>> {
   const timeout = AbortSignal.timeout(call.timeout);
   const signal = call.signal ? AbortSignal.any([timeout, call.signal]) : timeout;
@@ -92,7 +92,7 @@
   }
 }
 
-/** Parses JSON; fails with `ServiceUnavailable`. */
+/** Parses the JSON body of a response. Fails with `ServiceUnavailable`. */
 export function parseJson<Shape>(response: CallResponse): Result<Shape, Failure> {
   try {
     return Ok(JSON.parse(response.body) as Shape);
--- a/packages/entry/src/plugins/httpKeyValue.ts
+++ b/packages/entry/src/plugins/httpKeyValue.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `http-kv`: the platform's key-value service over HTTP and JSON, with blocking reads, transactions and
- * sessions.
+ * Plug-in `http-kv`: client of the platform's key-value service over HTTP and JSON. Watches are blocking reads,
+ * compare-and-swap is a transaction, and leases are sessions.
  * @module
  */
 import type { GrantedLease, KeyValueService, StoredValue } from "@gladewall/coordination";
@@ -25,7 +25,7 @@
 const statusOk = 200;
 const maxValueBytes = 1_048_576;
 
-/** Client of the service. */
+/** Client of the key-value service. */
 class HttpKeyValue implements KeyValueService {
   private readonly pool: Pool;
 
--- a/packages/entry/src/plugins/httpPlatform.ts
+++ b/packages/entry/src/plugins/httpPlatform.ts
@@ -1,5 +1,6 @@
 /**
- * Plug-ins `http-list` and `http-notices`: the instance list and the cloud's reclaim notices over HTTP and JSON.
+ * Plug-ins `http-list` and `http-notices`: clients of the instance list and of the cloud's reclaim notices over HTTP and
+ * JSON.
  * @module
  */
 import type {
@@ -17,7 +18,7 @@
 
 const statusUnchanged = 304;
 
-/** Client of the instance list. A list that did not change costs one short answer. */
+/** Client of the instance list. It sends the last entity tag, so that an unchanged list is answered by status 304. */
 class HttpInstanceList implements InstanceList {
   private readonly pool: Pool;
   private tag: string | undefined;
@@ -55,7 +56,7 @@
   return Failure.create(FailureCode.ListUnavailable, { detail });
 }
 
-/** Client of the notices. */
+/** Client of the reclaim notices, which are requested by long polling. */
 class HttpNotices implements NoticeSource {
   private readonly pool: Pool;
 
--- a/packages/entry/src/plugins/loadHeader.ts
+++ b/packages/entry/src/plugins/loadHeader.ts
@@ -1,5 +1,5 @@
 /**
- * The load that an endpoint tells in the head of an answer: `x-load: running/queued/width`.
+ * Parses the load that an endpoint reports in a response header: `x-load: running/queued/width`.
  * @module
  */
 import type { IncomingHttpHeaders } from "node:http";
@@ -7,7 +7,7 @@
 
 const loadHeader = "x-load";
 
-/** Returns the report of a head, undefined where it has none. */
+/** Returns the load report of a response's headers, or undefined if the header is missing or malformed. */
 export function readLoadHeader(headers: IncomingHttpHeaders): LoadReport | undefined {
   const value = headers[loadHeader];
   const found = typeof value === "string" ? /^(\d+)\/(\d+)\/(\d+)$/.exec(value) : undefined;
--- a/packages/entry/src/plugins/openaiEngine.ts
+++ b/packages/entry/src/plugins/openaiEngine.ts
@@ -1,9 +1,9 @@
 /**
- * Plug-in `openai-engine`: model engines with the OpenAI-compatible interface and streams that can be resumed and
+ * Plug-in `openai-engine`: client of model engines with the OpenAI-compatible API, whose streams can be resumed and
  * cancelled by run id.
  *
- * Each frame's SSE id is `attempt:position`. Frames of another attempt and frames already had are dropped; a gap
- * in positions or a stream without its end mark is a cut answer.
+ * The SSE id of each event is `attempt:position`. Events of another attempt and events that were already received are
+ * discarded. A gap in the positions, or a stream that ends without `[DONE]`, is an interrupted response.
  * @module
  */
 import type { ReadableStream } from "node:stream/web";
@@ -45,7 +45,7 @@
 const cancelTimeoutMs = 1_000;
 const startedHeader = "x-run-started";
 
-/** Client of one engine. */
+/** Client of one model engine. */
 class EngineClient implements EndpointClient {
   private readonly pool: Pool;
 
@@ -148,7 +148,7 @@
 ): Failure {
   if (isResume && status === statusNotFound)
     return Failure.create(FailureCode.EndpointRunUnknown, { endpoint });
-  // Only the endpoint's own word makes a refusal one that surely did not run.
+  // The request certainly did not run only if the endpoint says so by `x-run-started: no`.
   if (!isStarted) return Failure.create(FailureCode.EndpointRefused);
   if (status >= 400 && status < 500 && status !== 408 && status !== 429) {
     return Failure.create(FailureCode.BadRequest, { detail: getErrorMessage(body) }).withOutcome(Outcome.Ran);
@@ -165,7 +165,10 @@
   }
 }
 
-/** Returns the body for an engine: always streamed, and with the answer so far where there is one. */
+/**
+ * Returns the request body for an engine. The engine always streams its response; a run that continues an earlier
+ * attempt gets the text so far and the remaining number of tokens.
+ */
 function createEngineBody(dispatch: Dispatch): string {
   const { envelope, emitted, emittedText } = dispatch;
   const body = JSON.parse(Buffer.from(envelope.body).toString("utf8")) as Record<string, unknown>;
@@ -187,7 +190,7 @@
   return JSON.stringify(body);
 }
 
-/** Reads one stream's frames into a sink. */
+/** Parses the events of one stream and passes their chunks to a sink. */
 class FrameReader {
   private next: number;
   private failure: Failure | undefined;
@@ -223,7 +226,7 @@
 
   private async handleEvent(event: EventSourceMessage): Promise<void> {
     if (event.data === endOfStream) {
-      // An end mark without a finish reason is not the end of a whole answer.
+      // Without a finish reason before it, `[DONE]` does not end a complete response.
       if (this.hasFinish) this.isDone = true;
       else this.failure = Failure.create(FailureCode.EndpointCut, { endpoint: this.endpoint });
       return;
@@ -272,7 +275,7 @@
 function getUsage(chunk: EngineChunk, emitted: number): Usage | undefined {
   if (!chunk.usage) return undefined;
   return {
-    // A continued prompt holds the answer so far, which the caller did not send.
+    // The prompt of a continued run includes the response so far, which the caller did not send.
     promptTokens: (chunk.usage.prompt_tokens ?? 0) - emitted,
     outputTokens: (chunk.usage.completion_tokens ?? 0) + emitted,
     cachedTokens: chunk.usage.prompt_tokens_details?.cached_tokens ?? 0,
--- a/packages/entry/src/plugins/webService.ts
+++ b/packages/entry/src/plugins/webService.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `http-service`: plain web services. Bodies are streamed both ways; an answer is whole only when its body
- * ended as its framing says.
+ * Plug-in `http-service`: client of plain web services. Bodies are streamed in both directions. A response is complete
+ * only if its body ended as `content-length` or the chunked encoding says.
  * @module
  */
 import { Readable } from "node:stream";
@@ -20,11 +20,11 @@
 import { readLoadHeader } from "./loadHeader.js";
 
 const startedHeader = "x-run-started";
-/** Statuses of gateways in trouble; any other is the service's own answer, and passed on whole. */
+/** Statuses with which a gateway reports a fault. A response with any other status is the service's own. */
 const gatewayStatuses: ReadonlySet<number> = new Set([502, 503, 504]);
 const bodilessMethods: ReadonlySet<string> = new Set(["GET", "HEAD"]);
 
-/** Client of one web endpoint. */
+/** Client of one endpoint of a web service. */
 class WebClient implements EndpointClient {
   private readonly pool: Pool;
 
@@ -66,7 +66,7 @@
   }
 
   async resume(): Promise<Result<void, Failure>> {
-    // Plain web services keep no runs to come back to.
+    // Plain web services keep no runs that could be resumed.
     return Err(Failure.create(FailureCode.EndpointRunUnknown, { endpoint: this.options.record.id }));
   }
 
--- a/packages/entry/src/problem.ts
+++ b/packages/entry/src/problem.ts
@@ -1,6 +1,6 @@
 /**
- * Writes failures to callers: `application/problem+json` (RFC 9457) with the failure's code and outcome. The `error`
- * member has the shape that OpenAI clients read.
+ * Writes failures to callers as `application/problem+json` (RFC 9457) with the failure's code and outcome. The `error`
+ * member has the shape that OpenAI clients expect.
  * @module
  */
 import type { ServerResponse } from "node:http";
@@ -9,7 +9,7 @@
 const millisecondsPerSecond = 1000;
 const statusClientClosedRequest = 499;
 
-/** Returns the body of a failure. */
+/** Returns the JSON body of a failure. */
 export function formatProblem(failure: Failure, requestId: string): string {
   const outcome = outcomeNames[failure.outcome];
   return JSON.stringify({
@@ -24,13 +24,13 @@
   });
 }
 
-/** Returns seconds for `Retry-After`, at least one; undefined where coming back does not help. */
+/** Returns the seconds for `Retry-After`, at least 1, or undefined if a retry does not help. */
 export function getRetryAfter(failure: Failure): number | undefined {
   if (failure.retryAfterMs === undefined) return undefined;
   return Math.max(1, Math.ceil(failure.retryAfterMs / millisecondsPerSecond));
 }
 
-/** Sends a failure; does nothing where the head is already out. */
+/** Sends a failure. Does nothing if the response's head is sent or its connection closed. */
 export function sendProblem(response: ServerResponse, failure: Failure, requestId: string): void {
   if (response.headersSent || response.destroyed) return;
   if (failure.status === statusClientClosedRequest) return void response.destroy();
@@ -45,7 +45,7 @@
   response.end(body);
 }
 
-/** Sends a caller on to where its request's answer will be, on any entry. */
+/** Redirects a caller to the URL at which any entry returns the response to its request. */
 export function sendMoved(response: ServerResponse, requestId: string): void {
   if (response.headersSent || response.destroyed) return;
   response.writeHead(303, {
--- a/packages/entry/src/requestBody.ts
+++ b/packages/entry/src/requestBody.ts
@@ -1,36 +1,36 @@
 /**
- * Reads a request's body: whole up to a limit, or its head and the rest as a stream. A sender that stops sending is
- * given up after a time.
+ * Reads a request's body into memory up to a limit, and provides the rest of a larger body as a stream. Fails when the
+ * sender sends no byte for the idle timeout.
  * @module
  */
 import type { IncomingMessage } from "node:http";
 import { type Clock, Failure, FailureCode } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** Bounds of a body. */
+/** Limits of a body. */
 export interface BodyLimits {
-  /** Bytes that may be held in memory. */
+  /** Largest part of the body that is held in memory, bytes. */
   readonly maxHeldBytes: number;
-  /** Bytes in all. */
+  /** Largest body, bytes. */
   readonly maxTotalBytes: number;
-  /** Milliseconds without a byte. */
+  /** Longest time without a byte, milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** A body: its held head, and the rest where it is larger than what may be held. */
+/** A body. `rest` streams what follows `head`; it is undefined if `head` is the whole body. */
 export interface RequestBody {
   readonly head: Uint8Array;
   readonly rest: AsyncIterable<Uint8Array> | undefined;
 }
 
-/** Thrown inside a streamed rest, where there is no other way to end it. */
+/** Carries a failure out of the stream of a body's rest, where an exception is the only way to report it. */
 export class BodyFailure extends Error {
   constructor(readonly failure: Failure) {
     super(failure.text);
   }
 }
 
-/** Reads a body. Fails with `BodyTooLarge`, `BodyTooSlow` or `BadRequest` where it was cut. */
+/** Reads a body. Fails with `BodyTooLarge`, `BodyTooSlow`, or `BadRequest` if the connection closed before its end. */
 export async function readBody(
   request: IncomingMessage,
   limits: BodyLimits,
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -1,5 +1,6 @@
 /**
- * The callers' routes: model completions, web services, and coming back to a request.
+ * The HTTP routes for callers: model completions, web services, and reading or cancelling an earlier request by its id.
+ * Authenticates the caller, creates the request's envelope, and admits or refuses the request.
  * @module
  */
 import { ServiceKind } from "@gladewall/coordination";
@@ -38,7 +39,7 @@
 import { newRequestOptions, type RequestRunner } from "./runner.js";
 import { type Envelope, ModelForm, type ModelRequest } from "./types.js";
 
-/** What the routes work with. */
+/** Components that the routes use. */
 export interface RouteParts {
   readonly settings: EntrySettings;
   readonly clock: Clock;
@@ -50,19 +51,19 @@
   readonly keys: KeyLookup;
   readonly decisions: DecisionWriter;
   readonly metrics: EntryMetrics;
-  /** Returns the table in force, or why this entry takes no request now. */
+  /** Returns the policy table in force, or the failure for which this entry accepts no requests now. */
   getTable(): Result<PolicyTable, Failure>;
-  /** Returns the table in force although this entry may be leaving. */
+  /** Returns the policy table in force, also while this entry is leaving. */
   getLatestTable(): Result<PolicyTable, Failure>;
 }
 
-/** A caller whose key is known. */
+/** An authenticated caller. */
 interface Caller {
   readonly table: PolicyTable;
   readonly workspace: string;
 }
 
-/** A request on its way to acceptance. */
+/** A parsed request that is not admitted yet. */
 interface Candidate {
   readonly caller: Caller;
   readonly directives: RequestDirectives;
@@ -74,7 +75,7 @@
 
 const bearerPattern = /^Bearer ([\x21-\x7e]+)$/i;
 
-/** Routes of callers. */
+/** Creates the routes for callers and handles their requests. */
 export class CallerRoutes {
   readonly routes: readonly Route[];
 
@@ -215,10 +216,10 @@
     });
   }
 
-  /** Puts a copy at a backup, then runs the request, or follows the one that has the same key. */
+  /** Copies the request to a backup and runs it, or attaches to the request that was accepted with the same key. */
   private async run(request: ActiveRequest, rest: AsyncIterable<Uint8Array> | undefined): Promise<void> {
     const { backups, runner, keys } = this.parts;
-    // A body that is streamed through is held by nobody: there is nothing to copy.
+    // A body that is streamed through is not held in memory, so there is nothing to copy.
     const conflict = rest
       ? undefined
       : (keys.findCopied(request.envelope.keyDigest) ?? (await backups.replicate(request)));
@@ -227,8 +228,8 @@
   }
 
   /**
-   * Refuses a request, but not one whose key was used before: that one gets the answer of the first, which costs
-   * nothing. Where it cannot be known whether the key was used, the outcome is not said to be "not run".
+   * Refuses a request unless its key was used before. A request with a used key gets the response of the first request,
+   * which takes no capacity. If it can't be found out whether the key was used, the outcome is not reported as "not run".
    */
   private async refuseUnlessKeyUsed(
     exchange: Exchange,
@@ -246,7 +247,7 @@
     return undefined;
   }
 
-  /** A key used again at this entry gets the answer of the request that has it. */
+  /** Answers a request whose key this entry already knows with the response of the first request. */
   private async answerFromExisting(
     exchange: Exchange,
     same: ActiveRequest,
@@ -260,7 +261,7 @@
     return undefined;
   }
 
-  /** Refuses with a request id of its own, so that the refusal can be asked about. */
+  /** Sends a refusal with its own request id, so that operators can ask for its explanation. */
   private refuse(exchange: Exchange, failure: Failure): undefined {
     const { id } = exchange;
     this.parts.metrics.countRefusal(failure);
@@ -291,7 +292,10 @@
     else await writeWebResponse(response, request, gone);
   }
 
-  /** A run without a key goes on for a grace time after its last caller left, so that the caller can come back. */
+  /**
+   * Stops a request without a key if no caller reads its response `resume_grace` milliseconds after a caller left. The
+   * delay allows the caller to reconnect.
+   */
   private handleCallerLeft(request: ActiveRequest): void {
     if (!request.isOpen || request.envelope.keyDigest !== undefined) return;
     this.parts.clock.startTimer(this.parts.settings.requests.resume_grace, () => {
@@ -327,9 +331,12 @@
     return undefined;
   }
 
-  /** Finds a request of the caller's own workspace; another's looks as if it did not exist. */
+  /**
+   * Finds a request of the caller's workspace. For a request of another workspace the failure is the same as for an
+   * unknown request, so that its existence is not disclosed.
+   */
   private async findInWorkspace(exchange: Exchange, id: string): Promise<Result<ActiveRequest, Failure>> {
-    // A leaving entry still answers for what it has.
+    // A leaving entry still returns the responses that it holds.
     const caller = this.identify(exchange, this.parts.getLatestTable());
     if (caller.isErr()) return caller;
     const found = await this.parts.fetcher.fetch(id);
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -1,5 +1,6 @@
 /**
- * What an entry serves with: from the queues to the runs, with backups, claims, shares and held answers.
+ * Creates and connects the components that serve requests: admission, queues, runs at endpoints, backups at peers, claims
+ * of idempotency keys, shares of policy rows, and responses held for callers that reconnect.
  * @module
  */
 import { CallKind, ClaimStore, isUsable } from "@gladewall/coordination";
@@ -33,16 +34,16 @@
 import { RowShares } from "./rowShares.js";
 import { RequestRunner } from "./runner.js";
 
-/** What serving works with. */
+/** Components and settings that serving is created from. */
 export interface ServingParts extends MembershipParts {
   readonly membership: Membership;
   readonly metrics: EntryMetrics;
   readonly history: DecisionHistory;
-  /** Returns the table for new requests, or why none is taken. */
+  /** Returns the policy table for new requests, or the failure for which none is accepted. */
   readonly getTable: () => Result<PolicyTable, Failure>;
 }
 
-/** Everything that has to do with requests. */
+/** The components that serve requests, and the routes for callers. */
 export class Serving implements Closeable {
   readonly routes: readonly Route[];
   readonly requests: RequestRegistry;
@@ -127,7 +128,10 @@
     return new Serving(parts);
   }
 
-  /** Hands requests over that another entry can go on with; the others are given all the time there is. */
+  /**
+   * Hands over the requests that another entry can continue, and stops those that a peer has taken over. The other
+   * requests go on here until the entry closes.
+   */
   async handOver(): Promise<void> {
     const open = this.requests.getOpen();
     const movable = open.filter(canHandOver);
@@ -138,7 +142,7 @@
     this.parts.logger.info("entry.handed-over", { requests: taken.size, open: open.length });
   }
 
-  /** Takes no peer's requests over any more. */
+  /** Takes over no more requests of peers. */
   stopTakeovers(): void {
     this.backupStore.close();
   }
@@ -148,7 +152,7 @@
     await this.fleet.close();
   }
 
-  /** Goes on with a request that another entry held. */
+  /** Continues a request of another entry, of which this entry is the backup. */
   private resume(request: ActiveRequest, { mayStart }: ResumeOptions): void {
     const task = async (): Promise<void> => {
       await this.backups.replicate(request);
@@ -216,7 +220,10 @@
   }
 }
 
-/** Whether another entry can go on with a request: a web service's call is bound to this entry's connection. */
+/**
+ * Returns whether another entry can continue a request. A call of a web service that is running can't be continued,
+ * because its response arrives on this entry's connection; it is handed over only if it may be repeated.
+ */
 function canHandOver(request: ActiveRequest): boolean {
   const { envelope, log, run } = request;
   if (!log.isWhole) return false;
--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -1,5 +1,6 @@
 /**
- * Shapes of a request's life in an entry, in the order in which they come up.
+ * Types of a request in an entry, in the order of its processing: the parsed request, its envelope, the response, an
+ * attempt at an endpoint, and the client of an endpoint.
  * @module
  */
 import type { InstanceRecord, ServiceKind } from "@gladewall/coordination";
@@ -7,30 +8,33 @@
 import type { LoadReport, RepeatRule } from "@gladewall/policy";
 import type { Result } from "ts-results-es";
 
-/** Header as name and value, in the order sent. */
+/** Name and value of a header. Lists of headers keep the order in which they were sent. */
 export type Header = readonly [name: string, value: string];
 
-/** Form of a model request's answer. */
+/** API of a model request, which decides the format of its response. */
 export enum ModelForm {
   Chat = 1,
   Text = 2,
 }
 
-/** What a model request asks for, as far as the entry must know. */
+/** Parameters of a model request that the entry uses. */
 export interface ModelRequest {
   readonly form: ModelForm;
   readonly isStream: boolean;
   readonly includesUsage: boolean;
-  /** Tokens of the prompt, by the one rule. */
+  /** Estimated number of tokens of the prompt, by `estimateTokens`. */
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Whether an answer can be continued from its text: one choice, no tools, no probabilities. */
+  /**
+   * Whether an interrupted response can be continued from its text. Requires one choice and no tools, log probabilities
+   * or response format.
+   */
   readonly isContinuable: boolean;
-  /** Chained hashes of the prompt's blocks. */
+  /** Chained hashes of the prompt's blocks, by `hashPromptBlocks`. */
   readonly blocks: readonly number[];
 }
 
-/** An accepted request: everything another entry needs to carry it on. */
+/** An accepted request with everything that another entry needs to continue it. */
 export interface Envelope {
   readonly id: string;
   readonly workspace: string;
@@ -38,21 +42,21 @@
   readonly kind: ServiceKind;
   readonly class: string;
   readonly method: string;
-  /** Path and query at the endpoint. */
+  /** Path and query of the request at the endpoint. */
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   readonly repeat: RepeatRule;
-  /** Digest of workspace and `Idempotency-Key`; undefined without one. */
+  /** Digest of workspace and `Idempotency-Key`; undefined without the header. */
   readonly keyDigest: string | undefined;
-  /** Digest of what was asked, to tell another request under the same key. */
+  /** Digest of service, method, path and body. It detects a different request with the same key. */
   readonly bodyDigest: string;
   readonly priority: number;
   readonly weight: number;
   readonly latencyTarget: number;
   readonly row: string;
   readonly model: ModelRequest | undefined;
-  /** Wall clock of acceptance, milliseconds; for people only. */
+  /** Wall clock time of acceptance, milliseconds. For display only; no decision depends on it. */
   readonly arrived: number;
 }
 
@@ -63,18 +67,18 @@
   readonly cachedTokens: number;
 }
 
-/** Status and headers of an answer. */
+/** Status and headers of a response. */
 export interface ResponseHead {
   readonly status: number;
   readonly headers: readonly Header[];
 }
 
-/** A piece of an answer: a token of a model, or bytes of a web service. */
+/** A chunk of a response: a token of a model, or bytes of a web service. */
 export interface ResponseChunk {
   /** Token position, or byte offset. */
   readonly position: number;
   readonly data: string | Uint8Array;
-  /** Choices as the engine sent them, where they hold more than text. */
+  /** Choices as JSON, as the engine sent them; undefined if they hold only text. */
   readonly choices?: string | undefined;
   readonly finish?: string | undefined;
   readonly usage?: Usage | undefined;
@@ -85,61 +89,61 @@
   readonly envelope: Envelope;
   readonly runId: string;
   readonly attempt: number;
-  /** Tokens already given, from which the run goes on. */
+  /** Number of tokens that earlier attempts gave to the caller; the run continues after them. */
   readonly emitted: number;
-  /** Their text. */
+  /** Text of those tokens. */
   readonly emittedText: string;
-  /** Where the run's cache can be fetched from: `host:port/path`; undefined where it cannot. */
+  /** Address of the earlier run's KV cache as `host:port/path`; undefined if it can't be fetched. */
   readonly cacheSource: string | undefined;
-  /** Rest of a body too large to be held; undefined where `envelope.body` is all of it. */
+  /** Rest of a body that is too large to be held in memory; undefined if `envelope.body` is the whole body. */
   readonly rest: AsyncIterable<Uint8Array> | undefined;
 }
 
-/** Takes what an endpoint answers. A promise that is pending holds the endpoint back. */
+/** Receives an endpoint's response. The next chunk is read only after `add` has resolved, which applies backpressure. */
 export interface RunSink {
   setHead(head: ResponseHead): void;
-  /** Takes the load that an endpoint tells with its answer. */
+  /** Receives the load that an endpoint reports in its response head. */
   setLoad(report: LoadReport): void;
   add(chunk: ResponseChunk): Promise<void>;
 }
 
-/** What an endpoint says of a run it was told to cancel. */
+/** Result of cancelling a run, as the endpoint reports it. */
 export enum CancelOutcome {
-  /** It never started: nothing was run. */
+  /** The run had not started, so nothing was executed. */
   NotStarted = 1,
-  /** It had started. */
+  /** The run had started. */
   Started = 2,
-  /** It does not know, or did not answer. */
+  /** The endpoint does not know the run, or did not respond. */
   Unknown = 3,
 }
 
-/** Speaks with one endpoint in its protocol. */
+/** Client of one endpoint, for one protocol. */
 export interface EndpointClient {
-  /** Runs a request to its end mark. */
+  /** Runs a request until its response is complete. */
   run(dispatch: Dispatch, sink: RunSink, signal: AbortSignal): Promise<Result<void, Failure>>;
-  /** Attaches to a run that is already there, from a position on; fails with `EndpointRunUnknown`. */
+  /** Attaches to an existing run and reads it from `dispatch.emitted` on. Fails with `EndpointRunUnknown`. */
   resume(dispatch: Dispatch, sink: RunSink, signal: AbortSignal): Promise<Result<void, Failure>>;
-  /** Cancels a run and returns the endpoint's word about it. */
+  /** Cancels a run and returns whether the endpoint had started it. */
   cancel(runId: string): Promise<CancelOutcome>;
-  /** Returns where another endpoint can fetch a run's cache from; undefined where this kind has none. */
+  /** Returns the address at which another endpoint can fetch a run's KV cache; undefined if this protocol has none. */
   getCacheSource(runId: string): string | undefined;
-  /** Reads the load report. */
+  /** Requests the endpoint's load report. */
   readLoad(): Promise<Result<LoadReport, Failure>>;
   close(): Promise<void>;
 }
 
-/** Options that endpoint plug-ins are created with. */
+/** Options of an endpoint client. */
 export interface EndpointOptions {
   readonly record: InstanceRecord;
-  /** Milliseconds to open a connection. */
+  /** Longest time to open a connection, milliseconds. */
   readonly connectTimeout: number;
-  /** Milliseconds without a byte after which an answer counts as cut. */
+  /** Time without a byte after which a response counts as interrupted, milliseconds. */
   readonly idleTimeout: number;
 }
 
-/** Options of plug-ins that are reached at one address. */
+/** Options of plug-ins that connect to one address. */
 export interface AddressOptions {
   readonly address: string;
-  /** Milliseconds a call may take. */
+  /** Longest time of a call, milliseconds. */
   readonly timeout: number;
 }
--- a/packages/entry/src/webResponse.ts
+++ b/packages/entry/src/webResponse.ts
@@ -1,5 +1,5 @@
 /**
- * Writes a web service's answer to a caller, byte by byte as it comes, with back-pressure.
+ * Writes a web service's response to a caller as its bytes arrive, with backpressure.
  * @module
  */
 import type { ServerResponse } from "node:http";
@@ -9,7 +9,10 @@
 import { sendMoved, sendProblem } from "./problem.js";
 import type { ActiveRequest } from "./requests.js";
 
-/** Writes an answer until its end or until the caller left; a cut answer cuts the connection. */
+/**
+ * Writes a response until it ends or until the signal aborts because the caller left. Closes the connection if the
+ * response was interrupted.
+ */
 export async function writeWebResponse(
   response: ServerResponse,
   request: ActiveRequest,
@@ -19,7 +22,8 @@
   await log.waitForHead();
   if (signal.aborted) return;
   if (!log.head && log.state === ResponseState.Moved) return sendMoved(response, envelope.id);
-  // An answer that is already known to be cut is told as such; only one that breaks midway has to break the connection.
+  // A response that has failed before its first byte is sent is reported as a problem. Only one that fails after its
+  // head was sent has to close the connection.
   if (!log.head || log.state === ResponseState.Failed) {
     const failure = log.failure ?? Failure.create(FailureCode.Internal, { detail: "the answer has no head" });
     return sendProblem(response, failure, envelope.id);
@@ -37,7 +41,7 @@
     if (!response.write(chunk.data)) await waitForDrain(response, signal);
   }
   if (signal.aborted) return;
-  // Cutting the connection is the only way left to say that the body is not whole.
+  // The head is sent, so closing the connection is the only way to signal an incomplete body.
   if (log.state !== ResponseState.Complete) return void response.destroy();
   response.end();
 }
