--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -113,10 +113,10 @@
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const gone = new AbortController();
+    const callerLeft = new AbortController();
     this.active += 1;
     response.on("close", () => {
-      gone.abort();
+      callerLeft.abort();
       this.handleResponseClosed();
     });
     response.setTimeout(this.settings.write_timeout, () => this.endSlowReader(response));
@@ -127,7 +127,7 @@
     const checked = checkHeaders(request.rawHeaders);
     if (checked.isErr()) return endWithProblem(request, response, checked.error, id);
     try {
-      const failure = await this.route({ request, response, url, id, callerLeft: gone.signal });
+      const failure = await this.route({ request, response, url, id, callerLeft: callerLeft.signal });
       if (failure) endWithProblem(request, response, failure, id);
     } catch (error) {
       const detail = error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/packages/entry/src/entryMetrics.ts
+++ b/packages/entry/src/entryMetrics.ts
@@ -76,15 +76,15 @@
   }
 
   /** Records a request with a complete response: milliseconds to its first output and its end, and output tokens. */
-  countCompletion(envelope: Envelope, first: number, total: number, output: number): void {
+  countCompletion(envelope: Envelope, firstMs: number, totalMs: number, outputTokens: number): void {
     const { row } = envelope;
-    this.getFirstOutputLatency(row).record(first);
+    this.getFirstOutputLatency(row).record(firstMs);
     this.registry
       .getLatencyHistogram("gladewall_total_milliseconds", "Time to the end of the answer.", { row })
-      .record(total);
+      .record(totalMs);
     this.registry
       .getCounter("gladewall_output_tokens_total", "Tokens given to callers.", { row })
-      .add(output);
+      .add(outputTokens);
     this.registry.getCounter("gladewall_finished_total", "Requests that ended whole.", { row }).add();
   }
 
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -161,7 +161,7 @@
 /** Creates an envelope. The request may be repeated only if the caller, the policy row and the service all allow it. */
 export function createEnvelope(input: EnvelopeInput): Envelope {
   const { directives, row, service } = input;
-  const isNever =
+  const forbidsRepeat =
     directives.forbidsRepeat ||
     row.repeat === RepeatRule.Never ||
     getServiceRepeatRule(service, input.method, input.path) === RepeatRule.Never;
@@ -175,7 +175,7 @@
     path: input.path,
     headers: input.headers,
     body: input.body,
-    repeat: isNever ? RepeatRule.Never : RepeatRule.Allowed,
+    repeat: forbidsRepeat ? RepeatRule.Never : RepeatRule.Allowed,
     keyDigest: getKeyDigest(input.workspace, directives),
     bodyDigest: getDigest(service.name, input.method, input.path, input.body),
     priority: row.priority,
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -71,7 +71,7 @@
   remoteAddress: string,
   trustedProxies: number,
 ): readonly Header[] {
-  const named = getConnectionHeaders(rawHeaders);
+  const connectionHeaders = getConnectionHeaders(rawHeaders);
   const headers: Header[] = [];
   const forwarded: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
@@ -81,7 +81,7 @@
     if (
       hopByHopHeaders.has(name) ||
       reservedHeaders.has(name) ||
-      named.has(name) ||
+      connectionHeaders.has(name) ||
       name.startsWith(reservedPrefix)
     )
       continue;
@@ -101,21 +101,22 @@
 }
 
 function getConnectionHeaders(rawHeaders: readonly string[]): ReadonlySet<string> {
-  const named = new Set<string>();
+  const names = new Set<string>();
   for (let index = 0; index < rawHeaders.length; index += 2) {
     if (rawHeaders[index]?.toLowerCase() !== "connection") continue;
-    for (const part of (rawHeaders[index + 1] ?? "").split(",")) named.add(part.trim().toLowerCase());
+    for (const part of (rawHeaders[index + 1] ?? "").split(",")) names.add(part.trim().toLowerCase());
   }
-  return named;
+  return names;
 }
 
 /** Returns the endpoint's response headers that are forwarded to the caller. */
 export function selectResponseHeaders(headers: IncomingHttpHeaders): readonly Header[] {
   const connection = headers.connection;
-  const named = getConnectionHeaders(connection === undefined ? [] : ["connection", connection]);
+  const connectionHeaders = getConnectionHeaders(connection === undefined ? [] : ["connection", connection]);
   const selected: Header[] = [];
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || name === "x-load" || hopByHopHeaders.has(name) || named.has(name)) continue;
+    if (value === undefined || name === "x-load" || hopByHopHeaders.has(name) || connectionHeaders.has(name))
+      continue;
     for (const single of Array.isArray(value) ? value : [value]) selected.push([name, single]);
   }
   return selected;
--- a/packages/entry/src/modelResponse.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -16,14 +16,14 @@
 const movedRetryMs = 100;
 
 /** Formats the responses of one model form. */
-interface FormWriter {
+interface ResponseFormat {
   readonly chunkObject: string;
   readonly wholeObject: string;
   formatChoice(text: string, finish: string | null): unknown;
   formatWhole(text: string, finish: string): unknown;
 }
 
-const formWriters: Readonly<Record<ModelForm, FormWriter>> = {
+const responseFormats: Readonly<Record<ModelForm, ResponseFormat>> = {
   [ModelForm.Chat]: {
     chunkObject: "chat.completion.chunk",
     wholeObject: "chat.completion",
@@ -53,10 +53,10 @@
 export async function writeModelResponse(
   response: ServerResponse,
   request: ActiveRequest,
-  view: ResponseDelivery,
+  delivery: ResponseDelivery,
   signal: AbortSignal,
 ): Promise<void> {
-  if (view.isStream) return writeStream(response, request, view.fromPosition, signal);
+  if (delivery.isStream) return writeStream(response, request, delivery.fromPosition, signal);
   const text: string[] = [];
   let finish = "stop";
   let usage: Usage | undefined;
@@ -128,7 +128,7 @@
 function formatEvent(request: ActiveRequest, chunk: ResponseChunk): string {
   const { envelope } = request;
   const form = envelope.model?.form ?? ModelForm.Chat;
-  const writer = formWriters[form];
+  const writer = responseFormats[form];
   const choices: unknown = chunk.choices
     ? JSON.parse(chunk.choices)
     : [writer.formatChoice(String(chunk.data), chunk.finish ?? null)];
@@ -146,7 +146,7 @@
 
 function formatWhole(request: ActiveRequest, text: string, finish: string, usage: Usage | undefined): string {
   const { envelope } = request;
-  const writer = formWriters[envelope.model?.form ?? ModelForm.Chat];
+  const writer = responseFormats[envelope.model?.form ?? ModelForm.Chat];
   return JSON.stringify({
     id: envelope.id,
     object: writer.wholeObject,
@@ -160,7 +160,7 @@
 /** Creates the choice of a complete response. Tool calls and log probabilities are merged from the streamed chunks. */
 function formatWholeChoice(
   request: ActiveRequest,
-  writer: FormWriter,
+  writer: ResponseFormat,
   text: string,
   finish: string,
 ): unknown {
--- a/packages/entry/src/plugins/httpKeyValue.ts
+++ b/packages/entry/src/plugins/httpKeyValue.ts
@@ -83,7 +83,9 @@
     ttl: number,
   ): Promise<Result<GrantedLease | undefined, Failure>> {
     const created = await this.change("/v1/session/create", JSON.stringify({ TTL: ttl, Name: holder }));
-    const session = created.andThen((answer) => parseJson<{ ID: string }>(answer)).map((answer) => answer.ID);
+    const session = created
+      .andThen((response) => parseJson<{ ID: string }>(response))
+      .map((answer) => answer.ID);
     if (session.isErr()) return session;
     const path = `${getPath(name)}?acquire=${encodeURIComponent(session.value)}`;
     const acquired = await this.change(path, holder);
--- a/packages/entry/src/requestBody.ts
+++ b/packages/entry/src/requestBody.ts
@@ -77,12 +77,12 @@
 
 function readWithTimeout(
   iterator: AsyncIterator<Uint8Array>,
-  idle: number,
+  idleTimeoutMs: number,
   clock: Clock,
 ): Promise<IteratorResult<Uint8Array>> {
   return new Promise((resolve, reject) => {
-    const timer = clock.startTimer(idle, () =>
-      reject(new BodyFailure(Failure.create(FailureCode.BodyTooSlow, { limit: idle }))),
+    const timer = clock.startTimer(idleTimeoutMs, () =>
+      reject(new BodyFailure(Failure.create(FailureCode.BodyTooSlow, { limit: idleTimeoutMs }))),
     );
     iterator.next().then(
       (value) => {
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -114,10 +114,10 @@
     if (caller.isErr()) return caller.error;
     const directives = readDirectives(exchange.request, settings.requests.default_class);
     if (directives.isErr()) return directives.error;
-    const { body_bytes: total, body_timeout: idle } = settings.front;
+    const { body_bytes: maxTotalBytes, body_timeout: idleTimeoutMs } = settings.front;
     const body = await readBody(
       exchange.request,
-      { maxHeldBytes: total, maxTotalBytes: total, idleTimeoutMs: idle },
+      { maxHeldBytes: maxTotalBytes, maxTotalBytes, idleTimeoutMs },
       clock,
     );
     if (body.isErr()) return body.error;
@@ -149,10 +149,14 @@
     const service = caller.value.table.getService(name);
     if (!service || service.kind !== ServiceKind.Web)
       return Failure.create(FailureCode.UnknownService, { service: name });
-    const { upload_bytes: total, body_timeout: idle } = settings.front;
+    const { upload_bytes: maxTotalBytes, body_timeout: idleTimeoutMs } = settings.front;
     const body = await readBody(
       exchange.request,
-      { maxHeldBytes: settings.requests.copy_bytes, maxTotalBytes: total, idleTimeoutMs: idle },
+      {
+        maxHeldBytes: settings.requests.copy_bytes,
+        maxTotalBytes,
+        idleTimeoutMs,
+      },
       clock,
     );
     if (body.isErr()) return body.error;
@@ -250,14 +254,15 @@
   /** Answers a request whose key this entry already knows with the response of the first request. */
   private async answerFromExisting(
     exchange: Exchange,
-    same: ActiveRequest,
+    existing: ActiveRequest,
     envelope: Envelope,
     isStream: boolean,
   ): Promise<Failure | undefined> {
-    if (same.envelope.bodyDigest !== envelope.bodyDigest)
+    if (existing.envelope.bodyDigest !== envelope.bodyDigest)
       return Failure.create(FailureCode.KeyReusedWithOtherBody);
-    if (!same.log.canFollow(0)) return Failure.create(FailureCode.AlreadyRun, { request: same.envelope.id });
-    await this.answer(exchange, same, 0, isStream);
+    if (!existing.log.canFollow(0))
+      return Failure.create(FailureCode.AlreadyRun, { request: existing.envelope.id });
+    await this.answer(exchange, existing, 0, isStream);
     return undefined;
   }
 
@@ -285,11 +290,11 @@
     from: number,
     isStream: boolean,
   ): Promise<void> {
-    const { response, callerLeft: gone } = exchange;
+    const { response, callerLeft } = exchange;
     exchange.callerLeft.addEventListener("abort", () => this.handleCallerLeft(request));
     if (request.envelope.model)
-      await writeModelResponse(response, request, { isStream, fromPosition: from }, gone);
-    else await writeWebResponse(response, request, gone);
+      await writeModelResponse(response, request, { isStream, fromPosition: from }, callerLeft);
+    else await writeWebResponse(response, request, callerLeft);
   }
 
   /**
--- a/packages/operator/src/bench/capacityBench.ts
+++ b/packages/operator/src/bench/capacityBench.ts
@@ -57,7 +57,7 @@
 const millisecondsPerSecond = 1000;
 const microsecondsPerMillisecond = 1000;
 const percent = 100;
-const settleTime = 1_500;
+const settleTimeMs = 1_500;
 const entryCounts = [3, 6, 9, 18, 36];
 const endpointCounts = [190, 650, 1_300];
 const entriesForEndpoints = 3;
@@ -103,7 +103,7 @@
 
 /** Settings that the operators' capacity page recommends for large fleets. */
 const largeFleetSettings = ["endpoints.load_polls=2"];
-const largeFleet = 100;
+const largeFleetEndpoints = 100;
 
 function createFleet(entries: number, overrides: readonly string[] = []): Promise<LocalFleet> {
   return LocalFleet.create({
@@ -121,9 +121,9 @@
 async function measurePoint(entries: number, endpoints: number, window: number): Promise<CapacityPoint> {
   collectGarbage();
   const heapBefore = process.memoryUsage().heapUsed;
-  const fleet = await createFleet(entries, endpoints > largeFleet ? largeFleetSettings : []);
+  const fleet = await createFleet(entries, endpoints > largeFleetEndpoints ? largeFleetSettings : []);
   publishEndpoints(fleet, endpoints);
-  await pause(settleTime);
+  await pause(settleTimeMs);
   const before = readCounters(fleet);
   const processorBefore = process.cpuUsage();
   await pause(window);
@@ -206,10 +206,10 @@
 
 async function measureRequests(print: (line: string) => void): Promise<readonly RequestPoint[]> {
   const fleet = await createFleet(9);
-  let turn = 0;
-  const fronts = fleet.getCallerAddresses();
+  let nextIndex = 0;
+  const addresses = fleet.getCallerAddresses();
   const caller = Caller.create({
-    chooseEntry: () => fronts[turn++ % fronts.length] ?? "",
+    chooseEntry: () => addresses[nextIndex++ % addresses.length] ?? "",
     key: sampleKeys.cab,
     timeoutMs: 20_000,
     modelService: "model",
@@ -243,9 +243,9 @@
   const before = readCounters(fleet);
   const processorBefore = process.cpuUsage();
   const started = performance.now();
-  let whole = 0;
+  let complete = 0;
   for (let index = 0; index < requestCount; index += concurrency) {
-    const asks = Array.from({ length: concurrency }, (_, place) =>
+    const pendingResults = Array.from({ length: concurrency }, (_, place) =>
       caller.makeRequest({
         kind,
         mark: `capacity-${kind}-${index + place}`,
@@ -253,17 +253,17 @@
         requestClass: "standard",
       }),
     );
-    const told = await Promise.all(asks);
-    whole += told.filter(({ verdict }) => verdict === ResultKind.Complete).length;
+    const results = await Promise.all(pendingResults);
+    complete += results.filter(({ verdict }) => verdict === ResultKind.Complete).length;
   }
   const used = getMilliseconds(process.cpuUsage(processorBefore));
   const after = readCounters(fleet);
   const elapsed = performance.now() - started;
   return {
     kind: CallerRequestKind[kind],
-    requests: whole,
-    peerBytes: (after.sentBytes - before.sentBytes - idle.bytes * elapsed) / whole,
-    processorMs: (used - idle.processor * elapsed) / whole,
+    requests: complete,
+    peerBytes: (after.sentBytes - before.sentBytes - idle.bytes * elapsed) / complete,
+    processorMs: (used - idle.processor * elapsed) / complete,
   };
 }
 
@@ -273,9 +273,9 @@
 ): Promise<{ readonly bytes: number; readonly processor: number }> {
   const before = readCounters(fleet);
   const processorBefore = process.cpuUsage();
-  await pause(settleTime);
-  const processor = getMilliseconds(process.cpuUsage(processorBefore)) / settleTime;
-  return { bytes: (readCounters(fleet).sentBytes - before.sentBytes) / settleTime, processor };
+  await pause(settleTimeMs);
+  const processor = getMilliseconds(process.cpuUsage(processorBefore)) / settleTimeMs;
+  return { bytes: (readCounters(fleet).sentBytes - before.sentBytes) / settleTimeMs, processor };
 }
 
 function getMilliseconds(used: NodeJS.CpuUsage): number {
--- a/packages/operator/src/bench/claimsBench.ts
+++ b/packages/operator/src/bench/claimsBench.ts
@@ -37,8 +37,8 @@
 }
 
 async function measureRate(rate: number, window: number): Promise<ClaimsPoint> {
-  const standin = await FakeKeyValueServer.create();
-  const { address } = standin;
+  const server = await FakeKeyValueServer.create();
+  const { address } = server;
   const clients = createPlatformClients({
     key_value: "http-kv",
     key_value_address: address,
@@ -78,12 +78,12 @@
   }
   await Promise.all(running);
   const seconds = (performance.now() - started) / millisecondsPerSecond;
-  const writesPerSecond = standin.calls.writes / seconds;
+  const writesPerSecond = server.calls.writes / seconds;
   await Promise.all([
     clients.keyValue.close(),
     clients.list.close(),
     clients.notices.close(),
-    standin.close(),
+    server.close(),
   ]);
   const [medianMs, p99Ms] = [latency.getQuantile(0.5), latency.getQuantile(0.99)];
   return { claimsPerSecond: rate, claims: running.length, won, writesPerSecond, medianMs, p99Ms };
--- a/packages/operator/src/bench/stalenessBench.ts
+++ b/packages/operator/src/bench/stalenessBench.ts
@@ -64,7 +64,7 @@
 const lengthMs = 40_000;
 /** Age after which every instance knows of a placement. */
 const visibleAfterMs = 1_500;
-const resolution = 1_000_000;
+const fractionSteps = 1_000_000;
 
 /** Runs all combinations of fleet, age and rule. */
 export async function runStalenessBench(print: (line: string) => void): Promise<unknown> {
@@ -83,14 +83,14 @@
 
 /** Simulates one case. */
 export function measureCase(fleet: Fleet, ageMs: number, rule: ChoiceRule): StalenessPoint {
-  const draws = SeededRandom.create(seed);
-  const drawFraction = (): number => draws.getInteger(0, resolution - 1) / resolution;
+  const random = SeededRandom.create(seed);
+  const drawFraction = (): number => random.getInteger(0, fractionSteps - 1) / fractionSteps;
   const busyUntil = new Float64Array(fleet.engines);
   const waits: number[] = [];
   let recent: Placement[] = [];
   for (let time = 0; time < lengthMs;) {
     time += (-Math.log(1 - drawFraction()) * 1_000) / fleet.requestsPerSecond;
-    const readingMs = (draws.chooseWeighted(prompts)?.readingMs ?? 0) * (0.5 + drawFraction());
+    const readingMs = (random.chooseWeighted(prompts)?.readingMs ?? 0) * (0.5 + drawFraction());
     // An instance made 1 / `instances` of the requests itself and knows those at once, the others only after the age.
     const unseen = recent.filter(
       ({ at }) => at > time - ageMs * (0.5 + drawFraction()) && drawFraction() > 1 / fleet.instances,
--- a/packages/operator/src/commands/local.ts
+++ b/packages/operator/src/commands/local.ts
@@ -36,10 +36,10 @@
     overrides: [],
   });
   printAddresses(fleet, print);
-  const isGood = await showRequests(fleet, print);
+  const hasSucceeded = await showRequests(fleet, print);
   if (options.exit) {
     await fleet.close();
-    return isGood ? 0 : 1;
+    return hasSucceeded ? 0 : 1;
   }
   print("\nRunning until Ctrl-C.");
   await waitForSignal();
@@ -103,24 +103,24 @@
   body: unknown,
   headers: Record<string, string> = {},
 ): Promise<Answer> {
-  const answer = await request(url, {
+  const response = await request(url, {
     method: "POST",
     headers: { authorization: `Bearer ${key}`, "content-type": "application/json", ...headers },
     body: JSON.stringify(body),
   });
-  const text = await answer.body.text();
+  const text = await response.body.text();
   return {
-    status: answer.statusCode,
+    status: response.statusCode,
     body: text,
-    request: String(answer.headers["gladewall-request"] ?? ""),
+    request: String(response.headers["gladewall-request"] ?? ""),
   };
 }
 
 async function explain(operators: string, id: string): Promise<string> {
-  const answer = await request(`http://${operators}/v1/explain/request/${id}`, {
+  const response = await request(`http://${operators}/v1/explain/request/${id}`, {
     headers: { authorization: `Bearer ${localOperatorKey}` },
   });
-  const parsed = (await answer.body.json()) as { text?: string; detail?: string };
+  const parsed = (await response.body.json()) as { text?: string; detail?: string };
   return parsed.text ?? parsed.detail ?? "no explanation";
 }
 
--- a/packages/operator/src/local/localFleet.ts
+++ b/packages/operator/src/local/localFleet.ts
@@ -250,14 +250,14 @@
     headers: Readonly<Record<string, string>> = {},
     index = 0,
   ): Promise<{ readonly status: number; readonly body: unknown }> {
-    const fronts = this.getCallerAddresses();
+    const addresses = this.getCallerAddresses();
     const authorization = `Bearer ${sampleKeys.cab}`;
-    const answer = await request(`http://${fronts[index % fronts.length]}${path}`, {
+    const response = await request(`http://${addresses[index % addresses.length]}${path}`, {
       method: "POST",
       headers: { authorization, "content-type": "application/json", ...headers },
       body,
     });
-    return { status: answer.statusCode, body: await answer.body.json() };
+    return { status: response.statusCode, body: await response.body.json() };
   }
 
   /** Stops the entries as planned, then closes the fake endpoints and the fake platform. */
--- a/packages/operator/src/soak/caller.ts
+++ b/packages/operator/src/soak/caller.ts
@@ -22,7 +22,7 @@
 const retryPauseMs = 50;
 const headersTimeoutMs = 20_000;
 const retryStatuses: ReadonlySet<number> = new Set([404, 429, 503]);
-const codeUnknownRequest = 2008;
+const requestUnknownCode = 2008;
 const millisecondsPerSecond = 1000;
 
 interface Problem {
@@ -167,7 +167,7 @@
     const text = await response.body.text();
     return {
       verdict: ResultKind.Complete,
-      text: getAnswerText(call.request, text),
+      text: getResponseText(call.request, text),
       outcome: undefined,
       code: undefined,
     };
@@ -177,13 +177,13 @@
     const problem = parseProblem(await response.body.text(), response);
     if (!problem) return undefined;
     call.lastCode = problem.code;
-    if (problem.code === codeUnknownRequest) {
+    if (problem.code === requestUnknownCode) {
       // A request with a key is sent again. One without a key is read by its id again until the timeout passes.
       if (call.request.kind !== CallerRequestKind.Stream) call.requests.length = 0;
       return undefined;
     }
-    const mayComeBack = problem.outcome === Outcome.NotRun && retryStatuses.has(response.statusCode);
-    if (mayComeBack && problem.retryAfterMs > 0) {
+    const mayRetry = problem.outcome === Outcome.NotRun && retryStatuses.has(response.statusCode);
+    if (mayRetry && problem.retryAfterMs > 0) {
       call.requests.length = 0;
       return undefined;
     }
@@ -232,13 +232,13 @@
 }
 
 /** Returns the part of a response that identifies its request. */
-function getAnswerText(ask: CallerRequest, text: string): string {
+function getResponseText(callerRequest: CallerRequest, text: string): string {
   const body = JSON.parse(text) as {
     body?: string;
     path?: string;
     choices?: readonly { message: { content: string } }[];
   };
-  if (ask.kind === CallerRequestKind.Booking) return body.body ?? "";
-  if (ask.kind === CallerRequestKind.Page) return body.path ?? "";
+  if (callerRequest.kind === CallerRequestKind.Booking) return body.body ?? "";
+  if (callerRequest.kind === CallerRequestKind.Page) return body.path ?? "";
   return body.choices?.[0]?.message.content ?? "";
 }
--- a/packages/operator/src/soak/checker.ts
+++ b/packages/operator/src/soak/checker.ts
@@ -36,35 +36,35 @@
   readonly uncertain: number;
 }
 
-const onceKinds: ReadonlySet<CallerRequestKind> = new Set([
+const runOnceKinds: ReadonlySet<CallerRequestKind> = new Set([
   CallerRequestKind.Draft,
   CallerRequestKind.Booking,
 ]);
 
 /** Checks every guarantee for each result. */
-export function checkGuarantees(told: readonly CallerResult[], records: EndpointRecords): CheckResult {
+export function checkGuarantees(results: readonly CallerResult[], records: EndpointRecords): CheckResult {
   const violations: ViolationCounts = { lost: 0, doubled: 0, foreign: 0, cut: 0, notRunButRan: 0 };
   const findings: Violation[] = [];
   const counts = countRuns(records);
-  for (const each of told) {
-    for (const finding of findViolations(each, counts.get(each.ask.mark) ?? 0)) {
+  for (const result of results) {
+    for (const finding of findViolations(result, counts.get(result.ask.mark) ?? 0)) {
       violations[finding.promise] += 1;
       findings.push(finding);
     }
   }
-  const problems = told.filter((each) => each.verdict === ResultKind.Problem);
+  const problems = results.filter((result) => result.verdict === ResultKind.Problem);
   return {
     violations: violations,
     findings,
-    complete: told.filter((each) => each.verdict === ResultKind.Complete).length,
+    complete: results.filter((result) => result.verdict === ResultKind.Complete).length,
     problems: problems.length,
-    uncertain: problems.filter((each) => each.outcome !== Outcome.NotRun).length,
+    uncertain: problems.filter((result) => result.outcome !== Outcome.NotRun).length,
   };
 }
 
 /** Returns the total number of violations. */
-export function countViolations(broken: ViolationCounts): number {
-  return broken.lost + broken.doubled + broken.foreign + broken.cut + broken.notRunButRan;
+export function countViolations(counts: ViolationCounts): number {
+  return counts.lost + counts.doubled + counts.foreign + counts.cut + counts.notRunButRan;
 }
 
 /** Counts how often the endpoints ran the request of each mark. */
@@ -87,7 +87,7 @@
   const add = (promise: keyof ViolationCounts, detail: string): void =>
     void findings.push({ promise, told, detail });
   if (told.verdict === ResultKind.TimedOut) add("lost", `no final answer after ${told.returns} returns`);
-  if (onceKinds.has(told.ask.kind) && runs > 1) add("doubled", `ran ${runs} times`);
+  if (runOnceKinds.has(told.ask.kind) && runs > 1) add("doubled", `ran ${runs} times`);
   const saysNotRun = told.verdict === ResultKind.Problem && told.outcome === Outcome.NotRun;
   if (saysNotRun && runs > 0) add("notRunButRan", `ran ${runs} times, code ${told.code}`);
   if (told.verdict !== ResultKind.Complete) return findings;
@@ -98,8 +98,8 @@
   return findings;
 }
 
-function getExpectedText(ask: CallerRequest): string {
-  if (ask.kind === CallerRequestKind.Booking) return ask.mark;
-  if (ask.kind === CallerRequestKind.Page) return `/pages/${ask.mark}`;
-  return getFullText(`user: ${ask.mark}`, ask.outputTokens);
+function getExpectedText(request: CallerRequest): string {
+  if (request.kind === CallerRequestKind.Booking) return request.mark;
+  if (request.kind === CallerRequestKind.Page) return `/pages/${request.mark}`;
+  return getFullText(`user: ${request.mark}`, request.outputTokens);
 }
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -47,11 +47,11 @@
   private readonly faults: readonly Fault[];
   private readonly running = new Set<Promise<void>>();
   private isStopped = false;
-  private isServiceFaulty = false;
+  private hasServiceFault = false;
 
   private constructor(
     private readonly fleet: LocalFleet,
-    private readonly seeded: SeededRandom,
+    private readonly random: SeededRandom,
     private readonly log: (line: string) => void,
   ) {
     this.faults = [
@@ -79,10 +79,10 @@
   /** Injects a fault every `pauseMs` on average until `stop`; faults may overlap. */
   async run(pauseMs: number): Promise<void> {
     while (!this.isStopped) {
-      const fault = this.seeded.chooseWeighted(this.faults);
+      const fault = this.random.chooseWeighted(this.faults);
       if (fault) this.start(fault);
       // The pause is uniformly distributed from 0, so that some faults overlap.
-      await pause(this.seeded.getInteger(0, pauseMs * 2));
+      await pause(this.random.getInteger(0, pauseMs * 2));
     }
   }
 
@@ -100,12 +100,12 @@
   }
 
   private async reclaimEndpoint(hasNotice: boolean): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEndpoints(minEndpoints));
+    const id = this.random.choose(this.fleet.getReplaceableEndpoints(minEndpoints));
     if (id === undefined) return;
-    await this.takeEndpoint(id, hasNotice ? this.seeded.getInteger(500, 2_500) : 0);
+    await this.reclaimEndpointById(id, hasNotice ? this.random.getInteger(500, 2_500) : 0);
   }
 
-  private async takeEndpoint(id: string, notice: number): Promise<void> {
+  private async reclaimEndpointById(id: string, notice: number): Promise<void> {
     this.counts.reclaims += 1;
     this.fleet.platform.reclaim(id, notice);
     this.fleet.markLeaving(id);
@@ -116,11 +116,11 @@
   }
 
   private async reclaimEntry(hasNotice: boolean): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEntries(minEntries));
+    const id = this.random.choose(this.fleet.getReplaceableEntries(minEntries));
     if (id === undefined) return;
     this.counts.reclaims += 1;
     if (!hasNotice) this.counts.crashes += 1;
-    const notice = hasNotice ? this.seeded.getInteger(1_200, 2_500) : 0;
+    const notice = hasNotice ? this.random.getInteger(1_200, 2_500) : 0;
     this.fleet.platform.reclaim(id, notice);
     this.fleet.markLeaving(id);
     await pause(notice);
@@ -130,7 +130,7 @@
   }
 
   private async killEntry(): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEntries(minEntries));
+    const id = this.random.choose(this.fleet.getReplaceableEntries(minEntries));
     if (id === undefined) return;
     this.counts.crashes += 1;
     await this.fleet.killEntry(id);
@@ -139,7 +139,7 @@
   }
 
   private async killEndpoint(): Promise<void> {
-    const id = this.seeded.choose(this.fleet.getReplaceableEndpoints(minEndpoints));
+    const id = this.random.choose(this.fleet.getReplaceableEndpoints(minEndpoints));
     if (id === undefined) return;
     this.counts.crashes += 1;
     await this.fleet.killEndpoint(id);
@@ -148,40 +148,40 @@
   }
 
   private async reclaimHalls(): Promise<void> {
-    const first = this.seeded.getInteger(0, this.fleet.options.halls.length - 1);
+    const first = this.random.getInteger(0, this.fleet.options.halls.length - 1);
     const halls = new Set([this.fleet.getHall(first), this.fleet.getHall(first + 1)]);
-    const notice = this.seeded.getInteger(1_000, 2_500);
+    const notice = this.random.getInteger(1_000, 2_500);
     const taken = this.fleet.getReclaimable(halls, minEndpoints);
-    await Promise.all(taken.map((id) => this.takeEndpoint(id, notice)));
+    await Promise.all(taken.map((id) => this.reclaimEndpointById(id, notice)));
   }
 
   private async failService(): Promise<void> {
-    if (this.isServiceFaulty) return;
-    this.isServiceFaulty = true;
+    if (this.hasServiceFault) return;
+    this.hasServiceFault = true;
     this.counts.outages += 1;
-    const fault = this.seeded.choose(serviceFaults) ?? KeyValueFault.Down;
+    const fault = this.random.choose(serviceFaults) ?? KeyValueFault.Down;
     this.fleet.keyValue.setFault(fault, 300);
-    await pause(this.seeded.getInteger(500, 3_000));
+    await pause(this.random.getInteger(500, 3_000));
     this.fleet.keyValue.setFault(KeyValueFault.None);
-    this.isServiceFaulty = false;
+    this.hasServiceFault = false;
   }
 
   private async failEngine(): Promise<void> {
-    const engine = this.seeded.choose(this.fleet.getLiveEngines());
+    const engine = this.random.choose(this.fleet.getLiveEngines());
     if (!engine) return;
     this.counts.misbehaviours += 1;
-    engine.faultAfter = this.seeded.getInteger(1, 20);
-    engine.fault = this.seeded.choose(engineFaults) ?? EngineFault.None;
-    await pause(this.seeded.getInteger(500, 2_000));
+    engine.faultAfter = this.random.getInteger(1, 20);
+    engine.fault = this.random.choose(engineFaults) ?? EngineFault.None;
+    await pause(this.random.getInteger(500, 2_000));
     engine.fault = EngineFault.None;
   }
 
   private async failWeb(): Promise<void> {
-    const web = this.seeded.choose(this.fleet.getLiveWebs());
+    const web = this.random.choose(this.fleet.getLiveWebs());
     if (!web) return;
     this.counts.misbehaviours += 1;
-    web.fault = this.seeded.choose(webFaults) ?? WebFault.None;
-    await pause(this.seeded.getInteger(300, 1_000));
+    web.fault = this.random.choose(webFaults) ?? WebFault.None;
+    await pause(this.random.getInteger(300, 1_000));
     web.fault = WebFault.None;
   }
 }
--- a/packages/operator/src/soak/main.ts
+++ b/packages/operator/src/soak/main.ts
@@ -16,15 +16,15 @@
 }
 
 function printResult(user: string, result: SoakResult): void {
-  const { violations: broken, findings, complete: whole, problems, uncertain: unsure } = result.check;
+  const { violations, findings, complete, problems, uncertain } = result.check;
   const { reclaims, crashes: deaths, outages, misbehaviours } = result.faults;
   print(
-    `${user}: ${result.requests} requests, ${whole} whole, ${problems} problems (${unsure} unsure), ${result.returns} returns`,
+    `${user}: ${result.requests} requests, ${complete} whole, ${problems} problems (${uncertain} unsure), ${result.returns} returns`,
   );
   print(
     `  ${reclaims} reclaims, ${deaths} deaths, ${outages} service outages, ${misbehaviours} misbehaving endpoints`,
   );
-  const { lost, doubled, foreign, cut, notRunButRan } = broken;
+  const { lost, doubled, foreign, cut, notRunButRan } = violations;
   print(
     `  broken promises: lost ${lost}, doubled ${doubled}, foreign ${foreign}, cut ${cut}, "not run" that ran ${notRunButRan}`,
   );
--- a/packages/operator/src/soak/soak.ts
+++ b/packages/operator/src/soak/soak.ts
@@ -75,30 +75,30 @@
 /** Runs a soak test to its end. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const fleet = await createSoakFleet(options);
-  const seeded = SeededRandom.create(options.seed);
-  const script = FaultInjector.create(fleet, SeededRandom.create(options.seed + 1), (line) =>
+  const random = SeededRandom.create(options.seed);
+  const injector = FaultInjector.create(fleet, SeededRandom.create(options.seed + 1), (line) =>
     options.print(`  ${line}`),
   );
   const caller = createSoakCaller(fleet);
   const end = performance.now() + options.durationMs;
-  const told: CallerResult[] = [];
-  let asked = 0;
+  const results: CallerResult[] = [];
+  let requestCount = 0;
   const work = async (): Promise<void> => {
-    while (performance.now() < end && asked < options.maxRequests) {
-      asked += 1;
-      told.push(await caller.makeRequest(createRequest(seeded, asked)));
+    while (performance.now() < end && requestCount < options.maxRequests) {
+      requestCount += 1;
+      results.push(await caller.makeRequest(createRequest(random, requestCount)));
     }
   };
-  const failing = script.run(faultPauseMs);
+  const injecting = injector.run(faultPauseMs);
   const working = Promise.all(Array.from({ length: options.callers }, work));
   await new Promise((resolve) => setTimeout(resolve, options.durationMs));
-  await Promise.all([script.stop(), failing]);
+  await Promise.all([injector.stop(), injecting]);
   await working;
-  const check = checkGuarantees(told, fleet.getRecords());
+  const check = checkGuarantees(results, fleet.getRecords());
   await caller.close();
   await fleet.close();
-  const returns = told.reduce((sum, each) => sum + each.returns, 0);
-  return { requests: told.length, faults: script.counts, check, returns };
+  const returns = results.reduce((sum, each) => sum + each.returns, 0);
+  return { requests: results.length, faults: injector.counts, check, returns };
 }
 
 function createSoakFleet(options: SoakOptions): Promise<LocalFleet> {
@@ -117,10 +117,10 @@
 }
 
 function createSoakCaller(fleet: LocalFleet): Caller {
-  let turn = 0;
+  let nextIndex = 0;
   const chooseEntry = (): string => {
-    const fronts = fleet.getCallerAddresses();
-    return fronts[turn++ % fronts.length] ?? "";
+    const addresses = fleet.getCallerAddresses();
+    return addresses[nextIndex++ % addresses.length] ?? "";
   };
   return Caller.create({
     chooseEntry,
@@ -131,9 +131,9 @@
   });
 }
 
-function createRequest(seeded: SeededRandom, number: number): CallerRequest {
-  const kind = seeded.chooseWeighted(kinds)?.kind ?? CallerRequestKind.Stream;
-  const outputTokens = seeded.getInteger(3, 120);
-  const requestClass = seeded.getInteger(0, 3) === 0 ? "urgent" : "standard";
-  return { kind, mark: `soak-${number}-${seeded.getInteger(0, 1e9)}`, outputTokens, requestClass };
+function createRequest(random: SeededRandom, number: number): CallerRequest {
+  const kind = random.chooseWeighted(kinds)?.kind ?? CallerRequestKind.Stream;
+  const outputTokens = random.getInteger(3, 120);
+  const requestClass = random.getInteger(0, 3) === 0 ? "urgent" : "standard";
+  return { kind, mark: `soak-${number}-${random.getInteger(0, 1e9)}`, outputTokens, requestClass };
 }
--- a/packages/operator/test/callerServer.test.ts
+++ b/packages/operator/test/callerServer.test.ts
@@ -19,7 +19,7 @@
 const port = Number(fleet.entries[0]?.addresses.front.split(":")[1]);
 const key = `Authorization: Bearer ${sampleKeys.cab}`;
 
-/** Sends bytes as they are and returns the first line of the answer. */
+/** Sends lines and a body over a raw socket and returns the status line of the response. */
 async function send(lines: readonly string[], body = ""): Promise<string> {
   const socket = connect(port, "127.0.0.1");
   socket.write(`${lines.join("\r\n")}\r\n\r\n${body}`);
@@ -28,7 +28,7 @@
   return bytes.toString().split("\r\n")[0] ?? "";
 }
 
-t.test("shapes by which two parsers could see two requests are refused", async (t) => {
+t.test("refuses requests that two parsers could read differently", async (t) => {
   const post = ["POST /s/booking/bookings HTTP/1.1", "Host: a", key];
   const cases: readonly (readonly string[])[] = [
     [...post, "Content-Length: 3", "Transfer-Encoding: chunked"],
@@ -41,14 +41,14 @@
   t.equal(fleet.getRecords().calls.length, 0);
 });
 
-t.test("a slow sender and a large body are refused before anything runs", async (t) => {
+t.test("refuses a slow sender and a large body without sending them to an endpoint", async (t) => {
   const post = ["POST /v1/completions HTTP/1.1", "Host: a", key];
   t.match(await send([...post, "Content-Length: 100"], "{"), /^HTTP\/1.1 408/);
   t.match(await send([...post, "Content-Length: 5000"], "{"), /^HTTP\/1.1 413/);
   t.equal(fleet.getRecords().runs.length, 0);
 });
 
-t.test("a caller that goes away ends its run, where it has no key", async (t) => {
+t.test("cancels the run of a request without a key after its caller disconnects", async (t) => {
   const body = JSON.stringify({ model: "model", prompt: "gone", max_tokens: 5_000, stream: true });
   const lines = ["POST /v1/completions HTTP/1.1", "Host: a", key, `Content-Length: ${body.length}`];
   t.match(await send(lines, body), /^HTTP\/1.1 200/);
--- a/packages/operator/test/path.test.ts
+++ b/packages/operator/test/path.test.ts
@@ -36,12 +36,16 @@
   return [...fleet.engines.values()].flatMap((engine) => engine.records);
 }
 
-t.test("the official OpenAI client completes, streams and reads typed errors", async (t) => {
+t.test("serves completions, streams and typed errors to the official OpenAI client", async (t) => {
   const messages = [{ role: "user" as const, content: "Where is the skip?" }];
-  const whole = await createClient(0).chat.completions.create({ model: "model", messages, max_tokens: 9 });
+  const completion = await createClient(0).chat.completions.create({
+    model: "model",
+    messages,
+    max_tokens: 9,
+  });
   const expected = getFullText("user: Where is the skip?", 9);
-  t.equal(whole.choices[0]?.message.content, expected);
-  t.equal(whole.usage?.completion_tokens, 9);
+  t.equal(completion.choices[0]?.message.content, expected);
+  t.equal(completion.usage?.completion_tokens, 9);
   const parts: string[] = [];
   const stream = await createClient(1).chat.completions.create({
     model: "model",
@@ -68,30 +72,30 @@
   );
 });
 
-t.test("a web service gets the request as it was sent, and the caller its answer", async (t) => {
-  const answer = await request(`http://${getFront(1)}/s/booking/bookings?day=2`, {
+t.test("forwards a request unchanged to a web service and returns its response", async (t) => {
+  const response = await request(`http://${getFront(1)}/s/booking/bookings?day=2`, {
     method: "POST",
     headers: { authorization: `Bearer ${sampleKeys.dispatch}`, "content-type": "application/json" },
     body: '{"skip":1}',
   });
-  t.equal(answer.statusCode, 201);
-  const body = (await answer.body.json()) as { path: string; body: string };
+  t.equal(response.statusCode, 201);
+  const body = (await response.body.json()) as { path: string; body: string };
   t.equal(body.path, "/bookings?day=2");
   t.equal(body.body, '{"skip":1}');
 });
 
-t.test("the reason of a request can be asked for, by operators only", async (t) => {
-  const answer = await request(`http://${getFront(0)}/v1/completions`, {
+t.test("returns the explanation of a request only with the operator key", async (t) => {
+  const response = await request(`http://${getFront(0)}/v1/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${sampleKeys.cab}`, "gladewall-class": "urgent" },
     body: JSON.stringify({ model: "model", prompt: "Why?", max_tokens: 2 }),
   });
-  await answer.body.dump();
-  const id = String(answer.headers["gladewall-request"]);
+  await response.body.dump();
+  const id = String(response.headers["gladewall-request"]);
   const url = `http://${fleet.entries[0]?.addresses.operators}/v1/explain/request/${id}`;
-  const refused = await request(url);
-  t.equal(refused.statusCode, 401);
-  await refused.body.dump();
+  const unauthorized = await request(url);
+  t.equal(unauthorized.statusCode, 401);
+  await unauthorized.body.dump();
   const explained = await request(url, { headers: { authorization: `Bearer ${localOperatorKey}` } });
   const { text } = (await explained.body.json()) as { text: string };
   t.match(text, "Row cab/model/urgent of table version 1 admitted it with priority 9");
@@ -99,34 +103,37 @@
   t.match(text, /It finished after/);
 });
 
-t.test("a refused request is a problem with code and outcome, and never reached an endpoint", async (t) => {
-  const before = getRuns().length;
-  const answer = await request(`http://${getFront(0)}/v1/completions`, {
-    method: "POST",
-    headers: { authorization: `Bearer ${sampleKeys.dispatch}` },
-    body: JSON.stringify({ model: "model", prompt: "x", max_tokens: 0 }),
-  });
-  t.equal(answer.statusCode, 400);
-  t.equal(answer.headers["content-type"], "application/problem+json");
-  t.equal(answer.headers["gladewall-outcome"], "not-run");
-  const problem = (await answer.body.json()) as { code: number; outcome: string };
-  t.match(problem, { code: 2001, outcome: "not-run" });
-  t.equal(getRuns().length, before);
-});
+t.test(
+  "answers a refused request with a problem that has code and outcome, and calls no endpoint",
+  async (t) => {
+    const before = getRuns().length;
+    const response = await request(`http://${getFront(0)}/v1/completions`, {
+      method: "POST",
+      headers: { authorization: `Bearer ${sampleKeys.dispatch}` },
+      body: JSON.stringify({ model: "model", prompt: "x", max_tokens: 0 }),
+    });
+    t.equal(response.statusCode, 400);
+    t.equal(response.headers["content-type"], "application/problem+json");
+    t.equal(response.headers["gladewall-outcome"], "not-run");
+    const problem = (await response.body.json()) as { code: number; outcome: string };
+    t.match(problem, { code: 2001, outcome: "not-run" });
+    t.equal(getRuns().length, before);
+  },
+);
 
-t.test("metrics, health and readiness stand on the operators' port", async (t) => {
+t.test("serves metrics, health and readiness on the operators' port", async (t) => {
   const operators = fleet.entries[0]?.addresses.operators;
   for (const [path, expected] of [
     ["healthz", "ok"],
     ["readyz", "ready"],
     ["metrics", "gladewall_finished_total"],
   ] as const) {
-    const answer = await request(`http://${operators}/${path}`);
-    t.equal(answer.statusCode, 200);
-    t.match(await answer.body.text(), expected);
+    const response = await request(`http://${operators}/${path}`);
+    t.equal(response.statusCode, 200);
+    t.match(await response.body.text(), expected);
   }
 });
 
-t.test("every run of the engines that was not cancelled finished", async (t) => {
+t.test("has finished every run of the tests above", async (t) => {
   t.ok(getRuns().every((run) => run.state === RunState.Finished));
 });
--- a/packages/operator/test/promises.test.ts
+++ b/packages/operator/test/promises.test.ts
@@ -16,7 +16,7 @@
 } from "../src/index.js";
 
 const slowEngine = { ...fastEngineOptions, tokenIntervalMs: 10 };
-const quickLosses = [
+const fastFailureDetection = [
   "peers.ping_interval=50",
   "peers.lost_after=400",
   "backups.takeover_after=100",
@@ -42,12 +42,12 @@
     configuration: changes.configuration ?? sampleConfiguration,
     engine: slowEngine,
     logger: process.env["SHOW_LOGS"] ? Logger.create(LogLevel.Info) : Logger.createSilent(),
-    overrides: [...quickLosses, ...(changes.overrides ?? [])],
+    overrides: [...fastFailureDetection, ...(changes.overrides ?? [])],
   });
   let turn = 0;
-  const alive = (): readonly string[] => fleet.getCallerAddresses();
+  const getAddresses = (): readonly string[] => fleet.getCallerAddresses();
   const caller = Caller.create({
-    chooseEntry: () => alive()[turn++ % alive().length] ?? "",
+    chooseEntry: () => getAddresses()[turn++ % getAddresses().length] ?? "",
     key: sampleKeys.cab,
     timeoutMs: 15_000,
     modelService: "model",
@@ -60,18 +60,18 @@
   return { fleet, caller };
 }
 
-let marks = 0;
+let markCount = 0;
 
-function createAsk(kind: CallerRequestKind, outputTokens = 30): CallerRequest {
-  return { kind, mark: `mark-${marks++}`, outputTokens, requestClass: "standard" };
+function createRequest(kind: CallerRequestKind, outputTokens = 30): CallerRequest {
+  return { kind, mark: `mark-${markCount++}`, outputTokens, requestClass: "standard" };
 }
 
-function check(t: Test, fleet: LocalFleet, told: readonly CallerResult[]): void {
-  const result = checkGuarantees(told, fleet.getRecords());
+function checkNoViolations(t: Test, fleet: LocalFleet, results: readonly CallerResult[]): void {
+  const result = checkGuarantees(results, fleet.getRecords());
   t.equal(countViolations(result.violations), 0, JSON.stringify(result.findings));
 }
 
-/** Resolves when some engine has given so many tokens of a request. */
+/** Resolves with the id of an engine when it has emitted `count` tokens of the request with a mark. */
 async function waitForTokens(fleet: LocalFleet, mark: string, count: number): Promise<string> {
   while (true) {
     for (const [id, engine] of fleet.engines) {
@@ -82,8 +82,8 @@
   }
 }
 
-/** Returns the entry that holds a request an engine is working on. */
-function getHolder(fleet: LocalFleet, mark: string): string {
+/** Returns the name of the entry that accepted a request which an engine runs, or "" if none runs it. */
+function getOwner(fleet: LocalFleet, mark: string): string {
   for (const engine of fleet.engines.values()) {
     const run = engine.records.find((record) => record.prompt.includes(mark));
     if (run) return run.requestId.slice(0, run.requestId.lastIndexOf("."));
@@ -91,127 +91,136 @@
   return "";
 }
 
-t.test("a holder that dies in the middle: each kind of request goes on at its backup", async (t) => {
+t.test("continues each kind of model request at its backup when its entry crashes", async (t) => {
   const { fleet, caller } = await createFleet(t);
   for (const kind of [CallerRequestKind.Stream, CallerRequestKind.Whole, CallerRequestKind.Draft]) {
-    const ask = createAsk(kind, 60);
-    const telling = caller.makeRequest(ask);
-    await waitForTokens(fleet, ask.mark, 10);
-    await fleet.killEntry(getHolder(fleet, ask.mark));
-    const told = await telling;
-    t.equal(told.verdict, ResultKind.Complete, CallerRequestKind[kind]);
-    check(t, fleet, [told]);
+    const request = createRequest(kind, 60);
+    const pendingResult = caller.makeRequest(request);
+    await waitForTokens(fleet, request.mark, 10);
+    await fleet.killEntry(getOwner(fleet, request.mark));
+    const result = await pendingResult;
+    t.equal(result.verdict, ResultKind.Complete, CallerRequestKind[kind]);
+    checkNoViolations(t, fleet, [result]);
     await fleet.addEntry(fleet.entries.length);
     await fleet.waitUntilReady();
   }
 });
 
-t.test("holder and endpoint die together: the backup runs the rest from what was given", async (t) => {
+t.test("runs the rest of a response at the backup when entry and endpoint crash together", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  const ask = createAsk(CallerRequestKind.Stream, 60);
-  const telling = caller.makeRequest(ask);
-  const engine = await waitForTokens(fleet, ask.mark, 20);
-  await Promise.all([fleet.killEntry(getHolder(fleet, ask.mark)), fleet.killEndpoint(engine)]);
-  const told = await telling;
-  t.equal(told.verdict, ResultKind.Complete);
-  check(t, fleet, [told]);
+  const request = createRequest(CallerRequestKind.Stream, 60);
+  const pendingResult = caller.makeRequest(request);
+  const engine = await waitForTokens(fleet, request.mark, 20);
+  await Promise.all([fleet.killEntry(getOwner(fleet, request.mark)), fleet.killEndpoint(engine)]);
+  const result = await pendingResult;
+  t.equal(result.verdict, ResultKind.Complete);
+  checkNoViolations(t, fleet, [result]);
 });
 
 t.test(
-  "an endpoint that dies in the middle: repeatable answers go on elsewhere, a draft is told as unsure",
+  "continues repeatable responses elsewhere when an endpoint crashes, and reports outcome ran for a run-once request",
   async (t) => {
     const { fleet, caller } = await createFleet(t);
-    const [stream, draft] = [createAsk(CallerRequestKind.Stream, 60), createAsk(CallerRequestKind.Draft, 60)];
-    const telling = [caller.makeRequest(stream), caller.makeRequest(draft)];
+    const [stream, draft] = [
+      createRequest(CallerRequestKind.Stream, 60),
+      createRequest(CallerRequestKind.Draft, 60),
+    ];
+    const pendingResults = [caller.makeRequest(stream), caller.makeRequest(draft)];
     const engines = [await waitForTokens(fleet, stream.mark, 10), await waitForTokens(fleet, draft.mark, 10)];
     for (const engine of new Set(engines)) await fleet.killEndpoint(engine);
-    const told = await Promise.all(telling);
-    t.equal(told[0]?.verdict, ResultKind.Complete);
-    t.equal(told[1]?.verdict, ResultKind.Problem);
-    t.equal(told[1]?.outcome, Outcome.Ran);
-    check(t, fleet, told);
+    const results = await Promise.all(pendingResults);
+    t.equal(results[0]?.verdict, ResultKind.Complete);
+    t.equal(results[1]?.verdict, ResultKind.Problem);
+    t.equal(results[1]?.outcome, Outcome.Ran);
+    checkNoViolations(t, fleet, results);
   },
 );
 
-t.test("an endpoint with notice gets nothing new, and its long runs move without loss", async (t) => {
-  const { fleet, caller } = await createFleet(t, { runners: 3 });
-  const ask = createAsk(CallerRequestKind.Stream, 150);
-  const telling = caller.makeRequest(ask);
-  const engine = await waitForTokens(fleet, ask.mark, 10);
-  fleet.platform.reclaim(engine, 600);
-  await fleet.waitForView((entry) => entry.view.get(engine)?.reclaimAt !== undefined);
-  const before = fleet.engines.get(engine)?.records.length;
-  const others = await Promise.all(
-    Array.from({ length: 12 }, () => caller.makeRequest(createAsk(CallerRequestKind.Whole, 3))),
-  );
-  t.equal(fleet.engines.get(engine)?.records.length, before, "nothing new went to the leaving endpoint");
-  const told = await telling;
-  await fleet.killEndpoint(engine);
-  t.equal(told.verdict, ResultKind.Complete);
-  const moved = [...fleet.engines.values()]
-    .flatMap(({ records }) => records)
-    .find((run) => run.prompt.includes(ask.mark) && run.start > 0);
-  t.ok(moved && moved.importedTokens > 0, "the cache went with it");
-  check(t, fleet, [told, ...others]);
-});
+t.test(
+  "places nothing new on an endpoint with a reclaim notice, and moves its long runs without loss",
+  async (t) => {
+    const { fleet, caller } = await createFleet(t, { runners: 3 });
+    const request = createRequest(CallerRequestKind.Stream, 150);
+    const pendingResult = caller.makeRequest(request);
+    const engine = await waitForTokens(fleet, request.mark, 10);
+    fleet.platform.reclaim(engine, 600);
+    await fleet.waitForView((entry) => entry.view.get(engine)?.reclaimAt !== undefined);
+    const before = fleet.engines.get(engine)?.records.length;
+    const others = await Promise.all(
+      Array.from({ length: 12 }, () => caller.makeRequest(createRequest(CallerRequestKind.Whole, 3))),
+    );
+    t.equal(fleet.engines.get(engine)?.records.length, before, "the leaving endpoint got no new run");
+    const result = await pendingResult;
+    await fleet.killEndpoint(engine);
+    t.equal(result.verdict, ResultKind.Complete);
+    const moved = [...fleet.engines.values()]
+      .flatMap(({ records }) => records)
+      .find((run) => run.prompt.includes(request.mark) && run.start > 0);
+    t.ok(moved && moved.importedTokens > 0, "the KV cache was transferred");
+    checkNoViolations(t, fleet, [result, ...others]);
+  },
+);
 
-t.test("an entry with notice hands over: waiting callers are sent on, streams are resumed", async (t) => {
-  const { fleet, caller } = await createFleet(t);
-  const asks = [
-    createAsk(CallerRequestKind.Stream, 120),
-    createAsk(CallerRequestKind.Whole, 120),
-    createAsk(CallerRequestKind.Draft, 120),
-  ];
-  const telling = asks.map((ask) => caller.makeRequest(ask));
-  for (const ask of asks) await waitForTokens(fleet, ask.mark, 5);
-  const holder = getHolder(fleet, asks[0]!.mark);
-  fleet.platform.reclaim(holder, 500);
-  const told = await Promise.all(telling);
-  t.same(
-    told.map(({ verdict }) => verdict),
-    [ResultKind.Complete, ResultKind.Complete, ResultKind.Complete],
-  );
-  t.ok(told[0]!.returns > 0, "the stream's caller came back");
-  check(t, fleet, told);
-});
+t.test(
+  "hands over the requests of an entry with a reclaim notice: waiting callers are redirected, streams resumed",
+  async (t) => {
+    const { fleet, caller } = await createFleet(t);
+    const requests = [
+      createRequest(CallerRequestKind.Stream, 120),
+      createRequest(CallerRequestKind.Whole, 120),
+      createRequest(CallerRequestKind.Draft, 120),
+    ];
+    const pendingResults = requests.map((request) => caller.makeRequest(request));
+    for (const request of requests) await waitForTokens(fleet, request.mark, 5);
+    const owner = getOwner(fleet, requests[0]!.mark);
+    fleet.platform.reclaim(owner, 500);
+    const results = await Promise.all(pendingResults);
+    t.same(
+      results.map(({ verdict }) => verdict),
+      [ResultKind.Complete, ResultKind.Complete, ResultKind.Complete],
+    );
+    t.ok(results[0]!.returns > 0, "the stream's caller reconnected");
+    checkNoViolations(t, fleet, results);
+  },
+);
 
-t.test("a planned stop cuts nothing short", async (t) => {
+t.test("a planned stop interrupts no request", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  const asks = [createAsk(CallerRequestKind.Stream, 60), createAsk(CallerRequestKind.Draft, 60)];
-  const telling = asks.map((ask) => caller.makeRequest(ask));
-  for (const ask of asks) await waitForTokens(fleet, ask.mark, 5);
+  const requests = [createRequest(CallerRequestKind.Stream, 60), createRequest(CallerRequestKind.Draft, 60)];
+  const pendingResults = requests.map((request) => caller.makeRequest(request));
+  for (const request of requests) await waitForTokens(fleet, request.mark, 5);
   await Promise.all(fleet.entries.map(({ entry }) => entry.stop()));
-  const told = await Promise.all(telling);
+  const results = await Promise.all(pendingResults);
   t.same(
-    told.map(({ verdict, returns }) => [verdict, returns]),
+    results.map(({ verdict, returns }) => [verdict, returns]),
     [
       [ResultKind.Complete, 0],
       [ResultKind.Complete, 0],
     ],
   );
-  check(t, fleet, told);
+  checkNoViolations(t, fleet, results);
 });
 
-t.test("one key at two entries at once runs once, and both callers get the one answer", async (t) => {
+t.test("runs concurrent requests with the same key once and gives each caller the response", async (t) => {
   const { fleet, caller } = await createFleet(t);
   for (const kind of [CallerRequestKind.Booking, CallerRequestKind.Draft]) {
-    const ask = createAsk(kind, 20);
-    const told = await Promise.all([
-      caller.makeRequest(ask),
-      caller.makeRequest(ask),
-      caller.makeRequest(ask),
+    const request = createRequest(kind, 20);
+    const results = await Promise.all([
+      caller.makeRequest(request),
+      caller.makeRequest(request),
+      caller.makeRequest(request),
     ]);
     t.same(
-      told.map(({ verdict }) => verdict),
+      results.map(({ verdict }) => verdict),
       [ResultKind.Complete, ResultKind.Complete, ResultKind.Complete],
       CallerRequestKind[kind],
     );
-    check(t, fleet, told);
+    checkNoViolations(t, fleet, results);
   }
 });
 
 t.test(
-  "with the key-value service down keyed once-only requests are refused as not run, others are served",
+  "refuses run-once requests with a key as not run while the key-value service is down, and serves others",
   async (t) => {
     const { fleet, caller } = await createFleet(t, {
       overrides: ["claims.patience=300", "claims.peer_timeout=100"],
@@ -222,8 +231,8 @@
     t.match(booking.body, { code: FailureCode.ClaimUnavailable, outcome: "not-run" });
     const unkeyed = await fleet.post("/s/booking/bookings", "booked-without-key");
     t.equal(unkeyed.status, 201);
-    const told = await caller.makeRequest(createAsk(CallerRequestKind.Stream, 5));
-    t.equal(told.verdict, ResultKind.Complete);
+    const result = await caller.makeRequest(createRequest(CallerRequestKind.Stream, 5));
+    t.equal(result.verdict, ResultKind.Complete);
     t.equal(fleet.getRecords().calls.filter(({ body }) => body === "booked").length, 0);
     fleet.keyValue.setFault(KeyValueFault.None);
     const again = await fleet.post("/s/booking/bookings", "booked", { "idempotency-key": "key-1" });
@@ -232,22 +241,22 @@
   },
 );
 
-t.test("claims whose answers are lost still run once", async (t) => {
+t.test("runs a request once when the key-value service's responses to its claim are lost", async (t) => {
   const { fleet, caller } = await createFleet(t);
   fleet.keyValue.setFault(KeyValueFault.ResponseLost);
-  const told = await Promise.all(
+  const results = await Promise.all(
     [CallerRequestKind.Booking, CallerRequestKind.Draft].map((kind) =>
-      caller.makeRequest(createAsk(kind, 5)),
+      caller.makeRequest(createRequest(kind, 5)),
     ),
   );
   t.same(
-    told.map(({ verdict }) => verdict),
+    results.map(({ verdict }) => verdict),
     [ResultKind.Complete, ResultKind.Complete],
   );
-  check(t, fleet, told);
+  checkNoViolations(t, fleet, results);
 });
 
-t.test("another body under a used key is refused", async (t) => {
+t.test("refuses a request with a used key and another body", async (t) => {
   const { fleet } = await createFleet(t);
   const first = await fleet.post("/s/booking/bookings", "one", { "idempotency-key": "k" }, 0);
   t.equal(first.status, 201);
@@ -259,51 +268,54 @@
   t.equal(fleet.getRecords().calls.length, 1);
 });
 
-t.test("engines that cut, repeat, mix or skip frames never make a wrong whole answer", async (t) => {
-  const { fleet, caller } = await createFleet(t);
-  for (const fault of [
-    EngineFault.CutStream,
-    EngineFault.NoEndMark,
-    EngineFault.Duplicate,
-    EngineFault.Foreign,
-    EngineFault.SkipToken,
-    EngineFault.Refuse,
-  ]) {
-    const [engine] = fleet.engines.values();
-    engine!.fault = fault;
-    engine!.faultAfter = 3;
-    const asks = [CallerRequestKind.Stream, CallerRequestKind.Whole, CallerRequestKind.Draft].map((kind) =>
-      createAsk(kind, 8),
-    );
-    const told = await Promise.all(asks.map((ask) => caller.makeRequest(ask)));
-    check(t, fleet, told);
-    t.same(
-      told.slice(0, 2).map(({ verdict }) => verdict),
-      [ResultKind.Complete, ResultKind.Complete],
-      EngineFault[fault],
-    );
-    engine!.fault = EngineFault.None;
-  }
-});
+t.test(
+  "gives no wrong response as complete when an engine truncates, repeats, mixes or skips events",
+  async (t) => {
+    const { fleet, caller } = await createFleet(t);
+    for (const fault of [
+      EngineFault.CutStream,
+      EngineFault.NoEndMark,
+      EngineFault.Duplicate,
+      EngineFault.Foreign,
+      EngineFault.SkipToken,
+      EngineFault.Refuse,
+    ]) {
+      const [engine] = fleet.engines.values();
+      engine!.fault = fault;
+      engine!.faultAfter = 3;
+      const requests = [CallerRequestKind.Stream, CallerRequestKind.Whole, CallerRequestKind.Draft].map(
+        (kind) => createRequest(kind, 8),
+      );
+      const results = await Promise.all(requests.map((request) => caller.makeRequest(request)));
+      checkNoViolations(t, fleet, results);
+      t.same(
+        results.slice(0, 2).map(({ verdict }) => verdict),
+        [ResultKind.Complete, ResultKind.Complete],
+        EngineFault[fault],
+      );
+      engine!.fault = EngineFault.None;
+    }
+  },
+);
 
 t.test(
-  "a booking whose answer is cut after the work is told as unsure, once, and never sent again",
+  "reports an uncertain outcome for a run-once request whose response is truncated, and does not send it again",
   async (t) => {
     const { fleet, caller } = await createFleet(t);
     for (const web of fleet.webs.values()) web.fault = WebFault.CutAfterWork;
-    const ask = createAsk(CallerRequestKind.Booking);
-    const told = await caller.makeRequest(ask);
-    t.equal(told.verdict, ResultKind.Problem);
-    t.equal(told.outcome, Outcome.Unknown);
+    const request = createRequest(CallerRequestKind.Booking);
+    const result = await caller.makeRequest(request);
+    t.equal(result.verdict, ResultKind.Problem);
+    t.equal(result.outcome, Outcome.Unknown);
     for (const web of fleet.webs.values()) web.fault = WebFault.HalfBody;
-    const half = await caller.makeRequest(createAsk(CallerRequestKind.Booking));
-    t.equal(half.verdict, ResultKind.Problem);
-    t.equal(half.outcome, Outcome.Ran);
-    check(t, fleet, [told, half]);
+    const truncated = await caller.makeRequest(createRequest(CallerRequestKind.Booking));
+    t.equal(truncated.verdict, ResultKind.Problem);
+    t.equal(truncated.outcome, Outcome.Ran);
+    checkNoViolations(t, fleet, [result, truncated]);
   },
 );
 
-t.test("a key that was used gets its answer even where a new request would be refused", async (t) => {
+t.test("returns the response of a used key even when new requests are refused by rate", async (t) => {
   const rows = sampleConfiguration.rows.map((row) => ({ ...row, requestsPerSecond: 0.3 }));
   const { fleet } = await createFleet(t, { configuration: { ...sampleConfiguration, rows } });
   const book = (body: string, key: string, entry: number) =>
