--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -24,6 +24,7 @@
   readonly includesUsage: boolean;
   /** Estimated number of tokens of the prompt, by `estimateTokens`. */
   readonly promptTokens: number;
+  /** Largest number of tokens that the response may have. */
   readonly outputTokens: number;
   /**
    * Whether an interrupted response can be continued from its text. Requires one choice and no tools, log probabilities
@@ -53,7 +54,9 @@
   readonly bodyDigest: string;
   readonly priority: number;
   readonly weight: number;
+  /** Latency target of the policy row, milliseconds. */
   readonly latencyTarget: number;
+  /** Name of the policy row that admitted the request. */
   readonly row: string;
   readonly model: ModelRequest | undefined;
   /** Wall clock time of acceptance, milliseconds. For display only; no decision depends on it. */
@@ -84,7 +87,7 @@
   readonly usage?: Usage | undefined;
 }
 
-/** One attempt at running a request. */
+/** Parameters of one attempt to run a request at an endpoint. */
 export interface Dispatch {
   readonly envelope: Envelope;
   readonly runId: string;
--- a/packages/operator/src/local/localFleet.ts
+++ b/packages/operator/src/local/localFleet.ts
@@ -191,7 +191,7 @@
 
   /** Returns the entries of which one can be removed such that at least `minRemaining` remain. */
   getReplaceableEntries(minRemaining: number): readonly string[] {
-    const free = this.entries.map(({ record }) => record.id).filter((id) => this.isFree(id));
+    const free = this.entries.map(({ record }) => record.id).filter((id) => this.isReplaceable(id));
     return free.length > minRemaining ? free : [];
   }
 
@@ -199,7 +199,7 @@
   getReplaceableEndpoints(minRemaining: number): readonly string[] {
     const groups = [[...this.engines.keys()], [...this.webs.keys()]];
     return groups.flatMap((ids) => {
-      const free = ids.filter((id) => this.isFree(id));
+      const free = ids.filter((id) => this.isReplaceable(id));
       return free.length > minRemaining ? free : [];
     });
   }
@@ -211,7 +211,7 @@
   getReclaimable(halls: ReadonlySet<string>, minRemaining: number): readonly string[] {
     const groups = [[...this.engines.keys()], [...this.webs.keys()]];
     return groups.flatMap((ids) => {
-      const free = ids.filter((id) => this.isFree(id));
+      const free = ids.filter((id) => this.isReplaceable(id));
       const taken = free.filter((id) => halls.has(this.endpointRecords.get(id)?.hall ?? ""));
       return taken.slice(0, Math.max(0, free.length - minRemaining));
     });
@@ -234,7 +234,7 @@
     else await this.addWeb(index);
   }
 
-  private isFree(id: string): boolean {
+  private isReplaceable(id: string): boolean {
     return !this.killed.has(id) && !this.leaving.has(id);
   }
 
--- a/packages/operator/src/soak/caller.ts
+++ b/packages/operator/src/soak/caller.ts
@@ -45,7 +45,7 @@
 }
 
 /** Result of one exchange; undefined if the caller has to reconnect or retry. */
-type Step = Pick<CallerResult, "verdict" | "text" | "outcome" | "code"> | undefined;
+type ExchangeResult = Pick<CallerResult, "verdict" | "text" | "outcome" | "code"> | undefined;
 
 const outcomesByName: ReadonlyMap<string, Outcome> = new Map([
   [outcomeNames[Outcome.NotRun], Outcome.NotRun],
@@ -68,9 +68,9 @@
   }
 
   /** Makes one request and reconnects or retries until it has a final result or the timeout passes. */
-  async makeRequest(ask: CallerRequest): Promise<CallerResult> {
+  async makeRequest(callerRequest: CallerRequest): Promise<CallerResult> {
     const call: CallState = {
-      request: ask,
+      request: callerRequest,
       started: performance.now(),
       requests: [],
       parts: [],
@@ -80,7 +80,7 @@
       firstMs: undefined,
     };
     while (performance.now() - call.started < this.options.timeoutMs) {
-      const step = await this.tryStep(call);
+      const step = await this.tryExchange(call);
       if (step) return this.createResult(call, step);
       call.returns += 1;
       await new Promise((resolve) => setTimeout(resolve, retryPauseMs));
@@ -97,12 +97,12 @@
     await this.agent.destroy();
   }
 
-  private createResult(call: CallState, step: NonNullable<Step>): CallerResult {
+  private createResult(call: CallState, step: NonNullable<ExchangeResult>): CallerResult {
     const { request: ask, requests, returns, firstMs } = call;
     return { ask, requests, returns, firstMs, ...step };
   }
 
-  private async tryStep(call: CallState): Promise<Step> {
+  private async tryExchange(call: CallState): Promise<ExchangeResult> {
     try {
       const response = await this.send(call);
       call.firstMs ??= performance.now() - call.started;
@@ -128,32 +128,37 @@
   }
 
   private sendFirst(
-    ask: CallerRequest,
+    callerRequest: CallerRequest,
     origin: string,
     base: Record<string, string>,
   ): Promise<Dispatcher.ResponseData> {
-    const headers: Record<string, string> = { ...base, "gladewall-class": ask.requestClass };
+    const headers: Record<string, string> = { ...base, "gladewall-class": callerRequest.requestClass };
     headers["content-type"] = "application/json";
-    if (ask.kind !== CallerRequestKind.Stream && ask.kind !== CallerRequestKind.Page)
-      headers["idempotency-key"] = ask.mark;
-    if (ask.kind === CallerRequestKind.Draft) headers["gladewall-repeat"] = "never";
+    if (callerRequest.kind !== CallerRequestKind.Stream && callerRequest.kind !== CallerRequestKind.Page)
+      headers["idempotency-key"] = callerRequest.mark;
+    if (callerRequest.kind === CallerRequestKind.Draft) headers["gladewall-repeat"] = "never";
     const { agent: dispatcher } = this;
     const service = `${origin}/s/${this.options.webService}`;
-    if (ask.kind === CallerRequestKind.Page)
-      return request(`${service}/pages/${ask.mark}`, { headers, dispatcher });
-    if (ask.kind === CallerRequestKind.Booking) {
-      return request(`${service}/bookings`, { method: "POST", headers, body: ask.mark, dispatcher });
+    if (callerRequest.kind === CallerRequestKind.Page)
+      return request(`${service}/pages/${callerRequest.mark}`, { headers, dispatcher });
+    if (callerRequest.kind === CallerRequestKind.Booking) {
+      return request(`${service}/bookings`, {
+        method: "POST",
+        headers,
+        body: callerRequest.mark,
+        dispatcher,
+      });
     }
     const body = JSON.stringify({
       model: this.options.modelService,
-      stream: ask.kind === CallerRequestKind.Stream,
-      max_tokens: ask.outputTokens,
-      messages: [{ role: "user", content: ask.mark }],
+      stream: callerRequest.kind === CallerRequestKind.Stream,
+      max_tokens: callerRequest.outputTokens,
+      messages: [{ role: "user", content: callerRequest.mark }],
     });
     return request(`${origin}/v1/chat/completions`, { method: "POST", headers, body, dispatcher });
   }
 
-  private async handle(call: CallState, response: Dispatcher.ResponseData): Promise<Step> {
+  private async handle(call: CallState, response: Dispatcher.ResponseData): Promise<ExchangeResult> {
     const id = response.headers["gladewall-request"];
     const { statusCode } = response;
     if (statusCode === 303 && typeof id === "string") {
@@ -173,7 +178,7 @@
     };
   }
 
-  private async handleProblem(call: CallState, response: Dispatcher.ResponseData): Promise<Step> {
+  private async handleProblem(call: CallState, response: Dispatcher.ResponseData): Promise<ExchangeResult> {
     const problem = parseProblem(await response.body.text(), response);
     if (!problem) return undefined;
     call.lastCode = problem.code;
@@ -190,8 +195,8 @@
     return { verdict: ResultKind.Problem, text: "", outcome: problem.outcome, code: problem.code };
   }
 
-  private async readStream(call: CallState, response: Dispatcher.ResponseData): Promise<Step> {
-    let end: Step;
+  private async readStream(call: CallState, response: Dispatcher.ResponseData): Promise<ExchangeResult> {
+    let end: ExchangeResult;
     const parser = createParser({ onEvent: (event) => (end ??= handleEvent(call, event)) });
     const decoder = new TextDecoder();
     for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
@@ -205,7 +210,7 @@
   if (call.requests[call.requests.length - 1] !== id) call.requests.push(id);
 }
 
-function handleEvent(call: CallState, event: EventSourceMessage): Step {
+function handleEvent(call: CallState, event: EventSourceMessage): ExchangeResult {
   if (event.data === "[DONE]") {
     return { verdict: ResultKind.Complete, text: call.parts.join(""), outcome: undefined, code: undefined };
   }
--- a/packages/operator/src/soak/soak.ts
+++ b/packages/operator/src/soak/soak.ts
@@ -97,7 +97,7 @@
   const check = checkGuarantees(results, fleet.getRecords());
   await caller.close();
   await fleet.close();
-  const returns = results.reduce((sum, each) => sum + each.returns, 0);
+  const returns = results.reduce((sum, result) => sum + result.returns, 0);
   return { requests: results.length, faults: injector.counts, check, returns };
 }
 
--- a/packages/operator/test/promises.test.ts
+++ b/packages/operator/test/promises.test.ts
@@ -33,7 +33,7 @@
   readonly configuration?: Configuration;
 }
 
-async function createFleet(t: Test, changes: FleetChanges = {}) {
+async function createTestFleet(t: Test, changes: FleetChanges = {}) {
   const fleet = await LocalFleet.create({
     entries: changes.entries ?? 3,
     runners: changes.runners ?? 4,
@@ -44,10 +44,10 @@
     logger: process.env["SHOW_LOGS"] ? Logger.create(LogLevel.Info) : Logger.createSilent(),
     overrides: [...fastFailureDetection, ...(changes.overrides ?? [])],
   });
-  let turn = 0;
+  let nextIndex = 0;
   const getAddresses = (): readonly string[] => fleet.getCallerAddresses();
   const caller = Caller.create({
-    chooseEntry: () => getAddresses()[turn++ % getAddresses().length] ?? "",
+    chooseEntry: () => getAddresses()[nextIndex++ % getAddresses().length] ?? "",
     key: sampleKeys.cab,
     timeoutMs: 15_000,
     modelService: "model",
@@ -92,7 +92,7 @@
 }
 
 t.test("continues each kind of model request at its backup when its entry crashes", async (t) => {
-  const { fleet, caller } = await createFleet(t);
+  const { fleet, caller } = await createTestFleet(t);
   for (const kind of [CallerRequestKind.Stream, CallerRequestKind.Whole, CallerRequestKind.Draft]) {
     const request = createRequest(kind, 60);
     const pendingResult = caller.makeRequest(request);
@@ -107,7 +107,7 @@
 });
 
 t.test("runs the rest of a response at the backup when entry and endpoint crash together", async (t) => {
-  const { fleet, caller } = await createFleet(t);
+  const { fleet, caller } = await createTestFleet(t);
   const request = createRequest(CallerRequestKind.Stream, 60);
   const pendingResult = caller.makeRequest(request);
   const engine = await waitForTokens(fleet, request.mark, 20);
@@ -120,7 +120,7 @@
 t.test(
   "continues repeatable responses elsewhere when an endpoint crashes, and reports outcome ran for a run-once request",
   async (t) => {
-    const { fleet, caller } = await createFleet(t);
+    const { fleet, caller } = await createTestFleet(t);
     const [stream, draft] = [
       createRequest(CallerRequestKind.Stream, 60),
       createRequest(CallerRequestKind.Draft, 60),
@@ -139,7 +139,7 @@
 t.test(
   "places nothing new on an endpoint with a reclaim notice, and moves its long runs without loss",
   async (t) => {
-    const { fleet, caller } = await createFleet(t, { runners: 3 });
+    const { fleet, caller } = await createTestFleet(t, { runners: 3 });
     const request = createRequest(CallerRequestKind.Stream, 150);
     const pendingResult = caller.makeRequest(request);
     const engine = await waitForTokens(fleet, request.mark, 10);
@@ -164,7 +164,7 @@
 t.test(
   "hands over the requests of an entry with a reclaim notice: waiting callers are redirected, streams resumed",
   async (t) => {
-    const { fleet, caller } = await createFleet(t);
+    const { fleet, caller } = await createTestFleet(t);
     const requests = [
       createRequest(CallerRequestKind.Stream, 120),
       createRequest(CallerRequestKind.Whole, 120),
@@ -185,7 +185,7 @@
 );
 
 t.test("a planned stop interrupts no request", async (t) => {
-  const { fleet, caller } = await createFleet(t);
+  const { fleet, caller } = await createTestFleet(t);
   const requests = [createRequest(CallerRequestKind.Stream, 60), createRequest(CallerRequestKind.Draft, 60)];
   const pendingResults = requests.map((request) => caller.makeRequest(request));
   for (const request of requests) await waitForTokens(fleet, request.mark, 5);
@@ -202,7 +202,7 @@
 });
 
 t.test("runs concurrent requests with the same key once and gives each caller the response", async (t) => {
-  const { fleet, caller } = await createFleet(t);
+  const { fleet, caller } = await createTestFleet(t);
   for (const kind of [CallerRequestKind.Booking, CallerRequestKind.Draft]) {
     const request = createRequest(kind, 20);
     const results = await Promise.all([
@@ -222,7 +222,7 @@
 t.test(
   "refuses run-once requests with a key as not run while the key-value service is down, and serves others",
   async (t) => {
-    const { fleet, caller } = await createFleet(t, {
+    const { fleet, caller } = await createTestFleet(t, {
       overrides: ["claims.patience=300", "claims.peer_timeout=100"],
     });
     fleet.keyValue.setFault(KeyValueFault.Down);
@@ -242,7 +242,7 @@
 );
 
 t.test("runs a request once when the key-value service's responses to its claim are lost", async (t) => {
-  const { fleet, caller } = await createFleet(t);
+  const { fleet, caller } = await createTestFleet(t);
   fleet.keyValue.setFault(KeyValueFault.ResponseLost);
   const results = await Promise.all(
     [CallerRequestKind.Booking, CallerRequestKind.Draft].map((kind) =>
@@ -257,7 +257,7 @@
 });
 
 t.test("refuses a request with a used key and another body", async (t) => {
-  const { fleet } = await createFleet(t);
+  const { fleet } = await createTestFleet(t);
   const first = await fleet.post("/s/booking/bookings", "one", { "idempotency-key": "k" }, 0);
   t.equal(first.status, 201);
   for (const entry of [0, 1, 2]) {
@@ -271,7 +271,7 @@
 t.test(
   "gives no wrong response as complete when an engine truncates, repeats, mixes or skips events",
   async (t) => {
-    const { fleet, caller } = await createFleet(t);
+    const { fleet, caller } = await createTestFleet(t);
     for (const fault of [
       EngineFault.CutStream,
       EngineFault.NoEndMark,
@@ -301,7 +301,7 @@
 t.test(
   "reports an uncertain outcome for a run-once request whose response is truncated, and does not send it again",
   async (t) => {
-    const { fleet, caller } = await createFleet(t);
+    const { fleet, caller } = await createTestFleet(t);
     for (const web of fleet.webs.values()) web.fault = WebFault.CutAfterWork;
     const request = createRequest(CallerRequestKind.Booking);
     const result = await caller.makeRequest(request);
@@ -317,7 +317,7 @@
 
 t.test("returns the response of a used key even when new requests are refused by rate", async (t) => {
   const rows = sampleConfiguration.rows.map((row) => ({ ...row, requestsPerSecond: 0.3 }));
-  const { fleet } = await createFleet(t, { configuration: { ...sampleConfiguration, rows } });
+  const { fleet } = await createTestFleet(t, { configuration: { ...sampleConfiguration, rows } });
   const book = (body: string, key: string, entry: number) =>
     fleet.post("/s/booking/bookings", body, { "idempotency-key": key }, entry);
   t.equal((await book("first", "key-1", 0)).status, 201);
