--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -37,7 +37,9 @@
 /** Directives in a caller's request headers: class, idempotency key, and whether the request must not be repeated. */
 export interface RequestDirectives {
   readonly class: string;
+  /** Value of `Idempotency-Key`; undefined without the header. */
   readonly key: string | undefined;
+  /** Whether `Gladewall-Repeat` is `never`. */
   readonly forbidsRepeat: boolean;
 }
 
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -63,8 +63,8 @@
 }
 
 /**
- * Returns the caller's headers that are forwarded to an endpoint, with `x-forwarded-for` and `forwarded` for the
- * addresses of the trusted proxies' clients and of the peer that is connected.
+ * Returns the caller's headers that are forwarded to an endpoint. `x-forwarded-for` and `forwarded` are set to the
+ * trusted part of the caller's `x-forwarded-for`, followed by the remote address of the connection.
  */
 export function selectRequestHeaders(
   rawHeaders: readonly string[],
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -7,7 +7,7 @@
 import type { LocalFleet } from "../local/localFleet.js";
 import type { SeededRandom } from "./seededRandom.js";
 
-/** Number of injected faults by kind. */
+/** Number of injected faults by kind. The reclaim of an entry without time to act on its notice also counts as a crash. */
 export interface FaultCounts {
   reclaims: number;
   crashes: number;
