--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Stops within `remainingMs`: lets requests end until `notice_lead` milliseconds before that, then hands the others over
-   * to their backups and closes.
+   * Stops within `remainingMs`: lets requests end until `notice_lead` milliseconds before that, then hands the others
+   * over to their backups and closes.
    */
   leave(remainingMs: number): Promise<void> {
     this.ending ??= this.leaveWithin(remainingMs);
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -24,7 +24,9 @@
 const webWorkTokens = 1;
 const classPattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
-/** Returns a new request id: the name of the entry that accepts it, a dot and random characters that can't be guessed. */
+/**
+ * Returns a new request id: the name of the entry that accepts it, a dot and random characters that can't be guessed.
+ */
 export function createRequestId(entry: string): string {
   return `${entry}.${randomBytes(requestIdBytes).toString("base64url")}`;
 }
--- a/packages/entry/src/headers.ts
+++ b/packages/entry/src/headers.ts
@@ -38,8 +38,8 @@
 ]);
 
 /**
- * Refuses headers that two parsers could read as different requests (request smuggling). The HTTP parser already refuses
- * most of them. This also refuses a singleton header that occurs twice, and `content-length` together with
+ * Refuses headers that two parsers could read as different requests (request smuggling). The HTTP parser already
+ * refuses most of them. This also refuses a singleton header that occurs twice, and `content-length` together with
  * `transfer-encoding`.
  */
 export function checkHeaders(rawHeaders: readonly string[]): Result<void, Failure> {
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The daemon `gladewalld`, which runs one entry. SIGTERM and SIGINT start a planned stop; a second one logs the requests
- * that have not ended. SIGHUP reloads the settings.
+ * The daemon `gladewalld`, which runs one entry. SIGTERM and SIGINT start a planned stop; a second one logs the
+ * requests that have not ended. SIGHUP reloads the settings.
  * @module
  */
 import {
--- a/packages/entry/src/modelResponse.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -1,6 +1,6 @@
 /**
- * Writes a model's response to a caller: as server-sent events while it is generated, or as one JSON document once it is
- * complete. Event ids are `request:position`, so that a caller can reconnect and read the rest.
+ * Writes a model's response to a caller: as server-sent events while it is generated, or as one JSON document once it
+ * is complete. Event ids are `request:position`, so that a caller can reconnect and read the rest.
  * @module
  */
 import type { ServerResponse } from "node:http";
--- a/packages/entry/src/platform.ts
+++ b/packages/entry/src/platform.ts
@@ -99,8 +99,8 @@
       return;
     }
     this.isListUnavailable = false;
-    // The first readings of an unchanged list are still merged, because the view treats an instance as absent only after
-    // several readings without it.
+    // The first readings of an unchanged list are still merged, because the view treats an instance as absent only
+    // after several readings without it.
     this.unchanged = list.value.isUnchanged ? this.unchanged + 1 : 0;
     if (this.unchanged <= maxMergedUnchanged) this.view.mergeList(list.value.records);
   }
--- a/packages/entry/src/plugins/httpCall.ts
+++ b/packages/entry/src/plugins/httpCall.ts
@@ -46,8 +46,8 @@
 }
 
 /**
- * Creates a connection pool for an endpoint. Idle connections stay open for as long as the endpoint's `keep-alive` header
- * allows, or a minute without one, because opening a connection costs more than a request.
+ * Creates a connection pool for an endpoint. Idle connections stay open for as long as the endpoint's `keep-alive`
+ * header allows, or a minute without one, because opening a connection costs more than a request.
  */
 export function createEndpointPool(address: string, connectTimeout: number, idleTimeout: number): Pool {
   return new Pool(`http://${address}`, {
--- a/packages/entry/src/plugins/httpPlatform.ts
+++ b/packages/entry/src/plugins/httpPlatform.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-ins `http-list` and `http-notices`: clients of the instance list and of the cloud's reclaim notices over HTTP and
- * JSON.
+ * Plug-ins `http-list` and `http-notices`: clients of the instance list and of the cloud's reclaim notices over HTTP
+ * and JSON.
  * @module
  */
 import type {
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -233,7 +233,8 @@
 
   /**
    * Refuses a request unless its key was used before. A request with a used key gets the response of the first request,
-   * which takes no capacity. If it can't be found out whether the key was used, the outcome is not reported as "not run".
+   * which takes no capacity. If it can't be found out whether the key was used, the outcome is not reported as "not
+   * run".
    */
   private async refuseUnlessKeyUsed(
     exchange: Exchange,
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -1,6 +1,6 @@
 /**
- * Creates and connects the components that serve requests: admission, queues, runs at endpoints, backups at peers, claims
- * of idempotency keys, shares of policy rows, and responses held for callers that reconnect.
+ * Creates and connects the components that serve requests: admission, queues, runs at endpoints, backups at peers,
+ * claims of idempotency keys, shares of policy rows, and responses held for callers that reconnect.
  * @module
  */
 import { CallKind, ClaimStore, isUsable } from "@gladewall/coordination";
--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -102,7 +102,9 @@
   readonly rest: AsyncIterable<Uint8Array> | undefined;
 }
 
-/** Receives an endpoint's response. The next chunk is read only after `add` has resolved, which applies backpressure. */
+/**
+ * Receives an endpoint's response. The next chunk is read only after `add` has resolved, which applies backpressure.
+ */
 export interface RunSink {
   setHead(head: ResponseHead): void;
   /** Receives the load that an endpoint reports in its response head. */
--- a/packages/operator/src/bench/main.ts
+++ b/packages/operator/src/bench/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- <name>`: runs benchmarks by name. Each prints its measurements as they are made and writes its result
- * to `docs/results/<name>.json`.
+ * `npm run bench -- <name>`: runs benchmarks by name. Each prints its measurements as they are made and writes its
+ * result to `docs/results/<name>.json`.
  * @module
  */
 import { mkdirSync, writeFileSync } from "node:fs";
--- a/packages/operator/src/bench/stalenessBench.ts
+++ b/packages/operator/src/bench/stalenessBench.ts
@@ -1,8 +1,8 @@
 /**
  * `npm run bench -- staleness`: simulates engines that prefill prompts one after another while many instances place
  * requests by state of the engines that is some time old. It measures how much waiting time the stale state costs
- * compared with current state, and whether choosing among a few random engines, or adding noise, compensates for it. The
- * simulation uses no clock and no network, and its random numbers are seeded.
+ * compared with current state, and whether choosing among a few random engines, or adding noise, compensates for it.
+ * The simulation uses no clock and no network, and its random numbers are seeded.
  * @module
  */
 import { SeededRandom } from "../soak/seededRandom.js";
--- a/packages/operator/src/commands/local.ts
+++ b/packages/operator/src/commands/local.ts
@@ -1,6 +1,6 @@
 /**
- * `gladewall local`: starts the whole system in one process, then sends a model request and a web request and prints the
- * explanation of the first.
+ * `gladewall local`: starts the whole system in one process, then sends a model request and a web request and prints
+ * the explanation of the first.
  * @module
  */
 import { Logger, LogLevel } from "@gladewall/kernel";
--- a/packages/operator/src/soak/checker.ts
+++ b/packages/operator/src/soak/checker.ts
@@ -1,6 +1,6 @@
 /**
- * Compares the results that callers saw with the endpoints' own records of what they ran, and reports each violation of a
- * guarantee.
+ * Compares the results that callers saw with the endpoints' own records of what they ran, and reports each violation of
+ * a guarantee.
  * @module
  */
 import { Outcome } from "@gladewall/kernel";
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -1,13 +1,15 @@
 /**
- * Injects the faults of a soak test, chosen by a seeded random generator. Each fault ends by itself: an instance that was
- * removed is replaced, as the platform does.
+ * Injects the faults of a soak test, chosen by a seeded random generator. Each fault ends by itself: an instance that
+ * was removed is replaced, as the platform does.
  * @module
  */
 import { EngineFault, KeyValueFault, WebFault } from "@gladewall/standins";
 import type { LocalFleet } from "../local/localFleet.js";
 import type { SeededRandom } from "./seededRandom.js";
 
-/** Number of injected faults by kind. The reclaim of an entry without time to act on its notice also counts as a crash. */
+/**
+ * Number of injected faults by kind. The reclaim of an entry without time to act on its notice also counts as a crash.
+ */
 export interface FaultCounts {
   reclaims: number;
   crashes: number;
