--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -65,7 +65,7 @@
   private readonly excluded = new Set<string>();
   private readonly history = AttemptHistory.create();
   private placement: Placement | undefined;
-  /** Endpoint that is reserved for this request because it is suspected of crashing endpoints. */
+  /** Reserved endpoint at which an isolated request runs; undefined if the request runs like others. */
   private trial: Trial | undefined;
   private cachedSubject: CrashSubject | undefined;
   private firstEventMs: number | undefined;
@@ -122,7 +122,7 @@
     return kind === RouteKind.Safe || (kind === RouteKind.Stream && isResumable);
   }
 
-  /** Identifies the same request again, whatever its id and the instance that serves it. */
+  /** Identifies all requests with this content, whatever their ids and the instances that serve them. */
   get subject(): CrashSubject {
     this.cachedSubject ??= this.createSubject();
     return this.cachedSubject;
@@ -169,7 +169,7 @@
     return NextStep.Fail;
   }
 
-  /** Chooses an endpoint; a suspect request gets one where no other suspect runs. */
+  /** Chooses an endpoint; an isolated request gets one where no other isolated request runs. */
   private async choose(): Promise<Result<Placement, Failure>> {
     const { suspects, placer } = this.parts;
     const { service, head } = this.request;
--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -20,7 +20,7 @@
 export interface AdmittedRequest {
   readonly route: Route;
   readonly table: RouteTable;
-  /** Undefined if the route is public and the request has no known key. */
+  /** Undefined if the request has no known key and needs none: the route is public, or there are no workspaces. */
   readonly workspace: Workspace | undefined;
 }
 
@@ -190,7 +190,7 @@
     this.options.counters.add(CounterKind.Quota, workspace.name, cost);
   }
 
-  /** Decides as the arbiter of a limit whether a peer may have taken a total of units. */
+  /** Decides as the arbiter of a limit whether a peer's total of taken units may rise to the one in its call. */
   decideForPeer(peer: PeerIdentity, { workspace: name, total, uptime, use }: QuotaCall): QuotaReply {
     const { counters, follower } = this.options;
     const workspace = follower.getTable()?.findWorkspaceByName(name);
--- a/packages/gateway/src/attemptHistory.ts
+++ b/packages/gateway/src/attemptHistory.ts
@@ -4,7 +4,7 @@
  */
 import type { Failure } from "@gladewall/kernel";
 
-/** Attempts that did not run after which a request is refused. */
+/** Number of attempts that did not run the request, after which the request is refused. */
 const maxNotRunAttempts = 4;
 
 /** Results of the attempts of one request. */
--- a/packages/gateway/src/crashGossip.ts
+++ b/packages/gateway/src/crashGossip.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges crash updates among instances, and asks the arbiter of a service where a suspect may run. Updates are sent at once;
- * in a large fleet the readers relay to all instances what is new to them.
+ * Exchanges crash updates among instances, and calls the arbiter of a service to learn at which endpoint an isolated request may
+ * run. Updates are sent at once; in a large fleet the readers relay to all instances what is new to them.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
@@ -13,7 +13,7 @@
   TrialDecision,
 } from "./trialScheduler.js";
 
-/** Numbers of the messages; they follow that of vouching. */
+/** Numbers of the messages; they follow that of proof requests. */
 enum CrashMessageKind {
   Updates = 41,
   TrialCall = 42,
@@ -50,7 +50,7 @@
   readonly onUpdate: (update: CrashUpdate) => void;
 }
 
-/** Added to the wait that a request asks for, for the way to the arbiter and back. */
+/** Added to the wait of a trial call, for the transmission to the arbiter and back. */
 const replyMarginMs = 150;
 
 /** Exchanges crash updates and requests trials. */
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Requests a trial from the arbiter of the service. The reply is `Unknown` if none answers, because it is not known then where
-   * other suspects run.
+   * Requests a trial from the arbiter of the service. The reply is `Unknown` if the arbiter does not reply, because it is not
+   * known then where other isolated requests run.
    */
   async callArbiter(request: TrialCallArguments): Promise<TrialReply> {
     const { own, fleet, scheduler } = this.options;
@@ -92,7 +92,7 @@
     return reply.isOk() ? (reply.value as TrialReply) : { word: TrialDecision.Unknown };
   }
 
-  /** Tells the arbiter that a trial is over, or has lasted long enough. */
+  /** Notifies the arbiter that a trial is over, or has lasted long enough. */
   endTrial(service: string, incarnation: string, fingerprint: string): void {
     const { own, fleet, scheduler } = this.options;
     const arbiter = fleet.findArbiter(service);
@@ -114,7 +114,7 @@
     this.broadcaster.relay(createMessage(update), name);
   }
 
-  /** An instance that does not receive the reports of the whole fleet knows too little to decide. */
+  /** Decides for a peer; replies `Unknown` if this instance does not receive the reports of the whole fleet. */
   private handleTrialCall({
     service,
     subject,
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -4,8 +4,8 @@
  *
  * Every request in flight at a crash is a suspect, because nothing shows which one caused it; most are harmless and continue to
  * run. If the next endpoint crashes too, only the suspects in flight there are held responsible. From then on each of them runs
- * isolated from the others, until it is answered completely, which clears it, or is the only one left that can have caused the
- * crashes.
+ * isolated from the others, until it gets a complete response, which clears it, or is the only one left that can have caused
+ * the crashes.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
@@ -27,7 +27,7 @@
   readonly others: readonly CrashSubject[];
 }
 
-/** A request was answered completely, so it did not cause the crashes of these incarnations. */
+/** A request got a complete response, so it did not cause the crashes of these incarnations. */
 export interface Clearance {
   readonly fingerprint: string;
   readonly lives: readonly string[];
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -18,7 +18,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly records: CrashRecords;
-  /** Whether this instance writes the item of a request; one instance does so for all. */
+  /** Whether this instance writes the item of a request on behalf of the fleet. */
   readonly isWriter: (fingerprint: string) => boolean;
 }
 
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -11,7 +11,7 @@
 /** Whether an endpoint accepts new requests, from its record and its notices. */
 export enum EndpointState {
   Ready = 1,
-  /** Its record vanished while the store was failing; it stays in use for a short time, as long as it answers. */
+  /** Its record vanished while the store was failing; it stays in use for a short time, as long as it responds. */
   Unlisted = 2,
   /** It has announced that it stops, or its record is gone; it gets no new requests. */
   Leaving = 3,
--- a/packages/gateway/src/endpointAvailability.ts
+++ b/packages/gateway/src/endpointAvailability.ts
@@ -32,7 +32,7 @@
 /** Availability of one incarnation. */
 export class EndpointAvailability {
   private firstSource: LeavingSource | undefined;
-  /** Monotonic time until which it wants no request of this instance. */
+  /** Monotonic time until which it accepts no request of this instance. */
   private heldOffUntil = -Infinity;
   /**
    * Requests that may wait for a response at once; bounded from a hold-off or the end of a limit on, until enough were accepted.
@@ -65,7 +65,7 @@
     return true;
   }
 
-  /** Starts a hold-off: the endpoint wants no request of this instance for some time. Of two, the later end counts. */
+  /** Starts a hold-off: the endpoint accepts no request of this instance for some time. If two overlap, the later end applies. */
   noteHoldOff(milliseconds: number, time: number): void {
     this.updatedAt = time;
     this.heldOffUntil = Math.max(this.heldOffUntil, time + milliseconds);
--- a/packages/gateway/src/endpointLimit.ts
+++ b/packages/gateway/src/endpointLimit.ts
@@ -49,7 +49,7 @@
   /** Permits to request at once. */
   private batch = 1;
   private openCalls = 0;
-  /** Until when only requests more urgent than `refusedRank` may ask for a permit. */
+  /** Until when only requests more urgent than `refusedRank` may request a permit. */
   private refusedUntil = -Infinity;
   private refusedRank = -Infinity;
 
@@ -120,7 +120,8 @@
   }
 
   /**
-   * Starts a request to the issuer; returns how many permits to ask for: twice as many while all are used, half once some expire.
+   * Starts a call to the issuer; returns the number of permits to request: twice as many as last time while all are used, half as
+   * many once some have expired.
    */
   beginPermitCall(): number {
     this.openCalls += 1;
@@ -130,7 +131,7 @@
     return this.batch;
   }
 
-  /** Applies the issuer's reply to a request of a rank. */
+  /** Applies the issuer's reply to a call for a request of a rank. */
   endPermitCall({ permits, waitMs }: PermitGrant, rank: number, time: number): void {
     this.openCalls -= 1;
     if (permits > 0) {
