--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -52,12 +52,12 @@
 /** Orders endpoints until their numbers match the plan. */
 export class CapacityOrders {
   private readonly lastOrders = new Map<string, LastOrder>();
-  /** Monotonic time at which each data hall last refused reclaimable endpoints; deleted once an order is accepted. */
+  /** Monotonic time at which each data hall last refused an order; deleted once it accepts one for reclaimable endpoints. */
   private readonly refusedAt = new Map<string, number>();
   private scarceUntil = -Infinity;
   /** Monotonic time at which a data hall was last reclaimed. */
   private reclaimedAt = -Infinity;
-  /** Highest number of endpoints found so far of each service, and when it was reached. */
+  /** Highest number of on-demand endpoints found so far of each service, and when it was reached. */
   private readonly discovered = new Map<string, { readonly count: number; readonly at: number }>();
   /** Monotonic time of the last call that failed. */
   private failedAt = -Infinity;
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Records the number of endpoints found; returns whether no more are expected. */
+  /** Records the number of on-demand endpoints found; returns whether no more are expected. */
   private recordDiscovered(service: string, count: number): boolean {
     const time = this.options.clock.getTime();
     const found = this.discovered.get(service);
--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -8,7 +8,7 @@
  * proof expired before it admits anything.
  *
  * The version in force never decreases. Configurations are ordered by their own version number, because the
- * store's revisions go back when the store is restored from a snapshot. After a restore, reads prove nothing until
+ * store's revisions decrease when the store is restored from a snapshot. After a restore, reads prove nothing until
  * the lost writes have been written again.
  * @module
  */
@@ -21,7 +21,7 @@
 
 /** A peer's freshness proof, with the position and the version of the configuration that it holds for. */
 export interface ConfigurationProof {
-  /** Age of the peer's own proof when it answered, in milliseconds. */
+  /** Age of the peer's own proof when the peer replied, in milliseconds. */
   readonly proofAgeMs: number;
   /** Revision of the newest configuration that the peer has. */
   readonly revision: number;
@@ -72,12 +72,12 @@
    * is opened.
    */
   readonly firstWatchPauseMs?: number;
-  /** Asks some peers for their configuration proofs; `held` is what this instance has. */
+  /** Requests the configuration proofs of some peers; `held` is what this instance has. */
   readonly askPeers: (held: HeldConfiguration) => Promise<readonly ConfigurationProof[]>;
   readonly settling: EraSettling;
 }
 
-/** A configuration that has been decoded and compared with the one in force. */
+/** A configuration that has been examined: decoded if possible, and then compared with the one in force. */
 interface ExaminedConfiguration {
   readonly item: StoreItem;
   readonly position: StorePosition;
@@ -89,7 +89,7 @@
 const maxConcurrentReads = 4;
 /** Interval at which the age of the proof is checked while a reader feeds this instance. */
 const viaReaderIntervalMs = 500;
-/** Share of a proof's lifetime after which peers are asked for their proofs. */
+/** Share of a proof's lifetime after which the proofs of peers are requested. */
 const askPeersAgeShare = 0.45;
 /** The longest time, from the start of an era, to wait for operators to write a lost version again. */
 const maxRewriteWaitMs = 5_000;
@@ -100,7 +100,7 @@
   /** Boot time at which the read was sent that the current proof is based on. */
   private proofSentAt: number | undefined;
   private pendingReads = 0;
-  /** Newest configuration that was put in force or refused; it is sent to peers that ask. */
+  /** Newest configuration that was put in force or refused; it is sent to peers that request it. */
   private taken: ExaminedConfiguration | undefined;
   /** Last configuration that was examined, whether or not it was put in force. */
   private lastExamined: ExaminedConfiguration | undefined;
@@ -109,7 +109,7 @@
   private isAskingPeers = false;
   private isLost = false;
   private role = StoreRole.Direct;
-  /** Boot time at which the last read was sent that the store answered. */
+  /** Boot time at which the last read was sent to which the store responded. */
   private answeredReadSentAt = -Infinity;
   private lastTroubleAt = -Infinity;
   private readonly follower: PrefixFollower;
@@ -175,7 +175,7 @@
     return { revision: this.taken?.position.revision ?? 0, version: this.table?.version };
   }
 
-  /** Milliseconds since this instance sent the last read that the store answered; infinite before the first. */
+  /** Milliseconds since this instance sent the last read to which the store responded; infinite before the first. */
   getStoreAge(): number {
     return this.options.clock.getBootTime() - this.answeredReadSentAt;
   }
@@ -209,7 +209,7 @@
     this.changeListeners.push(listener);
   }
 
-  /** Registers a listener for the store answering again after a failure. */
+  /** Registers a listener that is called when the store responds again after a failure. */
   onRegained(listener: () => void): void {
     this.regainListeners.push(listener);
   }
@@ -305,9 +305,9 @@
   }
 
   /**
-   * Asks peers for their proofs, in case the store refuses this instance but serves others. The age of a peer's
-   * proof counts back from the time at which this instance asked, not from the arrival of the reply, so that no
-   * proof is taken for younger than it is, however long the reply took.
+   * Requests the proofs of peers, in case the store refuses this instance but serves others. The age of a peer's
+   * proof counts back from the time at which the request was sent, not from the arrival of the reply, so that no
+   * proof appears younger than it is, however long the reply took.
    */
   private async askPeers(): Promise<void> {
     if (this.isAskingPeers) return;
@@ -441,7 +441,7 @@
   }
 }
 
-/** Compares by revision if the peer is of an earlier build, which does not send the version. */
+/** Compares by revision if one of the versions is unknown; earlier builds do not send theirs. */
 function isNewerThan({ position, version }: ExaminedConfiguration, held: HeldConfiguration): boolean {
   if (held.version === undefined || version === undefined) return position.revision > held.revision;
   return version > held.version;
--- a/packages/gateway/src/connectionEnds.ts
+++ b/packages/gateway/src/connectionEnds.ts
@@ -2,7 +2,7 @@
  * Distinguishes an orderly close of a connection from a reset.
  *
  * If data and a reset arrive together, libuv reports an end of stream instead of an error. A reset connection no longer has
- * a peer, however, while one that was closed in order still has, so the peer's address distinguishes them.
+ * a peer, however, while an orderly closed one still has, so the peer's address distinguishes them.
  * @module
  */
 import type { Socket } from "node:net";
@@ -17,7 +17,7 @@
   });
 }
 
-/** Whether a tracked connection was closed in order. */
+/** Whether a tracked connection was closed in an orderly way, not reset. */
 export function hasEndedInOrder(socket: Socket): boolean {
   return socket.readableEnded && !socket.errored && !resetSockets.has(socket);
 }
--- a/packages/gateway/src/countHandover.ts
+++ b/packages/gateway/src/countHandover.ts
@@ -1,13 +1,13 @@
 /**
- * Decides when a new collector asks for another collector's counts. An instance that becomes a collector has
- * not received the earlier reports, so it asks an existing collector for its sums and for the totals of each
- * peer that they include, and counts on from there.
+ * Decides when a new collector requests another collector's counts. An instance that becomes a collector has
+ * not received the earlier reports, so it requests from an existing collector its sums and the totals of each
+ * peer that they include, and continues counting from there.
  * @module
  */
 
 /**
- * Time for which the counts are requested: four reports of a large fleet. If all instances become collectors
- * together, no instance has the counts.
+ * Time for which the counts are requested: four reports of a large fleet. The time is limited because no
+ * instance has the counts if all instances become collectors together.
  */
 const requestPeriodMs = 1_000;
 
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -149,7 +149,7 @@
     return score > suspectScore ? QuarantineState.Isolated : QuarantineState.Suspect;
   }
 
-  /** Milliseconds since this instance learned of the last crash under a request. */
+  /** Milliseconds since this instance learned of the last crash that had a request in flight; infinite if there is none. */
   getTimeSinceCrash(fingerprint: string): number {
     let recordedAt = -Infinity;
     for (const crash of this.crashesByFingerprint.get(fingerprint) ?? []) {
--- a/packages/gateway/src/eraSettling.ts
+++ b/packages/gateway/src/eraSettling.ts
@@ -1,8 +1,8 @@
 /**
  * Decides from when on reads of the store show everything that was acknowledged. A store that was restored from
  * a snapshot lacks what operators have written since the snapshot, until they have written it again, and no read proves
- * anything before that. An era is settled once that time is over. A record in the store then says so to
- * instances that start later.
+ * anything before that. An era is settled once that time is over. A record in the store then shows
+ * this to instances that start later.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -87,7 +87,7 @@
     this.recordItem = item;
     this.settledRecord = item && decodeItem(settledRecordSchema, item.value);
     if (this.settledRecord === undefined) return;
-    // If the store reports no era, an instance that starts later knows it from this record only.
+    // If the store reports no era, an instance that starts later learns it only from this record.
     this.eras.advanceTo(this.settledRecord.era);
     if (this.settledRecord.era === this.eras.current) this.settle("mark");
   }
