--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon of a gateway instance. SIGTERM and SIGINT shut it down gracefully, SIGHUP reloads the settings. The file is
- * also polled, because it may change without a signal.
+ * Runs a gateway instance as a daemon. SIGTERM and SIGINT shut it down gracefully. SIGHUP reads the settings again and applies
+ * the log level; the file is also polled, because it may change without a signal.
  * @module
  */
 import { statSync } from "node:fs";
