--- a/packages/gateway/src/feedReplication.ts
+++ b/packages/gateway/src/feedReplication.ts
@@ -8,7 +8,7 @@
 import type { PrefixChanges, PrefixFollower } from "./prefixFollower.js";
 import { type StoreEras, initialEra } from "./storeEras.js";
 
-/** What an instance already knows, sent to the reader that it asks. */
+/** State of an instance's copy, sent to a reader to request what is missing. */
 export interface FeedState {
   /** Revision of the newest configuration that the sender has; 0 before the first. */
   readonly configuration: number;
@@ -19,7 +19,7 @@
   readonly prefixes: Readonly<Record<string, number>>;
 }
 
-/** A reader's reply: what the requester does not know yet. */
+/** A reader's reply: the content that the requester lacks. */
 export interface FeedMessage {
   /** Left out if the sender has no fresh proof. */
   readonly vouch?: ConfigurationProof | undefined;
@@ -101,7 +101,7 @@
     if (storeAgeMs > this.maxStoreAgeMs) return false;
     this.eras.advanceTo(era);
     if (vouch) this.configuration.applyProof(vouch, askedAt);
-    // Revisions of an era that has ended, or of an earlier build that knows no eras, are not comparable with
+    // Revisions of an era that has ended, or of an earlier build without eras, are not comparable with
     // those of this instance.
     if (era < this.eras.current) return false;
     for (const [prefix, changes] of Object.entries(prefixes)) {
--- a/packages/gateway/src/feedTimings.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -26,14 +26,14 @@
 /** Two reads fit into the maximum age, so that a reader's messages are still applied if one read is lost. */
 const proofShare = 0.3;
 const storeAgeShare = 0.6;
-/** The rest of the time is for one listing, its retry, and the interval until the missing answer is noticed. */
+/** The rest of the time is for one listing, its retry, and the interval until the missing response is noticed. */
 const lifetimeShare = 0.5;
-/** Two readers can be asked within the feed's lifetime. */
+/** Two readers can be tried, one after the other, within the feed's lifetime. */
 const readerTimeoutShare = 0.2;
 
 /** A broken watch is detected within twice this share, and a listing and one report interval follow. */
 const watchShare = 0.3;
-/** Share that a missing record may add to the longest time until a change is known. */
+/** Share that a missing record may add to the longest time until a change is applied. */
 const unlistedShare = 0.2;
 
 /** Returns the time limits for a bound within which a change has to be applied. */
--- a/packages/gateway/src/fencedLeases.ts
+++ b/packages/gateway/src/fencedLeases.ts
@@ -1,5 +1,5 @@
 /**
- * Leases on names whose fencing tokens increase even when the store is restored from a snapshot.
+ * Acquires leases on names, with fencing tokens that increase even when the store is restored from a snapshot.
  *
  * The token is the revision at which the lease was acquired, as in earlier builds, plus an offset. A restored store assigns
  * revisions again, so the offset grows with each era by more revisions than can be lost. The offset is stored together with
--- a/packages/gateway/src/fencedOrders.ts
+++ b/packages/gateway/src/fencedOrders.ts
@@ -1,6 +1,7 @@
 /**
  * Sends orders until the platform refuses their fencing token. A refusal means that a higher token has been used, so this
- * instance is no longer the leader even if it believes so. From then on nothing is sent with that token.
+ * instance is no longer the leader even if its lease appears to be valid. From then on nothing is sent with that
+ * token.
  * @module
  */
 import { Failure, FailureCode, type Logger } from "@gladewall/kernel";
--- a/packages/gateway/src/fleetRoles.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -26,7 +26,7 @@
 /** Time in which a link is expected to be established; after it, the next instance is chosen in addition. */
 const linkTimeoutMs = 800;
 
-/** Chooses the readers, and knows whether this instance is a reader or a collector. */
+/** Chooses the readers, and determines whether this instance is a reader or a collector. */
 export class FleetRoles {
   private readers: readonly string[] = [];
   private ranking: readonly string[] = [];
--- a/packages/gateway/src/leaderTasks.ts
+++ b/packages/gateway/src/leaderTasks.ts
@@ -2,7 +2,7 @@
  * Runs the tasks that one elected instance, the leader, does for the whole fleet: reporting usage and ordering endpoints.
  *
  * The leader only acts while its lease, counted from when the renewal was sent, has a safety margin left. A new leader waits
- * until its predecessor can no longer believe that it holds the lease, even if the store let the lease expire early.
+ * until its predecessor can no longer regard its own lease as valid, even if the store let that lease expire early.
  * Leadership therefore can't pass from one instance to another and back within the alternation window.
  * @module
  */
@@ -114,13 +114,13 @@
     return { holder: name, fence: fence.value };
   }
 
-  /** Whether the platform refused the token of the lease; such a lease is given up, as the next one has a higher token. */
+  /** Whether the platform refused the token of the lease; such a lease is not kept, as the next one has a higher token. */
   private isFenceRefused(): boolean {
     const fence = this.holder.getFencingToken();
     return fence.isOk() && this.options.isFenceRefused(fence.value);
   }
 
-  /** Writes the marker to the store that a leader acts; the instance that creates it is the first leader ever. */
+  /** Writes the marker that some leader has acted to the store; the instance that creates it is the first leader ever. */
   private async writeMarker(): Promise<void> {
     const { store, markerKey } = this.options;
     const fence = this.holder.getFencingToken();
--- a/packages/gateway/src/limitGossip.ts
+++ b/packages/gateway/src/limitGossip.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges advertised limits among instances and answers requests for permits. Older builds ignore these messages, so permits
- * are requested only from instances that have sent limits themselves.
+ * Exchanges advertised limits among instances and replies to permit calls. Earlier builds ignore these messages, so permits are
+ * requested only from instances that have sent limits themselves.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
@@ -26,11 +26,11 @@
   readonly fleet: FleetTopology;
   readonly directory: EndpointDirectory;
   readonly limits: EndpointLimits;
-  /** Decides on a request for permits as the issuer. */
+  /** Decides on a permit call as the issuer. */
   readonly decide: (request: PermitCall, requester: string) => PermitReply;
 }
 
-/** Sends and receives limits, and answers requests for permits. */
+/** Sends and receives limits, and replies to permit calls. */
 export class LimitGossip {
   private readonly broadcaster: FleetBroadcast;
   /** Incarnations of peers that can issue permits, by name. */
@@ -75,7 +75,7 @@
       : { word: PermitDecision.Unknown, permits: 0, waitMs: 0 };
   }
 
-  /** Sends all known limits, or an empty list, because the message also tells the peer that permits are issued here. */
+  /** Sends all known limits, or an empty list, because the message also announces that this instance issues permits. */
   private sendToNewPeer({ name, incarnation }: PeerIdentity): void {
     if (this.issuerIncarnations.get(name) !== incarnation) this.issuerIncarnations.delete(name);
     const { limits, directory, fleet } = this.options;
--- a/packages/gateway/src/limitMessages.ts
+++ b/packages/gateway/src/limitMessages.ts
@@ -25,7 +25,7 @@
   readonly limits: readonly PeerLimit[];
 }
 
-/** A call to the issuer: requests permits for an endpoint, and reports the sender's view of its limit. */
+/** A permit call: requests permits for an endpoint from its issuer, and reports the sender's view of its limit. */
 export interface PermitCall extends PeerMessage, PeerLimit {
   /** Urgency of the request, 0 first. */
   readonly rank: number;
@@ -33,7 +33,7 @@
   readonly wanted: number;
 }
 
-/** An issuer's decision on a request for permits. */
+/** An issuer's decision on a permit call. */
 export enum PermitDecision {
   Granted = 1,
   Refused = 2,
@@ -43,7 +43,7 @@
   Unknown = 4,
 }
 
-/** Reply to a request for permits. */
+/** Reply to a permit call. */
 export interface PermitReply {
   readonly word: PermitDecision;
   readonly permits: number;
@@ -61,7 +61,7 @@
   return typeof life === "string" && isFinite(ageMs) && isLimit;
 }
 
-/** Whether the fields that a request for permits has beside the limit report are valid. */
+/** Whether the fields that a permit call has in addition to the limit report are valid. */
 export function isPermitCall({ rank, wanted }: Partial<PermitCall>): boolean {
   return isFinite(rank) && isFinite(wanted);
 }
--- a/packages/gateway/src/memberMessages.ts
+++ b/packages/gateway/src/memberMessages.ts
@@ -43,21 +43,21 @@
   readonly read?: PrefixReport;
   /** Left out in some reports. */
   readonly usage?: WindowCounts;
-  /** What the sender knows of the store's content; set if the sender asks the receiver for the rest. */
+  /** State of the sender's copy of the store's content; set if the sender requests the rest from the receiver. */
   readonly feed?: FeedState;
   /**
    * Whether the sender is a collector, which receives the reports of all instances. A reader's reply to it then
    * contains no view.
    */
   readonly hearsAll?: boolean;
-  /** Whether the sender has just become a collector and asks for the receiver's counts of the fleet. */
+  /** Whether the sender has just become a collector and requests the receiver's counts of the fleet. */
   readonly wantsCounts?: boolean;
 }
 
 /** Counts of a collector, sent to an instance that has just become one. */
 export interface CountsMessage extends PeerMessage {
   readonly kind: MemberMessageKind.Counts;
-  /** Number of the receiver's report that asked; the counts include the receiver's own up to that report. */
+  /** Number of the receiver's report that requested them; the counts include the receiver's own up to that report. */
   readonly sequence: number;
   readonly counters: CounterView;
 }
@@ -65,7 +65,7 @@
 /** A reader's reply to a report of a collector. */
 export interface FeedReply extends PeerMessage {
   readonly kind: MemberMessageKind.Feed;
-  /** Number of the receiver's report that asked. */
+  /** Number of the receiver's report that this replies to. */
   readonly sequence: number;
   readonly feed: FeedMessage;
 }
@@ -127,11 +127,11 @@
   Retry = 2,
 }
 
-/** A call to the arbiter of a workspace's limit: may the sender's total become this high? */
+/** A call to the arbiter of a workspace's limit: requests that the sender's total may rise to this value. */
 export interface QuotaCall extends PeerMessage {
   readonly kind: MemberMessageKind.QuotaCall;
   readonly workspace: string;
-  /** Units that the sender has taken since its start, including those it asks for. */
+  /** Units that the sender has taken since its start, including those that it requests. */
   readonly total: number;
   /** Milliseconds since the sender's start. */
   readonly uptime: number;
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -202,7 +202,7 @@
     return this.roles.getLinkedReaders();
   }
 
-  /** Name of the reader that is the arbiter for a subject; undefined if none can be asked. */
+  /** Name of the reader that is the arbiter for a subject; undefined if none is available. */
   findArbiter(subject: string): string | undefined {
     return this.arbiters.find(subject);
   }
@@ -407,7 +407,7 @@
     this.links.send(peer.name, message);
   }
 
-  /** An instance that is not a collector knows too little to decide. */
+  /** Decides as the arbiter; an instance that is not a collector lacks the counts to do so. */
   private answerAsk(call: QuotaCall, peer: PeerIdentity): QuotaReply {
     return this.roles.isCollector
       ? this.options.answerAsk(peer, call)
--- a/packages/gateway/src/permitClient.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -1,6 +1,6 @@
 /**
- * Obtains permits to send requests to endpoints that advertise a rate limit. One issuer for each incarnation gives them out to
- * all instances together; without an issuer, each instance keeps to a small share of the limit.
+ * Obtains permits to send requests to endpoints that advertise a rate limit. One issuer for each incarnation issues them to all
+ * instances together; without an issuer, each instance keeps to a small share of the limit.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -43,13 +43,13 @@
   readonly getFleetSize: () => number;
 }
 
-/** A request, and how many permits this instance asks for with it. */
+/** A request, and the number of permits that this instance requests for it and others. */
 interface PermitBatchRequest extends PermitRequest {
   /** Number of permits that can be used at once. */
   readonly wanted: number;
 }
 
-/** Who decided on a permit. Members are written to the log. */
+/** Which part decided on a permit. The names of the members are written to the log. */
 enum PermitSource {
   Own = 1,
   Issuer = 2,
@@ -63,7 +63,7 @@
   readonly word: PermitDecision;
 }
 
-/** Share of a request's remaining time that may pass while the issuer is asked, which is never longer than `maxReplyWaitMs`. */
+/** Share of a request's remaining time that a permit call may take; it never takes longer than `maxReplyWaitMs`. */
 const replyWaitShare = 0.1;
 const maxReplyWaitMs = 100;
 /** Time for which this instance requests no permit for an endpoint after its issuer did not reply. */
@@ -71,8 +71,8 @@
 /** Share of a limit that all instances together use without an issuer. */
 const issuerlessShare = 0.5;
 /**
- * Largest fleets in which each instance may save up one request: the tolerated burst is this many requests for each request a
- * second of the limit, and five more.
+ * Largest fleet in which each instance may save up one request without an issuer: this many instances for each request a second
+ * of the limit, plus the base. The tolerated burst is the same number of requests.
  */
 const issuerlessFleetPerLimit = 4;
 const issuerlessFleetBase = 5;
@@ -135,7 +135,7 @@
     return { source: PermitSource.Issuer, word, permits, waitMs: nextMs };
   }
 
-  /** Decides on a request for permits as the issuer. */
+  /** Decides on a permit call as the issuer. */
   decide(
     { rank, wanted, ...report }: PeerLimit & Pick<PermitCall, "rank" | "wanted">,
     requester: string,
--- a/packages/gateway/src/permitIssuer.ts
+++ b/packages/gateway/src/permitIssuer.ts
@@ -27,11 +27,11 @@
 export interface PermitIssuerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Returns a random number from 0 to 1, to spread the repeated requests of instances. */
+  /** Returns a random number from 0 to 1, to spread the retried calls of instances. */
   readonly getRandom: () => number;
 }
 
-/** Permits of one incarnation, from the first request on. */
+/** Permits of one incarnation, from the first call on. */
 interface IssuerState {
   /** Permits issued and not yet drained; full at the start, because a previous issuer may have issued permits just before. */
   readonly bucket: LeakyBucket;
@@ -58,24 +58,24 @@
 /** For a high limit, the permits of this many seconds may be saved up. */
 const depthSeconds = 0.05;
 /**
- * Share of the limit that the second issuer in the order of preference gives out; each further one gives half of the one before.
+ * Share of the limit that the second issuer in the order of preference issues; each further one issues half of the one before.
  */
 const secondIssuerShare = 0.2;
-/** Longest time until an issuer that is not the first is asked again, because the first may have returned. */
+/** Maximum wait that an issuer other than the first returns, because the first may be reachable again by then. */
 const otherIssuerMaxWaitMs = 2_000;
-/** Requests for permits a second for one incarnation: a base, and so many for each permit a second, up to a maximum. */
+/** Maximum permit calls a second for one incarnation: a base plus this many for each permit a second, up to a cap. */
 const baseRequestsPerSecond = 1;
 const requestsPerPermit = 2;
 const maxRequestsPerSecond = 100;
-/** Time for which an instance counts as waiting after it may ask again. */
+/** Time for which an instance counts as waiting after the time at which it may call again. */
 const requesterWindowMs = 5_000;
 /**
- * Time for which a permit is reserved for more urgent requests after one was asked for; the longer of these milliseconds and this
- * many intervals between permits.
+ * Time for which a permit is reserved for more urgent requests after one was requested for them; the longer of these milliseconds
+ * and this many intervals between permits.
  */
 const minUrgentReserveMs = 2_000;
 const urgentReservePeriods = 2;
-/** Time without requests after which an incarnation is forgotten. */
+/** Time without calls after which the state of an incarnation is dropped. */
 const idleMs = 60_000;
 /** Incarnations at a time: enough when all endpoints of a fleet are overloaded. */
 const maxIncarnations = 2_048;
@@ -92,7 +92,7 @@
     return new PermitIssuer(options);
   }
 
-  /** Decides on a request: grants permits, or returns the time until it may be repeated. */
+  /** Decides on a call: grants permits, or returns the time until it may be retried. */
   issue(request: PermitCallArguments): PermitGrant {
     const { wanted, rank, requester } = request;
     const time = this.options.clock.getTime();
@@ -159,7 +159,7 @@
     return false;
   }
 
-  /** Milliseconds until the next permit, but long enough to keep the requests of all waiting instances within the bound. */
+  /** Milliseconds until the next permit, but long enough to keep the calls of all waiting instances within the bound. */
   private getWaitMs(
     { requesters, bucket, place }: IssuerState,
     missing: number,
@@ -183,9 +183,8 @@
 }
 
 /**
- * Share of the limit that an issuer gives out. Instances may disagree on the issuer, because some can't reach the first one. All
- * issuers together stay within one and a half times the limit: the first gives out all of it, the others a fifth, a tenth and so
- * on.
+ * Share of the limit that an issuer issues. Instances may disagree on the issuer, because some can't reach the first one. All
+ * issuers together stay within one and a half times the limit: the first issues all of it, the others a fifth, a tenth and so on.
  */
 function getShare(place: number): number {
   return place === 0 ? 1 : secondIssuerShare / 2 ** (place - 1);
--- a/packages/gateway/src/placementRelay.ts
+++ b/packages/gateway/src/placementRelay.ts
@@ -4,7 +4,7 @@
  * knows the work of others after some 20 ms instead of the 400 ms of a report and a view.
  *
  * Placements are numbered, and a view states the number up to which it includes them, so that none is counted twice. Prompt
- * parts that endpoints have read are sent along with them.
+ * parts that endpoints have processed are sent along with them.
  * @module
  */
 import { type Clock, type Timer } from "@gladewall/kernel";
@@ -28,12 +28,13 @@
  */
 const batchMs = 20;
 /**
- * Most placements in one message, of some 20 bytes each: an instance receives at most 16 KB/s of them, whatever the load.
+ * Maximum number of placements in one message, of some 20 bytes each: an instance receives at most 16 KB/s of them, whatever
+ * the load.
  */
 const maxEntries = 16;
-/** Most prompt parts in one message, as many as in one instance's report; further ones are only unknown to the receivers. */
+/** Maximum number of prompt parts in one message, as many as in one report; the receivers don't learn of further ones. */
 const maxParts = 64;
-/** A subscription ends if the instance has not called this reader for this long, because it then uses another reader. */
+/** A subscription ends if the instance sends no report to this reader for this time, because it then uses another reader. */
 const subscriptionTtlMs = 1_500;
 /** Replaces an instance's own placements in its message, so that all instances receive the same numbers. */
 const ownPlacement: PlacementEntry = ["", 0];
@@ -43,10 +44,10 @@
   private queue: QueuedPlacement[] = [];
   /** Number of the first placement in the queue. */
   private first = 1;
-  /** Prompt parts that endpoints have read, to be sent with the next placements. */
+  /** Prompt parts that endpoints have processed, to be sent with the next placements. */
   private read: Record<string, string[]> = {};
   private partCount = 0;
-  /** Monotonic time at which each instance last called this reader. */
+  /** Monotonic time at which each instance last sent a report to this reader. */
   private readonly subscribers = new Map<string, number>();
   private timer: Timer | undefined;
 
@@ -76,7 +77,7 @@
     this.timer ??= this.options.clock.startTimer(batchMs, () => this.flush());
   }
 
-  /** Adds prompt parts that endpoints have read, as an instance reports them. */
+  /** Adds prompt parts that endpoints have processed, as an instance reports them. */
   addReadParts(report: PrefixReport): void {
     if (this.subscribers.size === 0) return;
     for (const [endpoint, parts] of Object.entries(report)) {
@@ -113,7 +114,7 @@
   queue: readonly QueuedPlacement[],
   read: PrefixReport,
 ): PlacementRelayMessage {
-  // Only the latest are sent, because the next view includes older ones sooner.
+  // Only the latest are sent, because the next view, which includes all, arrives sooner after an older placement.
   const latest = queue.slice(-maxEntries);
   const entries = latest.map(({ sender, entry }) => (sender === receiver ? ownPlacement : entry));
   return {
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -22,8 +22,8 @@
 export interface Removal {
   readonly cause: RemovalCause;
   /**
-   * Milliseconds since the store last failed the instance that sent the removal; undefined if this instance
-   * read it from the store itself.
+   * Milliseconds since a call to the store last failed at the instance that sent the removal; undefined if this
+   * instance read it from the store itself.
    */
   readonly troubleAgeMs: number | undefined;
 }
@@ -163,9 +163,9 @@
   }
 
   /**
-   * Applies the changes that another follower sent; `troubleAgeMs` is the time since the store last failed that
-   * follower. Changes of another era than the current one are discarded, and so are changes without a listing
-   * if this follower has no listing of that era.
+   * Applies the changes that another follower sent; `troubleAgeMs` is the time since a call of that follower's
+   * instance to the store last failed. Changes of another era than the current one are discarded, and so are
+   * changes without a listing if this follower has no listing of that era.
    */
   applyChanges(changes: PrefixChanges, troubleAgeMs: number): void {
     const { era = initialEra, revision, items, removed, isListing } = changes;
--- a/packages/gateway/src/prefixIndex.ts
+++ b/packages/gateway/src/prefixIndex.ts
@@ -8,7 +8,7 @@
 const maxParts = 4_000;
 /** Smaller parts are not reported, because they save too little prefill time: 256 tokens take 2 to 8 ms. */
 const minReportedTokens = 256;
-/** Most parts in one report; further ones are only unknown to peers. */
+/** Maximum number of parts in one report; peers don't learn of further ones. */
 const maxReportedParts = 64;
 
 /** Removed endpoints that are remembered, so that a peer's late report does not add one again. */
--- a/packages/gateway/src/proofRequests.ts
+++ b/packages/gateway/src/proofRequests.ts
@@ -1,5 +1,5 @@
 /**
- * Requests configuration proofs from peers: an instance that the store refuses asks some linked peers, which
+ * Requests configuration proofs from peers: an instance that the store refuses calls some linked peers, which
  * the store may still serve.
  * @module
  */
@@ -22,14 +22,14 @@
 const askedPeerCount = 3;
 const requestTimeoutMs = 400;
 
-/** Sends and replies requests for configuration proofs. */
+/** Sends requests for configuration proofs, and replies to those of peers. */
 export class ProofRequests {
   private constructor(
     private readonly links: PeerLinks,
     private readonly getRandom: () => number,
   ) {}
 
-  /** Registers the handler that replies peers' requests with the follower's proof. */
+  /** Registers the handler that replies to peers' requests with the follower's proof. */
   static create(links: PeerLinks, follower: ConfigurationFollower, getRandom: () => number): ProofRequests {
     links.setHandler(ProofMessageKind.Request, (message) =>
       follower.createProof(message as ProofRequestMessage),
@@ -37,7 +37,7 @@
     return new ProofRequests(links, getRandom);
   }
 
-  /** Asks a few linked peers, chosen at random; returns the proofs of those that have one. */
+  /** Calls a few linked peers, chosen at random; returns the proofs of those that have one. */
   async ask(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
     const message: ProofRequestMessage = { kind: ProofMessageKind.Request, ...held };
     const replies = await Promise.all(
