--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -115,7 +115,7 @@
     );
   }
 
-  /** Opens the ports and starts following the store; the instance becomes ready as soon as it knows enough. */
+  /** Opens the ports and starts following the store; the instance becomes ready as soon as it can serve. */
   async start(): Promise<void> {
     const { instance, listen } = this.settings;
     this.parts.follower.start();
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Whether the instance accepts requests: it has a configuration, a recent proof of it, and the endpoints. */
+  /** Whether the instance accepts requests: it is not leaving and `canServe` is true. Logs changes. */
   isReady(): boolean {
     const isReady = this.leavingSince === undefined && canServe(this.parts);
     if (isReady !== this.wasReady) {
--- a/packages/gateway/src/gatewayItems.ts
+++ b/packages/gateway/src/gatewayItems.ts
@@ -21,7 +21,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly isFirstStart: boolean;
-  /** Whether this instance knows the store's content and writes on behalf of the fleet. */
+  /** Whether this instance has listed the gateway's own items and writes them on behalf of the fleet. */
   readonly isWriter: () => boolean;
   /** Returns the time of day. */
   readonly getTimeOfDay: () => number;
--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -43,7 +43,7 @@
   Run = 4,
 }
 
-/** What an instance knows of one workspace's limit. */
+/** Values of the gauges of one workspace's limit. */
 export interface QuotaGauges {
   /** Units that the fleet has taken, as far as this instance knows. */
   readonly getLevel: () => number;
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -105,7 +105,7 @@
   readonly counters: SharedCounters;
   readonly metrics: GatewayMetrics;
   readonly leaderTasks: LeaderTasks;
-  /** Whether reads of the store show everything that was acknowledged. */
+  /** Determines whether reads of the store show everything that was acknowledged. */
   readonly settling: EraSettling;
   readonly connectTimeoutMs: number;
   /** Sends the other instances immediately that prompt tokens were sent to an endpoint. */
@@ -199,7 +199,7 @@
 }
 
 /**
- * Whether an instance knows enough to serve: a configuration with a fresh proof, the endpoints, and the
+ * Whether an instance has what it needs to serve: a configuration with a fresh proof, the endpoints, and the
  * gateway's own items, which say what requests must not run.
  */
 export function canServe({
@@ -374,7 +374,7 @@
     getKnownShare: () => members.getKnownShare(),
     own: instance.name,
     arbiters: members.arbiters,
-    // An instance that knows the limits of endpoints also decides on retries.
+    // Builds that exchange the limits of endpoints also reply to retry calls.
     supportsRetryCalls: (name) => links.canIssuePermits(name),
     getFleetSize: () => members.getFleetSize(),
   });
--- a/packages/gateway/src/gatewaySettings.ts
+++ b/packages/gateway/src/gatewaySettings.ts
@@ -30,8 +30,8 @@
     readiness: createAddress("where the platform asks whether the instance is ready"),
     peers: createAddress("where other instances connect"),
     metrics: createAddress("where metrics are read", "127.0.0.1:0"),
-    // An instance knows enough to serve 0.1 to 0.3 s after its first port is open (logs of restarts); a refused
-    // caller retries much later.
+    // An instance is ready 0.1 to 0.3 s after its first port is open (logs of restarts); a refused caller retries
+    // much later.
     start_hold: createDuration(
       400,
       [0, minute],
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -88,7 +88,7 @@
 /** The members of the fleet, the links to them, and the messages between them. */
 export class Members implements Closeable {
   readonly links: PeerLinks;
-  /** Chooses the instances that decide for the fleet. */
+  /** Chooses the arbiter of each subject among the readers, and sends calls to it. */
   readonly arbiters: Arbiters;
   private readonly records: MemberRecords;
   private readonly roles: FleetRoles;
--- a/packages/gateway/src/prefixFollower.ts
+++ b/packages/gateway/src/prefixFollower.ts
@@ -278,9 +278,9 @@
     }
     for (const item of items) this.put(item);
     this.revision = Math.max(this.revision, revision);
-    // A listing does not show removals of items that this follower never knew. Asked for changes since an older
-    // revision, the follower therefore sends a complete listing. Without that, an instance fed by a reader that
-    // had just started kept using endpoints that were gone, without end.
+    // A listing does not show removals of items that this follower never knew. If changes since an older revision
+    // are requested, the follower therefore sends a complete listing. Without that, an instance fed by a reader
+    // that had just started kept using removed endpoints indefinitely.
     this.removalsCompleteFrom = Math.max(this.removalsCompleteFrom, revision);
     this.isListed = true;
   }
@@ -328,7 +328,7 @@
 
   private put(item: StoreItem): void {
     // A listing may be older than a removal that another follower sent; without this check it would add a
-    // removed endpoint again for good.
+    // removed endpoint again permanently.
     const knownRevision = this.items.get(item.key)?.revision ?? this.removed.get(item.key) ?? -1;
     if (knownRevision >= item.revision) return;
     this.items.set(item.key, item);
--- a/packages/gateway/src/prefixIndex.ts
+++ b/packages/gateway/src/prefixIndex.ts
@@ -1,6 +1,6 @@
 /**
- * Index of the prompt parts that endpoints were sent by this instance and its peers, and so may have in their prefix caches. It
- * is bounded by evicting the least recently used parts.
+ * Index of the prompt parts that endpoints have processed for this instance and its peers, and so may have in their prefix
+ * caches. It is bounded by evicting the least recently used parts.
  * @module
  */
 import type { PromptPart } from "./types.js";
@@ -14,10 +14,10 @@
 /** Removed endpoints that are remembered, so that a peer's late report does not add one again. */
 const maxRemoved = 256;
 
-/** Ids of prompt parts that an instance sent, by endpoint incarnation. */
+/** Ids of prompt parts that were processed for an instance, by endpoint incarnation. */
 export type PrefixReport = Readonly<Record<string, readonly string[]>>;
 
-/** Remembers which endpoints were sent which parts. */
+/** Records which endpoints have processed which parts. */
 export class PrefixIndex {
   /** Endpoint incarnations by part; the most recently used part last. */
   private readonly holders = new Map<string, Set<string>>();
@@ -33,15 +33,15 @@
     return new PrefixIndex();
   }
 
-  /** Whether an endpoint was sent a part. */
+  /** Whether an endpoint has processed a part. */
   holds(part: string, endpoint: string): boolean {
     return this.holders.get(part)?.has(endpoint) === true;
   }
 
-  /** Records that a request of this instance sent its prompt to an endpoint. */
+  /** Records that an endpoint has processed the prompt of a request of this instance; called at the first event. */
   noteSent(parts: readonly PromptPart[], endpoint: string): void {
-    // The last part is specific to the request: only the next request of its session contains it, and that arrives at this
-    // instance.
+    // The last part is specific to the request and not reported: only the next request of its session contains it, and that
+    // arrives at this instance.
     for (const { id, tokens } of parts.slice(0, -1)) {
       if (tokens < minReportedTokens || this.holds(id, endpoint) || this.unreportedCount >= maxReportedParts)
         continue;
