--- a/packages/coordination/src/leaseHolder.ts
+++ b/packages/coordination/src/leaseHolder.ts
@@ -100,7 +100,7 @@
     while (!signal.aborted) {
       if (this.held) await this.renew(this.held.granted);
       else await this.acquire();
-      // Jitter keeps the waiting instances from asking for the lease at the same time.
+      // Jitter keeps the waiting instances from trying to acquire the lease at the same time.
       await waitFor(clock, (ttlMs / renewalsPerTtl) * (0.75 + getRandom() / 4), signal);
     }
   }
--- a/packages/coordination/src/peerLinks.ts
+++ b/packages/coordination/src/peerLinks.ts
@@ -39,7 +39,7 @@
   readonly pingIntervalMs: number;
   /** Time without a message after which a link counts as lost, in milliseconds. */
   readonly lossTimeoutMs: number;
-  /** Maximum number of links that are kept open even if nobody sends over them. */
+  /** Maximum number of links that are kept open even if no messages are sent over them. */
   readonly maxPersistentLinks: number;
   readonly logger: Logger;
   /** Returns a number from 0 to 1, for jitter. */
@@ -310,8 +310,8 @@
   }
 
   /**
-   * Stops sending on a connection and closes it after the loss timeout. Until then calls in flight on it are answered,
-   * because the peer may not have switched to the other connection yet.
+   * Stops sending on a connection and closes it after the loss timeout. Until then calls in flight on it get their
+   * replies, because the peer may not have switched to the other connection yet.
    */
   private retire(connection: PeerConnection): void {
     const timer = this.options.clock.startTimer(this.options.lossTimeoutMs, () => {
--- a/packages/coordination/src/sharedLimits.ts
+++ b/packages/coordination/src/sharedLimits.ts
@@ -1,6 +1,6 @@
 /**
  * Divides limits among all entries. For each name one entry, the allocator (chosen by rendezvous hashing over the live
- * entries), allocates shares of the limit to the entries that ask. Shares follow demand and expire after a short time
+ * entries), allocates shares of the limit to the entries that request them. Shares follow demand and expire after a short time
  * unless they are renewed.
  *
  * How far the limit can be exceeded, and when:
@@ -8,7 +8,7 @@
  * - Entries partitioned from each other: not beyond rounding. An allocator divides only the part of the limit
  *   that belongs to the entries that it reaches. The others fall back to the equal split, which is the part it
  *   does not divide.
- * - First request of a name at an entry: by its equal split, once, until the allocator has answered.
+ * - First request of a name at an entry: by its equal split, once, until the allocator has replied.
  * - Allocator lost or replaced: the new one renews the shares that entries still hold, and allocates nothing
  *   else until all shares of the old one have expired. Entries without a share use the equal split: in total at
  *   most the limit once more, for at most the duration of one allocation.
@@ -148,8 +148,8 @@
 
   /**
    * Returns a share in proportion to demand, limited to the amount that is free. Surplus is spread over all
-   * live entries, not only over those that have asked, and one part is held back, so that the next entry that
-   * asks or joins gets a share.
+   * live entries, not only over those that have requested a share, and one part is held back, so that the next
+   * entry that requests one or joins gets a share.
    */
   private computeShare(
     table: AllocationTable,
--- a/packages/coordination/src/versionedDocument.ts
+++ b/packages/coordination/src/versionedDocument.ts
@@ -2,7 +2,7 @@
  * A versioned document stored under one key. It is followed by a watch and by messages from peers, and changed by
  * compare-and-swap.
  *
- * A follower never goes back to a lower version: the document with the highest version is active, whatever its
+ * A follower never reverts to a lower version: the document with the highest version is active, whatever its
  * source and the order of arrival. A service that holds an older document than the active one was restored from
  * a backup. Its response does not confirm what is current, and the follower writes the active document to it
  * again.
--- a/packages/gateway/src/quotaAllowances.ts
+++ b/packages/gateway/src/quotaAllowances.ts
@@ -10,7 +10,7 @@
  * | retries of runs while the limit is exhausted                   | `retryShare`          | slack                |
  * | units that instances took and have not reported yet, split     | `unreportedShare`     | share of the limit   |
  * | over the fleet                                                 |                       |                      |
- * | two arbiters at once: grants that one does not know of yet     | `arbiterOverlapShare` | share of the limit   |
+ * | two arbiters at once: grants not yet reported to the other     | `arbiterOverlapShare` | share of the limit   |
  *
  * @module
  */
--- a/packages/gateway/src/quotaCharges.ts
+++ b/packages/gateway/src/quotaCharges.ts
@@ -1,6 +1,6 @@
 /**
  * Charges requests to the limits of their workspaces, either by this instance's own counts or through the limit's arbiter.
- * Charges are counted by workspace, and logged if little of a limit is left.
+ * Charges are counted by workspace, and logged while at least half of the limit's capacity is taken.
  * @module
  */
 import type { Clock, Failure, Logger } from "@gladewall/kernel";
--- a/packages/gateway/src/readerSelection.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -1,11 +1,11 @@
 /**
- * Selects the reader that an instance asks for the store's content. A hash of their names spreads the instances
- * over the readers, and a reader that does not answer is skipped.
+ * Selects the reader from which an instance requests the store's content. A hash of their names spreads the
+ * instances over the readers, and a reader that does not reply in time is skipped.
  * @module
  */
 import { hashText } from "@gladewall/kernel";
 
-/** The selected reader, and the time of its last answer. */
+/** The selected reader, and the time of its last reply. */
 export class ReaderSelection {
   /** How often the selected reader was skipped for the next. */
   private skipCount = 0;
@@ -17,12 +17,12 @@
     private readonly timeoutMs: number,
   ) {}
 
-  /** `timeoutMs`: time without an answer after which a reader is skipped. */
+  /** `timeoutMs`: time without a reply after which a reader is skipped. */
   static create(own: string, timeoutMs: number): ReaderSelection {
     return new ReaderSelection(own, timeoutMs);
   }
 
-  /** Returns the reader to ask now; undefined if none is linked. */
+  /** Returns the reader to send requests to now; undefined if none is linked. */
   choose(linked: readonly string[], time: number): string | undefined {
     if (time - Math.max(this.answeredAt, this.selectedAt) > this.timeoutMs) this.skip(time);
     return linked[(hashText(this.own) + this.skipCount) % Math.max(1, linked.length)];
--- a/packages/gateway/src/readerViews.ts
+++ b/packages/gateway/src/readerViews.ts
@@ -19,7 +19,7 @@
   readonly countLinkedReaders: () => number;
 }
 
-/** The view in the last reply of the reader that this instance asks. */
+/** The view in the last reply of the selected reader. */
 export interface FleetView {
   readonly work: EndpointWork;
   readonly knownShare: number;
@@ -34,11 +34,11 @@
 
 /** Without a view for this long, an instance uses no more than its own part of shared limits. */
 const viewLifetimeMs = 1_500;
-/** A reader that started this much later than this instance knows less of what was counted before. */
+/** A reader that started this much later than this instance may lack what was counted before its start. */
 const uptimeToleranceMs = 1_000;
 const keptReports = 16;
 
-/** The last view, and the sent reports that a view may answer. */
+/** The last view, and the sent reports to which a view may be the reply. */
 export class ReaderViews {
   /** The last reports sent, by their number. */
   private readonly sentReports = new Map<number, SentReport>();
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Applies a view; returns whether it was used. A view whose reader knows less than this instance is
-   * discarded.
+   * Applies a view; returns whether it was used. A view is discarded if its reader started later than this
+   * instance and lacks counts from before its start that this instance has.
    */
   applyView({ sequence, counters, work, knownShare }: ViewMessage, peer: PeerIdentity): boolean {
     const report = this.sentReports.get(sequence);
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -118,7 +118,7 @@
     return undefined;
   }
 
-  /** Whether the instance has just started and does not know enough to serve yet; requests are held meanwhile. */
+  /** Whether the instance has just started and can't serve yet (see `canServe`); requests are held meanwhile. */
   private get isStarting(): boolean {
     const { parts } = this.options;
     if (canServe(parts)) return false;
@@ -207,7 +207,7 @@
     this.options.parts.metrics.countRefusal(failure.name, failure.status);
     if (failure.code === FailureCode.CallerGone || response.headersSent) return;
     const own = this.options.parts.platform.callers.createGatewayHeaders(request);
-    // The connection is closed because the unread rest of the body would be parsed as the next request.
+    // After `BodyTooLarge` the connection is closed, because the unread rest of the body would be parsed as the next request.
     const closes = this.options.getLeavingSince() !== undefined || failure.code === FailureCode.BodyTooLarge;
     writeProblemResponse(response, failure, own, closes);
     message.resume();
--- a/packages/gateway/src/responseWriter.ts
+++ b/packages/gateway/src/responseWriter.ts
@@ -6,7 +6,7 @@
 import type { Failure } from "@gladewall/kernel";
 import { copyResponseHeaders } from "./responseHeaders.js";
 
-/** Writes an endpoint's response whose body has been read completely. `closes` asks the caller to close the connection. */
+/** Writes an endpoint's response whose body has been read completely. `closes`: send `Connection: close`. */
 export function writeEndpointResponse(
   response: ServerResponse,
   method: string | undefined,
--- a/packages/gateway/src/retryBudget.ts
+++ b/packages/gateway/src/retryBudget.ts
@@ -16,7 +16,7 @@
   readonly ratio: number;
   /** Retries of a window allowed in addition. */
   readonly slack: number;
-  /** Returns the share of the fleet whose counts are known. */
+  /** Returns the share of the fleet whose counts this instance has received. */
   readonly getKnownShare: () => number;
   /** Selects the arbiters; omitted if there is only one instance. */
   readonly arbiters?: Pick<Arbiters, "find" | "call">;
@@ -51,7 +51,7 @@
     this.options.counters.add(CounterKind.Requests, service, 1);
   }
 
-  /** Takes one retry by the counts that this instance knows; returns false if the budget is exhausted. */
+  /** Takes one retry by the counts that this instance has, without a call; returns false if the budget is exhausted. */
   tryTake(service: string): boolean {
     if (!this.hasCapacity(service, 1)) return false;
     this.options.counters.add(CounterKind.Retries, service, 1);
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -1,5 +1,5 @@
 /**
- * The call by which an instance requests a retry from the service's arbiter. Builds that do not know the message are not
+ * The call by which an instance requests a retry from the service's arbiter. Builds that do not support the message are not
  * called.
  * @module
  */
@@ -43,7 +43,7 @@
     return new RetryLinks(fleet, decide);
   }
 
-  /** Replies `Unknown` if this instance does not receive the whole fleet's reports: it knows too little to decide. */
+  /** Replies `Unknown` if this instance does not receive the whole fleet's reports, because its counts are then incomplete. */
   private handleCall({ service, total, uptime }: RetryCall, peer: PeerIdentity): RetryReply {
     const isValid = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
     if (!this.fleet.isCollector || !isValid) return { word: GrantDecision.Unknown };
--- a/packages/gateway/src/sharedCounters.ts
+++ b/packages/gateway/src/sharedCounters.ts
@@ -29,7 +29,7 @@
   /** Milliseconds since the start of the instance. */
   readonly uptime: number;
   readonly totals: CounterTotals;
-  /** The fleet's sums as the sender knows them, for instances that started later. */
+  /** The fleet's sums as counted by the sender, for instances that started later. */
   readonly sums: CounterTotals;
 }
 
@@ -325,8 +325,8 @@
     const known = this.peers.get(peer);
     const isSameLife = known?.life === life;
     // If the peer has run for longer than every window, the adopted sums include what counts, and only later
-    // increases are new. The same holds for a young peer if a view has just been applied that did not say what
-    // it includes of each peer.
+    // increases are new. The same holds for a recently started peer if a view has just been applied that did not
+    // contain the totals of each peer that it includes.
     const mayBeIncluded = !this.hasPeerTotals && time - this.viewAppliedAt <= maxExtrapolationMs;
     const isYoung = uptime < this.longestWindow && !mayBeIncluded;
     if (isSameLife || isYoung) {
--- a/packages/gateway/src/storeEras.ts
+++ b/packages/gateway/src/storeEras.ts
@@ -55,7 +55,7 @@
   Answer = 1,
   /** A response had a revision below one that was known. */
   Revision = 2,
-  /** Another instance knew it. */
+  /** Another instance reported it. */
   Peer = 3,
 }
 
@@ -76,7 +76,7 @@
   return from !== initialEra || revisionBefore > 0;
 }
 
-/** Whether a call was sent in one era and answered in another, because the store was restored in between. */
+/** Whether a call was sent in one era and its response belongs to another, because the store was restored in between. */
 export function isAnsweredAfterRestore(start: CallStart, { era }: StorePosition): boolean {
   return start.era !== era && isRestore({ from: start.era, revisionBefore: start.revision });
 }
@@ -171,7 +171,7 @@
     return { era: this.known, revision };
   }
 
-  /** Applies an era that another instance knows. What is known of earlier eras is no longer used. */
+  /** Applies an era that another instance reported, if it is newer. State of earlier eras is no longer used. */
   advanceTo(era: number): void {
     if (Number.isFinite(era) && era > this.known) this.changeEra(era, EraSource.Peer);
   }
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -1,6 +1,6 @@
 /**
- * Obtains the store's content for an instance that is not a reader: from the reader that it asks, or from the
- * store itself while no reader feeds it.
+ * Obtains the store's content for an instance that is not a reader: from its selected reader, or from
+ * the store itself while no reader sends it.
  * @module
  */
 import type { Clock, Logger } from "@gladewall/kernel";
@@ -28,7 +28,7 @@
 export class StoreFeed {
   private readonly feed: FeedReplication;
   private readonly selection: ReaderSelection;
-  /** Time at which a reader that the store serves last answered. */
+  /** Time of the last reply from a reader that the store serves. */
   private lastFedAt = -Infinity;
 
   private constructor(private readonly options: StoreFeedOptions) {
@@ -47,25 +47,25 @@
   }
 
   /**
-   * Whether this instance asks the readers. A reader does so too while the store refuses it, because it would
+   * Whether this instance requests content from readers. A reader does so too while the store refuses it, because it would
    * otherwise keep using endpoints that have left.
    */
   isAsking(isReader: boolean): boolean {
     return !isReader || this.options.configuration.isStoreLost;
   }
 
-  /** Returns the reader to ask now; undefined if this instance asks none or none is linked. */
+  /** Returns the reader to send requests to now; undefined if this instance needs none or none is linked. */
   chooseReader(isReader: boolean, linked: readonly string[]): string | undefined {
     if (!this.isAsking(isReader)) return undefined;
     return this.selection.choose(linked, this.options.clock.getTime());
   }
 
-  /** Returns what this instance already knows, for the reader that it asks. */
+  /** Returns what this instance already has, sent with a request so that the reader can leave it out. */
   getState(): FeedState {
     return this.feed.getState();
   }
 
-  /** Creates the message with everything that this instance knows and the requester does not. */
+  /** Creates the message with everything that this instance has and the requester lacks. */
   createMessage(state: FeedState): FeedMessage {
     return this.feed.createMessage(state);
   }
@@ -89,7 +89,7 @@
     this.options.logger.info("feed.passed-over", { era, storeAgeMs: Math.round(storeAgeMs) });
   }
 
-  /** Sets the role that follows from whether this instance is a reader and whether a reader feeds it. */
+  /** Sets the role that follows from whether this instance is a reader and whether a reader sends it the store's content. */
   setRole(isReader: boolean): void {
     const ownRole = this.isActive ? StoreRole.ViaReader : StoreRole.Direct;
     this.feed.setRole(isReader ? StoreRole.Reader : ownRole);
--- a/packages/gateway/src/suspectGate.ts
+++ b/packages/gateway/src/suspectGate.ts
@@ -103,7 +103,8 @@
   }
 
   /**
-   * Endpoints that this request must not be sent to. Includes this instance's hold-offs, because the arbiter does not know them.
+   * Endpoints that this request must not be sent to. Includes endpoints on hold-off at this instance,
+   * because the arbiter has no record of its hold-offs.
    */
   private getExcluded({ service, excluded }: SuspectRequest): readonly string[] {
     const { clock, getEndpoints } = this.options;
@@ -128,7 +129,7 @@
     return down.length > usable.length * maxDownShare;
   }
 
-  /** Clears a request that was answered completely. */
+  /** Clears a request whose complete response was received. */
   clear({ workspace, fingerprint }: CrashSubject): void {
     const { records, broadcast, logger } = this.options;
     const incarnations = records.getUncleared(fingerprint);
@@ -151,7 +152,7 @@
       if (!hasEnded) endTrial(service, incarnation, subject.fingerprint);
       hasEnded = true;
     };
-    // The endpoint may have announced meanwhile that it is leaving, or a hold-off.
+    // The endpoint may have announced meanwhile that it is leaving, or requested a hold-off.
     if (endpoint?.acceptsRequest(clock.getTime()) && isRunnable(state)) return Ok({ endpoint, end });
     end();
     return Err(createBusyRefusal(service));
--- a/packages/gateway/src/trialScheduler.ts
+++ b/packages/gateway/src/trialScheduler.ts
@@ -25,11 +25,11 @@
   Busy = 2,
   /** It may not run now. */
   Refused = 3,
-  /** The receiver does not know enough to decide. */
+  /** The receiver lacks the state to decide. */
   Unknown = 4,
 }
 
-/** Reply to a request for a trial. */
+/** Reply to a call for a trial. */
 export interface TrialReply {
   readonly word: TrialDecision;
   /** Incarnation of the endpoint, if the trial is granted. */
@@ -61,7 +61,7 @@
 const maxTrialMs = 1_500;
 /** Share of a service's endpoints that may be down or used by trials at the same time. */
 const maxUnavailableShare = 0.5;
-/** Requests that may wait for an endpoint; further ones are answered `Busy` at once. */
+/** Requests that may wait for an endpoint; further ones get the reply `Busy` at once. */
 const maxWaiting = 256;
 
 const busy: TrialReply = { word: TrialDecision.Busy };
@@ -93,7 +93,7 @@
     });
   }
 
-  /** Ends a trial that is over, or has lasted long enough. */
+  /** Ends a trial whose run has ended or whose time has expired, and frees the endpoint. */
   end(incarnation: string, fingerprint: string): void {
     if (this.grants.get(incarnation)?.fingerprint === fingerprint) this.release(incarnation);
   }
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -115,7 +115,11 @@
     }
   }
 
-  /** Whether a window may be reported; one from before this process only if committed, as the counts may be incomplete. */
+  /**
+   * Whether a window may be reported: if it is committed, or if its counts are complete here and can't have been
+   * reported and lost before. Counts may be incomplete for windows more than one before the first that this process
+   * counted or restored.
+   */
   private isReportable(window: number): boolean {
     const { getItem, committed } = this.options;
     const isCommitted =
--- a/packages/policy/src/rowLimiter.ts
+++ b/packages/policy/src/rowLimiter.ts
@@ -66,7 +66,7 @@
     return Ok.EMPTY;
   }
 
-  /** Releases an admitted request and refunds `unused`, the tokens that it was charged for and did not use. */
+  /** Releases an admitted request and refunds `unusedTokens`, which it was charged for and did not use. */
   release(unusedTokens: number): void {
     this.active -= 1;
     if (unusedTokens > 0) this.tokens.refund(unusedTokens);
