--- a/packages/coordination/src/serviceBudget.ts
+++ b/packages/coordination/src/serviceBudget.ts
@@ -1,6 +1,7 @@
 /**
  * Limits the calls that this process makes to the key-value service to its part of the service's rate limit. Calls
- * of a more urgent kind go first; a call that has waited too long fails with `ServiceBudgetSpent`, without reaching the service.
+ * of a more urgent kind go first; a call that has waited too long fails with `ServiceBudgetSpent`, without reaching
+ * the service.
  * @module
  */
 import { type Clock, Failure, FailureCode, type Metrics, TokenBucket } from "@gladewall/kernel";
--- a/packages/coordination/src/sharedLimits.ts
+++ b/packages/coordination/src/sharedLimits.ts
@@ -1,7 +1,7 @@
 /**
  * Divides limits among all entries. For each name one entry, the allocator (chosen by rendezvous hashing over the live
- * entries), allocates shares of the limit to the entries that request them. Shares follow demand and expire after a short time
- * unless they are renewed.
+ * entries), allocates shares of the limit to the entries that request them. Shares follow demand and expire after a
+ * short time unless they are renewed.
  *
  * How far the limit can be exceeded, and when:
  * - One allocator, all entries linked: not at all. The unexpired allocations never add up to more than the limit.
--- a/packages/coordination/src/versionedDocument.ts
+++ b/packages/coordination/src/versionedDocument.ts
@@ -101,7 +101,7 @@
   }
 
   /**
-   * Takes a peer's message that `version` was current `age` milliseconds ago. This confirms the own document if
+   * Applies a peer's message that `version` was current `age` milliseconds ago. This confirms the own document if
    * its version is not lower. The age is the time since the peer's own last confirmation, so that two entries
    * that are partitioned together cannot keep each other current.
    */
@@ -109,7 +109,7 @@
     if (version <= this.version) this.confirm(age);
   }
 
-  /** Takes a document from a peer that was current `age` milliseconds ago; returns whether it became active. */
+  /** Applies a document from a peer that was current `age` milliseconds ago; returns whether it became active. */
   offer(bytes: Uint8Array, age: number): boolean {
     const decoded = this.options.codec.decode(bytes);
     if (decoded.isErr()) {
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -207,7 +207,8 @@
     this.options.parts.metrics.countRefusal(failure.name, failure.status);
     if (failure.code === FailureCode.CallerGone || response.headersSent) return;
     const own = this.options.parts.platform.callers.createGatewayHeaders(request);
-    // After `BodyTooLarge` the connection is closed, because the unread rest of the body would be parsed as the next request.
+    // After `BodyTooLarge` the connection is closed, because the unread rest of the body would be parsed as the next
+    // request.
     const closes = this.options.getLeavingSince() !== undefined || failure.code === FailureCode.BodyTooLarge;
     writeProblemResponse(response, failure, own, closes);
     message.resume();
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -1,6 +1,6 @@
 /**
- * The call by which an instance requests a retry from the service's arbiter. Builds that do not support the message are not
- * called.
+ * The call by which an instance requests a retry from the service's arbiter. Builds that do not support the message
+ * are not called.
  * @module
  */
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
@@ -43,7 +43,10 @@
     return new RetryLinks(fleet, decide);
   }
 
-  /** Replies `Unknown` if this instance does not receive the whole fleet's reports, because its counts are then incomplete. */
+  /**
+   * Replies `Unknown` if this instance does not receive the whole fleet's reports, because its counts are then
+   * incomplete.
+   */
   private handleCall({ service, total, uptime }: RetryCall, peer: PeerIdentity): RetryReply {
     const isValid = typeof service === "string" && Number.isFinite(total) && Number.isFinite(uptime);
     if (!this.fleet.isCollector || !isValid) return { word: GrantDecision.Unknown };
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Whether this instance requests content from readers. A reader does so too while the store refuses it, because it would
-   * otherwise keep using endpoints that have left.
+   * Whether this instance requests content from readers. A reader does so too while the store refuses it,
+   * because it would otherwise keep using endpoints that have left.
    */
   isAsking(isReader: boolean): boolean {
     return !isReader || this.options.configuration.isStoreLost;
@@ -89,7 +89,10 @@
     this.options.logger.info("feed.passed-over", { era, storeAgeMs: Math.round(storeAgeMs) });
   }
 
-  /** Sets the role that follows from whether this instance is a reader and whether a reader sends it the store's content. */
+  /**
+   * Sets the role that follows from whether this instance is a reader and whether a reader sends it the store's
+   * content.
+   */
   setRole(isReader: boolean): void {
     const ownRole = this.isActive ? StoreRole.ViaReader : StoreRole.Direct;
     this.feed.setRole(isReader ? StoreRole.Reader : ownRole);
