--- a/packages/entry/src/attempt.ts
+++ b/packages/entry/src/attempt.ts
@@ -61,7 +61,7 @@
     return result;
   }
 
-  /** Attaches to the run that a request already has at an endpoint. This starts no run and repeats no work. */
+  /** Attaches to the run that a request already has at an endpoint. This starts no run and computes nothing again. */
   async attach(request: ActiveRequest, endpoint: Endpoint): Promise<Result<void, Failure>> {
     const attempt = request.run?.attempt ?? 1;
     const options = { endpoint, attempt, prefillTokens: 0, cacheSource: undefined, rest: undefined };
--- a/packages/entry/src/backupStore.ts
+++ b/packages/entry/src/backupStore.ts
@@ -106,7 +106,7 @@
 
   private handleCopy(message: CopyMessage, holder: PeerIdentity): CopyReply {
     const { envelope } = message;
-    // This entry has taken the request over, and its former holder does not know that yet.
+    // This entry has taken the request over, and its former holder has not learned of that yet.
     if (this.parts.requests.isHeld(envelope.id))
       return { isHeld: true, existing: undefined, existingBody: undefined };
     const existing = message.isHome ? undefined : this.findKey(envelope.keyDigest);
--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -61,7 +61,7 @@
   readonly request: ActiveRequest;
   /** Peers that hold a copy, each with the progress that it has acknowledged, which differs between peers. */
   readonly peers: Map<string, BackupProgress>;
-  /** Whether its backup has been asked to take it over. Until that is decided, no other backup is selected. */
+  /** Whether its backup was requested to take it over. Until the reply arrives, no other backup is selected. */
   isHandoverPending: boolean;
 }
 
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Sends a copy to a peer. Resolves with undefined when the copy is held or no peer accepted it, or with the other
+   * Sends a copy to a peer. Resolves with undefined when a peer stored the copy or none accepted it, or with the other
    * request if one has the same key.
    */
   async replicate(request: ActiveRequest): Promise<KeyConflict | undefined> {
@@ -120,7 +120,7 @@
     if (replicated?.peers.size === 0) this.replicated.delete(request.envelope.id);
   }
 
-  /** Tells the backups never to start a request; returns whether all of them have agreed. */
+  /** Instructs the backups never to start a request; returns whether all of them have agreed. */
   async forbidStart(request: ActiveRequest): Promise<boolean> {
     const peers = [...(this.replicated.get(request.envelope.id)?.peers.keys() ?? [])];
     const message = { kind: PeerKind.NeverStart, request: request.envelope.id };
@@ -297,7 +297,7 @@
     sender.isRunning = false;
   }
 
-  /** Stops using a peer that did not reply, and tells it so, because it may still hold its copy. */
+  /** Stops using a peer that did not reply, and notifies it, because it may still hold its copy. */
   private dropPeer(peer: string, replicated: ReplicatedRequest): void {
     const message: DropMessage = { kind: PeerKind.Drop, request: replicated.request.envelope.id };
     this.parts.links.send(peer, message);
--- a/packages/entry/src/claimClient.ts
+++ b/packages/entry/src/claimClient.ts
@@ -1,7 +1,7 @@
 /**
  * Records and looks up claims of requests that may run only once. A claim goes through the preferred writer of its
  * shard, so that one entry's compare-and-swap operations carry the claims of all entries. If that writer does not
- * answer, this entry writes the claim itself.
+ * reply, this entry writes the claim itself.
  * @module
  */
 import {
--- a/packages/entry/src/claimGuard.ts
+++ b/packages/entry/src/claimGuard.ts
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Records the claim of a request unless it may be repeated or is claimed already. `isTakenOver` says that this entry
+   * Records the claim of a request unless it may be retried or is claimed already. `isTakenOver` says that this entry
    * took the request over; it may then start the request only with a claim of its own. Fails with `ClaimUnavailable`.
    */
   async ensureClaim(
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -1,6 +1,6 @@
 /**
  * Parses a caller's request into an envelope: the service, the class and the model parameters, and whether the request
- * may be repeated after a failure.
+ * may be retried after a failure.
  * @module
  */
 import { createHash, randomBytes } from "node:crypto";
@@ -36,7 +36,7 @@
   return id.slice(0, id.lastIndexOf("."));
 }
 
-/** Directives in a caller's request headers: class, idempotency key, and whether the request must not be repeated. */
+/** Directives in a caller's request headers: class, idempotency key, and whether the request must not be retried. */
 export interface RequestDirectives {
   readonly class: string;
   /** Value of `Idempotency-Key`; undefined without the header. */
@@ -162,7 +162,7 @@
   readonly arrived: number;
 }
 
-/** Creates an envelope. The request may be repeated only if the caller, the policy row and the service all allow it. */
+/** Creates an envelope. The request may be retried only if the caller, the policy row and the service all allow it. */
 export function createEnvelope(input: EnvelopeInput): Envelope {
   const { directives, row, service } = input;
   const forbidsRepeat =
--- a/packages/entry/src/gossip.ts
+++ b/packages/entry/src/gossip.ts
@@ -30,7 +30,7 @@
 
 /** Exchanges configuration versions and membership updates with peers. */
 export class Gossip {
-  /** Names of the peers that have been asked for their configuration and have not replied yet. */
+  /** Names of the peers from which the configuration was requested and that have not replied yet. */
   private readonly pendingPeers = new Set<string>();
 
   private constructor(
--- a/packages/entry/src/keyLookup.ts
+++ b/packages/entry/src/keyLookup.ts
@@ -52,7 +52,7 @@
     return found && { request: found.id, body: found.bodyDigest };
   }
 
-  /** Returns the request with a key at any entry; fails if the home or the claim store cannot be asked. */
+  /** Returns the request with a key at any entry; fails if the home or the claim store can't be reached. */
   async find(envelope: Envelope): Promise<Result<KeyConflict | undefined, Failure>> {
     const { keyDigest } = envelope;
     if (keyDigest === undefined) return Ok(undefined);
--- a/packages/entry/src/modelResponse.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -12,7 +12,7 @@
 import { type ResponseChunk, ModelForm, type Usage } from "./types.js";
 
 const millisecondsPerSecond = 1000;
-/** Time after which a caller reconnects to a stream that another entry continues. */
+/** Reconnection time sent to the caller of a stream that another entry continues. */
 const movedRetryMs = 100;
 
 /** Formats the responses of one model form. */
--- a/packages/entry/src/peerKinds.ts
+++ b/packages/entry/src/peerKinds.ts
@@ -112,7 +112,7 @@
   readonly unknown: readonly string[];
 }
 
-/** A leaving holder asks a backup to take requests over. */
+/** A leaving holder hands requests over to a backup. */
 export interface HandoverMessage extends PeerMessage {
   readonly kind: PeerKind.Handover;
   readonly requests: readonly string[];
@@ -123,19 +123,19 @@
   readonly taken: readonly string[];
 }
 
-/** A holder tells a backup never to start a request by itself. */
+/** A holder instructs a backup never to start a request by itself. */
 export interface NeverStartMessage extends PeerMessage {
   readonly kind: PeerKind.NeverStart;
   readonly request: string;
 }
 
-/** A holder tells a peer that it is no longer the backup of a request. */
+/** A holder notifies a peer that it is no longer the backup of a request. */
 export interface DropMessage extends PeerMessage {
   readonly kind: PeerKind.Drop;
   readonly request: string;
 }
 
-/** Asks the home of a key which request the key was used for. */
+/** Requests the id of the request that a key was used for from the key's home. */
 export interface FindKeyMessage extends PeerMessage {
   readonly kind: PeerKind.FindKey;
   readonly keyDigest: string;
@@ -156,13 +156,13 @@
   Copied = 2,
 }
 
-/** Asks whether a peer has a request. */
+/** Queries whether a peer has a request. */
 export interface LocateMessage extends PeerMessage {
   readonly kind: PeerKind.Locate;
   readonly request: string;
 }
 
-/** Asks the holder of a request to cancel it. */
+/** Requests the holder of a request to cancel it. */
 export interface CancelMessage extends PeerMessage {
   readonly kind: PeerKind.Cancel;
   readonly request: string;
@@ -173,7 +173,7 @@
   readonly state: HoldState;
 }
 
-/** Asks the holder of a request to send its response, from the beginning. */
+/** Requests the holder of a request to send its response, from the beginning. */
 export interface FollowMessage extends PeerMessage {
   readonly kind: PeerKind.Follow;
   readonly request: string;
@@ -202,7 +202,7 @@
   readonly isMoved: boolean;
 }
 
-/** Asks the preferred writer of a shard to record a claim. */
+/** Requests the preferred writer of a shard to record a claim. */
 export interface ClaimMessage extends PeerMessage {
   readonly kind: PeerKind.Claim;
   readonly claim: Claim;
@@ -214,14 +214,14 @@
   readonly claim: Claim | undefined;
 }
 
-/** Asks the allocator of a row for a share of its limits. */
+/** Requests a share of a row's limits from the row's allocator. */
 export interface AskShareMessage extends PeerMessage {
   readonly kind: PeerKind.AskShare;
   readonly row: string;
   readonly demand: ShareDemand;
 }
 
-/** Reply to `AskShare`; undefined if the entry does not know the row or cannot allocate shares of it now. */
+/** Reply to `AskShare`; undefined if the row is unknown to the entry or it cannot allocate shares of it now. */
 export interface ShareReply {
   readonly amounts: Amounts | undefined;
 }
--- a/packages/entry/src/plugins/httpCall.ts
+++ b/packages/entry/src/plugins/httpCall.ts
@@ -9,7 +9,7 @@
 
 /** Whether a call changes something at the server, which decides the failure if its response is lost. */
 export enum CallEffect {
-  /** Repeating the call does no harm, as with a read. */
+  /** The call is idempotent, as a read is. */
   None = 1,
   /** The call writes. Once bytes were sent, a missing response leaves its effect unknown. */
   Change = 2,
--- a/packages/entry/src/plugins/httpPlatform.ts
+++ b/packages/entry/src/plugins/httpPlatform.ts
@@ -18,7 +18,7 @@
 
 const statusUnchanged = 304;
 
-/** Client of the instance list. It sends the last entity tag, so that an unchanged list is answered by status 304. */
+/** Client of the instance list. Sends the last entity tag, so that an unchanged list gives a 304 without a body. */
 class HttpInstanceList implements InstanceList {
   private readonly pool: Pool;
   private tag: string | undefined;
--- a/packages/entry/src/plugins/openaiEngine.ts
+++ b/packages/entry/src/plugins/openaiEngine.ts
@@ -148,7 +148,7 @@
 ): Failure {
   if (isResume && status === statusNotFound)
     return Failure.create(FailureCode.EndpointRunUnknown, { endpoint });
-  // The request certainly did not run only if the endpoint says so by `x-run-started: no`.
+  // The request certainly did not run only if the endpoint reports `x-run-started: no`.
   if (!isStarted) return Failure.create(FailureCode.EndpointRefused);
   if (status >= 400 && status < 500 && status !== 408 && status !== 429) {
     return Failure.create(FailureCode.BadRequest, { detail: getErrorMessage(body) }).withOutcome(Outcome.Ran);
--- a/packages/entry/src/requests.ts
+++ b/packages/entry/src/requests.ts
@@ -36,7 +36,7 @@
   attemptStop = new AbortController();
   run: CurrentRun | undefined;
   /**
-   * Whether this entry may send a request that must not be repeated: it has won the claim, or all backups have agreed
+   * Whether this entry may send a request that must not be retried: it has won the claim, or all backups have agreed
    * never to start the request.
    */
   isClaimed = false;
--- a/packages/entry/src/responseFetcher.ts
+++ b/packages/entry/src/responseFetcher.ts
@@ -101,7 +101,7 @@
     return request !== undefined;
   }
 
-  /** Asks the entry that accepted the request first, then all other linked entries. */
+  /** Queries the entry that accepted the request first, then all other linked entries. */
   private async locate(id: string): Promise<readonly [holder: string | undefined, isCopied: boolean]> {
     const { links } = this.parts;
     const first = getEntryOfRequest(id);
@@ -161,7 +161,7 @@
   private handleHolderDown(peer: PeerIdentity): void {
     for (const mirror of [...this.mirrors.values()]) {
       if (mirror.holder !== peer.name) continue;
-      // The caller is told to fetch the response again; by then the backup has taken the request over.
+      // The caller is redirected to fetch the response again; by then the backup has taken the request over.
       mirror.request.log.markMoved();
       mirror.close();
     }
--- a/packages/entry/src/responseLog.ts
+++ b/packages/entry/src/responseLog.ts
@@ -20,7 +20,7 @@
 
 /** Progress of one reader. */
 interface Reader {
-  /** Bytes of the response that this reader has passed. */
+  /** Bytes of the response before this reader's position. */
   takenBytes: number;
 }
 
@@ -206,7 +206,7 @@
       const first = this.chunks[0];
       if (!first) return;
       const size = getChunkBytes(first);
-      // Chunks that a reader has not passed yet are kept; their size is bounded by `maxReaderLagBytes`.
+      // Chunks after the position of a reader are kept; their size is bounded by `maxReaderLagBytes`.
       if (this.heldBytes - size < lag) return;
       this.chunks.shift();
       this.dropped += 1;
--- a/packages/entry/src/routes.ts
+++ b/packages/entry/src/routes.ts
@@ -252,7 +252,7 @@
     return undefined;
   }
 
-  /** Answers a request whose key this entry already knows with the response of the first request. */
+  /** Responds to a request whose key this entry already holds with the response of the first request. */
   private async answerFromExisting(
     exchange: Exchange,
     existing: ActiveRequest,
@@ -267,7 +267,7 @@
     return undefined;
   }
 
-  /** Sends a refusal with its own request id, so that operators can ask for its explanation. */
+  /** Sends a refusal with its own request id, so that operators can request its explanation. */
   private refuse(exchange: Exchange, failure: Failure): undefined {
     const { id } = exchange;
     this.parts.metrics.countRefusal(failure);
--- a/packages/entry/src/rowShares.ts
+++ b/packages/entry/src/rowShares.ts
@@ -1,7 +1,7 @@
 /**
  * Obtains this entry's shares of the limits of policy rows: requests them from each row's allocator while there is
- * demand, and uses the equal split while there is no current allocation. Also answers the requests of other entries for
- * the rows that this entry allocates.
+ * demand, and uses the equal split while there is no current allocation. Also allocates shares to other entries of the
+ * rows whose allocator this entry is.
  * @module
  */
 import {
--- a/packages/entry/src/serving.ts
+++ b/packages/entry/src/serving.ts
@@ -222,7 +222,7 @@
 
 /**
  * Returns whether another entry can continue a request. A call of a web service that is running can't be continued,
- * because its response arrives on this entry's connection; it is handed over only if it may be repeated.
+ * because its response arrives on this entry's connection; it is handed over only if it may be retried.
  */
 function canHandOver(request: ActiveRequest): boolean {
   const { envelope, log, run } = request;
--- a/packages/entry/src/types.ts
+++ b/packages/entry/src/types.ts
@@ -92,7 +92,7 @@
   readonly envelope: Envelope;
   readonly runId: string;
   readonly attempt: number;
-  /** Number of tokens that earlier attempts gave to the caller; the run continues after them. */
+  /** Number of tokens that the caller received from earlier attempts; the run continues after them. */
   readonly emitted: number;
   /** Text of those tokens. */
   readonly emittedText: string;
@@ -118,7 +118,7 @@
   NotStarted = 1,
   /** The run had started. */
   Started = 2,
-  /** The endpoint does not know the run, or did not respond. */
+  /** The run is unknown at the endpoint, or the endpoint did not respond. */
   Unknown = 3,
 }
 
--- a/packages/kernel/src/failures.ts
+++ b/packages/kernel/src/failures.ts
@@ -283,7 +283,7 @@
   private constructor(
     readonly code: FailureCode,
     readonly values: FailureArguments,
-    /** Outcome reported to the caller; that of the definition unless the creator of the failure knows more. */
+    /** Outcome reported to the caller; that of the definition unless the failure was created with another. */
     readonly outcome: Outcome,
     /** Milliseconds after which a retry may succeed; undefined if no time is known. */
     readonly retryAfterMs: number | undefined,
--- a/packages/operator/src/soak/types.ts
+++ b/packages/operator/src/soak/types.ts
@@ -6,9 +6,9 @@
 
 /** Kind of a request of the soak test. */
 export enum CallerRequestKind {
-  /** A streamed model response that may be repeated. */
+  /** A streamed model response; may be retried. */
   Stream = 1,
-  /** A model response in one document, with an idempotency key; may be repeated. */
+  /** A model response in one document, with an idempotency key; may be retried. */
   Whole = 2,
   /** A model response in one document, with an idempotency key, that may run only once (a citation draft). */
   Draft = 3,
--- a/packages/standins/src/deterministicText.ts
+++ b/packages/standins/src/deterministicText.ts
@@ -1,6 +1,6 @@
 /**
- * The text that the fake engine generates. Each token depends only on the prompt and its position, so that a text which was put
- * together from several runs can be compared with the text of one uninterrupted run.
+ * The text that the fake engine generates. Each token depends only on the prompt and its position, so that a text which
+ * was put together from several runs can be compared with the text of one uninterrupted run.
  * @module
  */
 import { createHash } from "node:crypto";
@@ -44,19 +44,27 @@
   return Array.from({ length }, (_, position) => getToken(digest, position)).join("");
 }
 
-/** Estimates the tokens of a text by the rule that the whole project uses: four bytes of UTF-8 per token, rounded up. */
+/**
+ * Estimates the tokens of a text by the rule that the whole project uses: four bytes of UTF-8 per token, rounded up.
+ */
 export function estimateTokens(text: string): number {
   return Math.ceil(Buffer.byteLength(text) / bytesPerToken);
 }
 
-/** A parsed request: the prompt, from which the text is generated, and the length of the text that the request already holds. */
+/**
+ * A parsed request: the prompt, from which the text is generated, and the length of the text that the request already
+ * holds.
+ */
 export interface ParsedPrompt {
   readonly prompt: string;
   /** Number of generated tokens that the request contains, if it continues a text. */
   readonly emitted: number;
 }
 
-/** Parses the messages of a chat. With `continue_final_message`, a last message of the assistant is the text generated so far. */
+/**
+ * Parses the messages of a chat. With `continue_final_message`, a last message of the assistant is the text generated
+ * so far.
+ */
 export function parseChat(messages: readonly ChatMessage[], isContinued: boolean): ParsedPrompt {
   const last = messages[messages.length - 1];
   const hasAnswer = isContinued && last?.role === "assistant";
--- a/packages/standins/src/endpointArrivals.ts
+++ b/packages/standins/src/endpointArrivals.ts
@@ -1,6 +1,6 @@
 /**
- * Checks an advertised limit: the number of requests that an endpoint may receive from all instances together in a window, and the
- * highest number that arrived in any window.
+ * Checks an advertised limit: the number of requests that an endpoint may receive from all instances together in a
+ * window, and the highest number that arrived in any window.
  * @module
  */
 import { RunUnitLog } from "./runUnitLog.js";
--- a/packages/standins/src/fakeCloudServices.ts
+++ b/packages/standins/src/fakeCloudServices.ts
@@ -1,6 +1,6 @@
 /**
- * Fake of the platform's instance list and of the cloud's reclaim notices, on one HTTP server. Changes appear in the list after a
- * delay, notices at once.
+ * Fake of the platform's instance list and of the cloud's reclaim notices, on one HTTP server. Changes appear in the
+ * list after a delay, notices at once.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
--- a/packages/standins/src/fakeEngine.ts
+++ b/packages/standins/src/fakeEngine.ts
@@ -1,6 +1,6 @@
 /**
- * Fake model engine with the OpenAI-compatible interface: continuous batching with a limited batch size, priorities, a prefix cache,
- * streams that can be resumed and cancelled by run id, and a load report.
+ * Fake model engine with the OpenAI-compatible interface: continuous batching with a limited batch size, priorities, a
+ * prefix cache, streams that can be resumed and cancelled by run id, and a load report.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
--- a/packages/standins/src/fakeKeyValueServer.ts
+++ b/packages/standins/src/fakeKeyValueServer.ts
@@ -1,6 +1,7 @@
 /**
- * Fake of the platform's key-value service: HTTP with JSON, base64 values, blocking reads, compare-and-swap transactions, and
- * sessions that hold locks. It can be made unavailable or slow, lose responses, or miss changes in watches.
+ * Fake of the platform's key-value service: HTTP with JSON, base64 values, blocking reads, compare-and-swap
+ * transactions, and sessions that hold locks. It can be made unavailable or slow, lose responses, or miss changes in
+ * watches.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
--- a/packages/standins/src/fakeMetadataStore.ts
+++ b/packages/standins/src/fakeMetadataStore.ts
@@ -1,6 +1,7 @@
 /**
- * Fake of the gateway's metadata store, in memory. Tests can inject the faults of a platform's store: it can be unavailable, lose the
- * responses to writes, return no changes to watches, compact its history, and be restored from a snapshot.
+ * Fake of the gateway's metadata store, in memory. Tests can inject the faults of a platform's store: it can be
+ * unavailable, lose the responses to writes, return no changes to watches, compact its history, and be restored from a
+ * snapshot.
  * @module
  */
 import {
@@ -30,7 +31,10 @@
   LosesResponses = 2,
 }
 
-/** Timeout of a call, as in the platform's client. A blocking call may exceed its wait by this time, or by its wait if that is shorter. */
+/**
+ * Timeout of a call, as in the platform's client. A blocking call may exceed its wait by this time, or by its wait if
+ * that is shorter.
+ */
 const callTimeoutMs = 1_200;
 
 /** An item with the store's own id of its lease. */
--- a/packages/standins/src/fakePlatform.ts
+++ b/packages/standins/src/fakePlatform.ts
@@ -220,7 +220,9 @@
   };
 }
 
-/** Replaces the prices by an empty map. JSON turns a map into an empty object, so that prices do not survive storage. */
+/**
+ * Replaces the prices by an empty map. JSON turns a map into an empty object, so that prices do not survive storage.
+ */
 function reviveService(service: Service): Service {
   const { scaling } = service;
   if (!scaling) return service;
--- a/packages/standins/src/fakeWebService.ts
+++ b/packages/standins/src/fakeWebService.ts
@@ -1,5 +1,6 @@
 /**
- * Fake web service: bookings, which must not be retried, pages, an echo that streams in both directions, and a load report.
+ * Fake web service: bookings, which must not be retried, pages, an echo that streams in both directions, and a load
+ * report.
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
--- a/packages/standins/src/freePorts.ts
+++ b/packages/standins/src/freePorts.ts
@@ -1,11 +1,15 @@
 /**
- * Finds free loopback ports for processes that must know their ports before they listen. Test files that run concurrently take them
- * from separate blocks: the process that listens on the first port of a block owns the whole block.
+ * Finds free loopback ports for processes that must know their ports before they listen. Test files that run
+ * concurrently take them from separate blocks: the process that listens on the first port of a block owns the whole
+ * block.
  * @module
  */
 import { createServer, type Server } from "node:net";
 
-/** The blocks are below the system's ephemeral ports, because a connection could take such a port between its choice and its use. */
+/**
+ * The blocks are below the system's ephemeral ports, because a connection could take such a port between its choice and
+ * its use.
+ */
 const lowestPort = 12_000;
 const blockPorts = 100;
 const blockCount = 180;
--- a/packages/standins/src/gatewayTestBench.ts
+++ b/packages/standins/src/gatewayTestBench.ts
@@ -1,6 +1,6 @@
 /**
- * Test bench of the gateway: one or more instances on loopback in front of a fake platform, and a caller that reads complete
- * responses.
+ * Test bench of the gateway: one or more instances on loopback in front of a fake platform, and a caller that reads
+ * complete responses.
  * @module
  */
 import { type IncomingHttpHeaders, request } from "node:http";
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Fakes: small working implementations of the external systems, for tests and local runs. Each can be made to fail in the ways that
- * the users' requirements name.
+ * Fakes: small working implementations of the external systems, for tests and local runs. Each can be made to fail in
+ * the ways that the users' requirements name.
  * @module
  */
 export * from "./memoryStore.js";
--- a/packages/standins/src/memoryKeyValue.ts
+++ b/packages/standins/src/memoryKeyValue.ts
@@ -1,6 +1,6 @@
 /**
- * The key-value service without a network, directly on a memory store, for unit tests. A test's script decides the outcome of each
- * call.
+ * The key-value service without a network, directly on a memory store, for unit tests. A test's script decides the
+ * outcome of each call.
  * @module
  */
 import type { GrantedLease, KeyValueService, StoredValue } from "@gladewall/coordination";
--- a/packages/standins/src/memoryStore.ts
+++ b/packages/standins/src/memoryStore.ts
@@ -1,6 +1,6 @@
 /**
- * The state and rules of the key-value service, in memory: compare-and-swap, sessions with a time to live, and blocking reads. The
- * fake server adds HTTP; tests can also use it directly.
+ * The state and rules of the key-value service, in memory: compare-and-swap, sessions with a time to live, and blocking
+ * reads. The fake server adds HTTP; tests can also use it directly.
  * @module
  */
 import type { Clock } from "@gladewall/kernel";
@@ -49,7 +49,10 @@
     return this.entries.get(key);
   }
 
-  /** Writes a key if its revision is `expected`, with 0 for a missing key. Returns the new revision; undefined on a conflict. */
+  /**
+   * Writes a key if its revision is `expected`, with 0 for a missing key. Returns the new revision; undefined on a
+   * conflict.
+   */
   tryCompareAndSwap(key: string, value: Uint8Array, expected: number): number | undefined {
     const present = this.get(key);
     if ((present?.revision ?? 0) !== expected) return undefined;
--- a/packages/standins/src/runUnitLog.ts
+++ b/packages/standins/src/runUnitLog.ts
@@ -1,6 +1,6 @@
 /**
- * Records the units that endpoints ran for each workspace, and sums them over exact sliding windows. With it a test checks a limit as
- * an operator sees it.
+ * Records the units that endpoints ran for each workspace, and sums them over exact sliding windows. With it a test
+ * checks a limit as an operator sees it.
  * @module
  */
 
