--- a/packages/entry/src/backupWriter.ts
+++ b/packages/entry/src/backupWriter.ts
@@ -61,7 +61,7 @@
   readonly request: ActiveRequest;
   /** Peers that hold a copy, each with the progress that it has acknowledged, which differs between peers. */
   readonly peers: Map<string, BackupProgress>;
-  /** Whether its backup was requested to take it over. Until the reply arrives, no other backup is selected. */
+  /** Whether it is being handed over to a backup or was handed over. If so, no other backup is selected. */
   isHandoverPending: boolean;
 }
 
@@ -297,7 +297,7 @@
     sender.isRunning = false;
   }
 
-  /** Stops using a peer that did not reply, and notifies it, because it may still hold its copy. */
+  /** Stops using a peer that did not reply as a backup, and notifies it, because it may still hold its copy. */
   private dropPeer(peer: string, replicated: ReplicatedRequest): void {
     const message: DropMessage = { kind: PeerKind.Drop, request: replicated.request.envelope.id };
     this.parts.links.send(peer, message);
--- a/packages/entry/src/fleet.ts
+++ b/packages/entry/src/fleet.ts
@@ -76,7 +76,7 @@
     this.capacityListeners.add(listener);
   }
 
-  /** Registers a listener that is called when an endpoint starts to leave. */
+  /** Registers a listener that is called when an endpoint starts to leave or disappears. */
   onLeaving(listener: LeavingListener): void {
     this.leavingListeners.add(listener);
   }
--- a/packages/entry/src/membership.ts
+++ b/packages/entry/src/membership.ts
@@ -125,7 +125,7 @@
   /**
    * Returns whether this entry is linked with more than half of the peers that it should be linked with. While the
    * key-value service is down, no entry can confirm the configuration there, and no new one can be saved either. An
-   * entry with a majority of its peers continues, because any entry that knows a newer configuration is among them.
+   * entry with a majority of its peers continues, because any entry that may have a newer configuration is among them.
    */
   private hasMajorityOfPeers(): boolean {
     const expected = this.links.getExpectedCount();
