--- a/packages/coordination/test/leaseHolder.test.ts
+++ b/packages/coordination/test/leaseHolder.test.ts
@@ -3,7 +3,7 @@
 import { FailureCode, Logger, VirtualClock, type Clock, type Timer } from "@gladewall/kernel";
 import { CallOutcome, MemoryKeyValue } from "@gladewall/standins";
 
-/** Clock of one holder whose timers can be paused while time advances, as in a paused process. */
+/** A holder's own clock. Its timers can be paused while time advances, as in a paused process. */
 class PausableClock implements Clock {
   private isPaused = false;
   private readonly waiting: (() => void)[] = [];
--- a/packages/coordination/test/peerLinks.test.ts
+++ b/packages/coordination/test/peerLinks.test.ts
@@ -138,8 +138,8 @@
 });
 
 /*
- * A restarted peer may link before the connection of its previous incarnation is known to be lost. No link-up
- * event was raised in this case, so that the new incarnation did not receive the state that a new peer gets
+ * Guards against a missing link-up event. A restarted peer may link before the loss of its previous incarnation's connection is
+ * detected. No event was raised in this case, so that the new incarnation did not receive the state that a new peer gets
  * (endpoints that ended or are leaving).
  */
 t.test(
--- a/packages/gateway/test/arbiters.test.ts
+++ b/packages/gateway/test/arbiters.test.ts
@@ -1,14 +1,14 @@
 /*
  * Guards against slow arbiters that delay all requests of their workspaces. With two of five instances six times slower, the
- * arbiters of limits among them were slow too, and of 2,368 requests in two seconds 510 were answered in time, instead of 767
- * without arbiters.
+ * arbiters of limits among them were slow too, and of 2,368 requests in two seconds 510 got their responses in time, instead of
+ * 767 without arbiters.
  */
 import t from "tap";
 import { Arbiters, createQuotaCall, type QuotaReply, QuotaUse, GrantDecision } from "@gladewall/gateway";
 import { Failure, FailureCode, Logger, VirtualClock, waitFor } from "@gladewall/kernel";
 import { Err, Ok, type Result } from "ts-results-es";
 
-/** Asks repeatedly; each arbiter answers after its own delay. Returns the duration of each question in milliseconds. */
+/** Sends calls one after the other; each arbiter replies after its own delay. Returns the duration of each call in milliseconds. */
 async function callRepeatedly(
   answerMs: Readonly<Record<string, number>>,
   count: number,
--- a/packages/gateway/test/capacityPlan.test.ts
+++ b/packages/gateway/test/capacityPlan.test.ts
@@ -30,7 +30,7 @@
   }
 }
 
-/** Weighs the loss of one data hall and of further ones, because reclaims come in waves. */
+/** Returns the sum of squares, which weighs the loss of one data hall and of further ones, because reclaims come in waves. */
 function getLoss(counts: readonly number[]): number {
   return counts.reduce((sum, count) => sum + count * count, 0);
 }
--- a/packages/gateway/test/countHandover.test.ts
+++ b/packages/gateway/test/countHandover.test.ts
@@ -37,7 +37,7 @@
     next.add(CounterKind.Quota, "w", 1);
     next.applyView(reader.createView(), totals);
     reportTo(next);
-    // Of the older peer, the reader had counted only what followed the peer's first report to it.
+    // The reader counts the older peer's units only from after the peer's first report to it.
     t.equal(next.getKnownSum(CounterKind.Quota, "w"), reader.getKnownSum(CounterKind.Quota, "w") + 7);
     t.equal(next.reportingPeers, 2);
   },
--- a/packages/gateway/test/crashRecords.test.ts
+++ b/packages/gateway/test/crashRecords.test.ts
@@ -20,7 +20,7 @@
 function createTestBench() {
   const clock = VirtualClock.create();
   const records = CrashRecords.create(clock);
-  /** Records a crash with requests in flight, as an instance that knows all updates reports it. */
+  /** Records a crash with requests in flight, as an instance that has received all updates reports it. */
   const crash = (incarnation: string, ...inFlight: readonly CrashSubject[]): CrashReport => {
     const report = records.createReport(incarnation, inFlight);
     records.apply({ reports: [report] });
@@ -161,7 +161,8 @@
       fc.property(fc.array(anyUpdate, { maxLength: 12 }), fc.infiniteStream(fc.nat()), (updates, draws) => {
         const one = createTestBench().records;
         const other = createTestBench().records;
-        // Updates on an unknown crash have no effect, so each update is applied twice, as peers resend all they know.
+        // Updates on an unknown crash have no effect, so each update is applied twice, as peers resend all that they have
+        // recorded.
         for (const update of [...updates, ...updates]) one.apply(update);
         const keyed = updates.map((update) => ({ update, key: draws.next().value as number }));
         const shuffled = keyed.sort((left, right) => left.key - right.key).map(({ update }) => update);
--- a/packages/gateway/test/crashScenarios.ts
+++ b/packages/gateway/test/crashScenarios.ts
@@ -108,7 +108,7 @@
   endpoints.script = (call) => void held.push(call);
   let hasEnded = false;
   const responses = send().finally(() => (hasEnded = true));
-  // All of them may be refused at once, so that none is ever held.
+  // All of them may be refused at once, so that none reaches an endpoint.
   await waitUntil(() => held.length >= 1 || hasEnded);
   const running = [...endpoints.running];
   endpoints.crash(running[Math.floor(draw() * running.length)]!);
--- a/packages/gateway/test/crashingEndpoints.ts
+++ b/packages/gateway/test/crashingEndpoints.ts
@@ -27,7 +27,7 @@
   private started = 0;
   /** Endpoints that crashed, and whose records still exist. */
   private crashed: ScriptedEndpoint[] = [];
-  /** Answers requests that crash no endpoint. */
+  /** Responds to requests that crash no endpoint. */
   script: (call: EndpointRequest) => void = respondSuccess;
   /** Called with each request that crashes its endpoint. */
   onCrash: (call: EndpointRequest) => void = () => undefined;
--- a/packages/gateway/test/endpointAvailability.test.ts
+++ b/packages/gateway/test/endpointAvailability.test.ts
@@ -202,7 +202,7 @@
   },
 };
 
-/** Starts an instance and two endpoints; the one called first answers by the script from then on, the other successfully. */
+/** Starts an instance and two endpoints; the one called first responds by the script from then on, the other successfully. */
 async function startPair(t: Pick<Test, "teardown">, script: EndpointScript) {
   const bench = GatewayTestBench.create();
   bench.platform.configure({});
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -141,8 +141,8 @@
 }
 
 /*
- * Guards against trials at an endpoint that holds the requesting instance off. The arbiter that grants trials does not know the
- * instance's hold-offs, so without their exclusion the endpoint would be sent a request in spite of its hold-off.
+ * Guards against trials at an endpoint that holds the requesting instance off. The arbiter that grants trials does not receive
+ * the instance's hold-offs, so without their exclusion the endpoint would be sent a request in spite of its hold-off.
  */
 t.test("a suspect gets no trial at an endpoint that holds this instance off", async (t) => {
   const { clock, findTrial, held, open, requested, isIsolated } = createGate();
--- a/packages/gateway/test/endpointLimitScenarios.test.ts
+++ b/packages/gateway/test/endpointLimitScenarios.test.ts
@@ -1,8 +1,8 @@
 /*
  * Guards against an endpoint that gets more requests than the limit it advertises. The limit is shared by the fleet, but each
  * instance learns of it, and of the others' requests, at a different time. With a limit of one a second, nine instances that each
- * kept to it sent 35 requests in four seconds, and 320 instances sent 169, or 91 with equal shares. Therefore one issuer gives
- * out the permits for each incarnation; these simulations kill it, pause it, slow it down and disconnect it.
+ * kept to it sent 35 requests in four seconds, and 320 instances sent 169, or 91 with equal shares. Therefore one issuer grants
+ * the permits for each incarnation; these simulations kill it, pause it, slow it down and disconnect it.
  */
 import t from "tap";
 import { type PermitScenario, runPermitScenario } from "./permitFleet.js";
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -34,7 +34,7 @@
 import { largeFleet } from "./crashingEndpoints.js";
 import { createKnownEndpoint } from "./knownEndpoints.js";
 
-/** Answers successfully and advertises a limit; records when requests arrive. */
+/** Responds successfully and advertises a limit; records when requests arrive. */
 function createLimited(perSecond: number) {
   const arrivals: number[] = [];
   const script = (call: EndpointRequest): void => {
@@ -46,7 +46,7 @@
   return { script, getMostArrivalsInWindow, arrivals };
 }
 
-/** Starts instances, one endpoint that advertises a limit and has answered one of them, and other endpoints without a limit. */
+/** Starts instances, one endpoint that advertises a limit and has responded to one of them, and other endpoints without a limit. */
 async function startLimited(
   t: Pick<Test, "teardown">,
   instanceCount: number,
--- a/packages/gateway/test/engineTestBench.ts
+++ b/packages/gateway/test/engineTestBench.ts
@@ -12,7 +12,7 @@
   ScriptedEndpoint,
 } from "@gladewall/standins";
 
-/** The bench and the requests that its engine holds. */
+/** The bench and the requests in flight at its engine. */
 export interface EngineTestBench {
   readonly bench: GatewayTestBench;
   /** Requests that the engine has received and not responded to. */
--- a/packages/gateway/test/fedFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -20,7 +20,7 @@
 /** Step of the simulation, which is the resolution of its times. */
 export const stepMs = 50;
 
-/** An instance's view of the store, without its links: the test decides which instance asks which. */
+/** An instance's view of the store, without its links: the test decides which instance calls which. */
 class StoreView {
   private constructor(
     readonly configuration: ConfigurationFollower,
--- a/packages/gateway/test/followers.ts
+++ b/packages/gateway/test/followers.ts
@@ -27,7 +27,7 @@
   });
 }
 
-/** Creates a follower that has no peers to ask; `options` override the defaults. */
+/** Creates a follower that has no peers to call; `options` override the defaults. */
 export function createConfigurationFollower(
   platform: PlatformAdapter,
   clock: VirtualClock,
--- a/packages/gateway/test/freePorts.test.ts
+++ b/packages/gateway/test/freePorts.test.ts
@@ -1,8 +1,8 @@
 import t from "tap";
 import { PortBlockAllocator } from "@gladewall/standins";
 
-// Free ports were only looked up, not reserved: two test files that searched from nearby numbers got the same
-// ports before either listened on them.
+// Guards against free ports that are only looked up and not reserved: two test files that searched from nearby numbers got the
+// same ports before either listened on them.
 t.test("two owners that search for free ports from the same number get different ports", async (t) => {
   const owners = [PortBlockAllocator.create(process.pid), PortBlockAllocator.create(process.pid)];
   const given = await Promise.all(owners.map((owner) => owner.findFreeAddresses(150)));
--- a/packages/gateway/test/freshness.test.ts
+++ b/packages/gateway/test/freshness.test.ts
@@ -153,7 +153,7 @@
     await clock.advance(2_000);
     t.equal(count(), 3);
     platform.putEndpoint({ id: "b", address: "127.0.0.1:1" });
-    // The store has answered for longer than a running endpoint needs to write its record again.
+    // The store has been available for longer than a running endpoint needs to write its record again.
     await clock.advance(2_500);
     t.equal(count(), 1);
     platform.putEndpoint({ id: "e", address: "127.0.0.1:1" });
--- a/packages/gateway/test/innocentRequests.test.ts
+++ b/packages/gateway/test/innocentRequests.test.ts
@@ -111,7 +111,7 @@
     const crashing = Array.from({ length: 3 }, (_, index) => send("deadly", index));
     await Promise.all(crashing);
     endpoints.script = respondSuccess;
-    // Requests that were not interrupted are answered where they are, the others where they were retried.
+    // Requests that were not interrupted get their responses from their first endpoint, the others from the endpoint of the retry.
     for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
     await Promise.all(harmless);
     await endpoints.replace();
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -207,10 +207,10 @@
 });
 
 /*
- * One collector of three never counted a unit that a peer had taken while the fleet started. It had applied a
- * view before it became a collector, became one, and received the peer's first report within a second. A recently started
- * peer's first report was taken to be included in the view, also what the peer took after the view. At the end
- * five instances had a level of 2.99 and one collector 1.99 (5 of 66 runs under load).
+ * Guards against a collector that never counts a unit which a peer took while the fleet started. One of three collectors had
+ * applied a view before it became a collector, and received the peer's first report within a second after that. A recently
+ * started peer's first report was taken to be included in the view, also what the peer took after the view. At the end five
+ * instances had a level of 2.99 and one collector 1.99 (5 of 66 runs under load).
  */
 t.test(
   "what a peer took after a view is counted if its first report follows soon after the view",
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -89,7 +89,7 @@
     const { callers } = instance.settings.listen;
     const socket = connect(Number(callers.slice(callers.lastIndexOf(":") + 1)), "127.0.0.1");
     await once(socket, "connect");
-    // The server only knows of the connection once it has read some bytes from it.
+    // The server registers the connection as active only after it has read some bytes from it.
     socket.write("POST / HTTP/1.1\r\n");
     const first = once(socket, "data") as Promise<[Buffer]>;
     send = () => void socket.write("host: app.test\r\nx-id: late\r\ncontent-length: 1\r\n\r\nx");
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -39,7 +39,7 @@
   readonly readerKills: readonly number[];
   /** When all instances are killed at once. */
   readonly fleetKills: readonly number[];
-  /** Whether arbiters are called; without them, each instance decides by what it knows. */
+  /** Whether arbiters are called; without them, each instance decides by its own counts and views. */
   readonly hasArbiters: boolean;
   /** Load before and after the surge begins, as shares of the limit's rate. */
   readonly baseLoadShare: number;
@@ -299,7 +299,7 @@
     this.clock.startTimer(replaceAfterMs, () => this.chooseReaders());
   }
 
-  /** Running readers remain; others replace those that were killed. */
+  /** Keeps the readers that are running, and replaces those that were killed. */
   private chooseReaders(): void {
     const staying = this.readers.filter((name) => this.isAlive(name));
     const others = [...this.members.keys()].filter((name) => !staying.includes(name));
@@ -352,7 +352,7 @@
     if ((await member.charges.takeRetry(charge.value, leftMs)).isOk()) this.noteRun(member, units);
   }
 
-  /** What a paused instance has admitted runs when it resumes. */
+  /** Records a run; a paused instance runs what it has admitted when it resumes. */
   private noteRun(member: Member, units: number): void {
     this.runs.record("w", Math.max(this.clock.getTime(), member.pausedUntil), units);
   }
--- a/packages/gateway/test/overrunLimit.test.ts
+++ b/packages/gateway/test/overrunLimit.test.ts
@@ -1,7 +1,7 @@
 /*
- * A workspace got more than its limit. A request was charged when it was admitted, but its retries were not:
- * with a limit of four requests and every response lost, twelve runs reached an endpoint while
- * gladewall_quota_units_total counted four charged.
+ * Guards against a workspace that exceeds its limit. A request was charged when it was admitted, but its retries were not: with a
+ * limit of four requests and every response lost, twelve runs reached an endpoint while gladewall_quota_units_total counted four
+ * charged.
  */
 import t from "tap";
 import { getAllowances, restartsPerWindow } from "@gladewall/gateway";
@@ -23,11 +23,10 @@
 });
 
 /*
- * Each instance decided by views that were at least a quarter of a second old, so that all of them took the
- * same capacity when a surge began. With views that took 150 ms to arrive, 1.11 of what a limit of 900,000 a
- * second allows ran in a window, then nothing was admitted for seconds. On a busy machine, 77 instances that
- * charged each run admitted 8,410,397 units in 8 s from the beginning of a surge, of 8,321,439 that are
- * allowed.
+ * Guards against instances that take the same capacity at the same time. Each decided by views that were at least a quarter of a
+ * second old, so that all of them took it when a surge began. With views that took 150 ms to arrive, 1.11 of what a limit of
+ * 900,000 a second allows ran in a window, then nothing was admitted for seconds. On a busy machine, 77 instances that charged
+ * each run admitted 8,410,397 units in 8 s from the beginning of a surge, of 8,321,439 that are allowed.
  */
 t.test("late messages cause refusals, and never let more run than a limit allows", async (t) => {
   for (const [instances, ratePerSecond, delayMs] of [
--- a/packages/gateway/test/overrunLimitRandom.test.ts
+++ b/packages/gateway/test/overrunLimitRandom.test.ts
@@ -1,7 +1,6 @@
 /*
- * A workspace got more than its limit when responses were lost, messages were late, and instances paused, ended
- * and started again. Each seed creates such faults on a virtual clock; 45 let 1.15 of what the limit allows run
- * in a window.
+ * Guards against a workspace that exceeds its limit when responses are lost, messages are late, and instances pause, end and
+ * start again. Each seed creates such faults on a virtual clock; 45 let 1.15 of what the limit allows run in a window.
  */
 import t from "tap";
 import { createRandomScenario, runLimitScenario } from "./limitedFleet.js";
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -46,7 +46,7 @@
   readonly issuerPartitions?: readonly FaultPeriod[];
   /** When the issuer's messages take `slowMs`. */
   readonly issuerSlow?: readonly FaultPeriod[];
-  /** Number of instances of an older build that doesn't know limits. */
+  /** Number of instances of an older build that doesn't read limits. */
   readonly oldBuilds?: number;
   /** Share of requests that are more urgent than the others. */
   readonly urgentShare?: number;
@@ -62,7 +62,7 @@
   readonly urgentAdmittedShare: number;
   /** Messages a second of the busiest instance. */
   readonly messagesPerSecond: number;
-  /** Milliseconds from the end of the last limit until every instance knew of it; undefined if some do not. */
+  /** Milliseconds from the end of the last limit until every instance had learned of it; undefined if some had not. */
   readonly freedAfterMs: number | undefined;
 }
 
--- a/packages/gateway/test/readerListing.test.ts
+++ b/packages/gateway/test/readerListing.test.ts
@@ -1,9 +1,8 @@
 /*
- * An instance kept using two endpoints that were gone, without end. A reader feeds the instance, and that
- * reader had started after the endpoints' records were removed. It had never known them, so it sent no removal;
- * asked for the changes since a revision from before its own listing, it replied as if it knew all changes
- * since then. The instance used nine endpoints while seven were listed; the reader and the four other instances
- * knew seven.
+ * Guards against an instance that uses removed endpoints without end. A reader feeds the instance, and that reader had started
+ * after the records of two endpoints were removed. These were not in its listing, so it sent no removal; to a call for the
+ * changes since a revision from before its own listing, it replied as if it had all changes since then. The instance used nine
+ * endpoints while seven were listed; the reader and the four other instances used seven.
  */
 import t from "tap";
 import type { PrefixFollower } from "@gladewall/gateway";
--- a/packages/gateway/test/restarts.test.ts
+++ b/packages/gateway/test/restarts.test.ts
@@ -1,7 +1,7 @@
 /*
- * After all instances had been killed together, few requests were served in the first second. Requests that
- * arrived before an instance knew its configuration were refused and retried late, limits counted nine tenths
- * of their capacity as taken, and instances opened links to many peers that they closed immediately.
+ * Guards against a slow start of the whole fleet. After all instances had been killed together, few requests were served in the
+ * first second. Requests that arrived before an instance had its configuration were refused and retried late, limits counted nine
+ * tenths of their capacity as taken, and instances opened links to many peers that they closed immediately.
  */
 import t from "tap";
 import { Admission, CounterKind, MemberRecords, SharedCounters } from "@gladewall/gateway";
--- a/packages/gateway/test/storeRestore.test.ts
+++ b/packages/gateway/test/storeRestore.test.ts
@@ -48,8 +48,8 @@
   return follower.hasFreshProof() && follower.getTable()?.findWorkspaceByKey("removed") !== undefined;
 }
 
-// A store that is restored from a snapshot issues the same revisions again, so that new changes have lower
-// revisions than older ones.
+// Guards against ordering changes by revisions alone: a store that is restored from a snapshot assigns the same revisions again,
+// so that new changes have lower revisions than older ones.
 t.test(
   "a key that is removed after a restore runs nothing, because no read proves the configuration",
   async (t) => {
@@ -128,7 +128,7 @@
     configure(["kept"]);
     await clock.advance(700);
     t.notOk(admitsRemovedKey(follower));
-    // A read may have failed right before the store answered again.
+    // A read may have failed right before the store was available again.
     await clock.advance(1_500);
     t.ok(follower.hasFreshProof());
   },
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -1,8 +1,8 @@
 /*
- * A machine may be suspended for seconds, which the monotonic clock does not count. The proof of the
- * configuration had the same age after a suspension as before it, so that keys which had been removed in the
- * meantime still ran requests, and a lease that another instance had acquired still counted as held. The time
- * of day counts a suspension, but it may also be set.
+ * Guards against proofs and leases that stay valid through a suspension. A machine may be suspended for seconds, which the
+ * monotonic clock does not count. The proof of the configuration had the same age after a suspension as before it, so that keys
+ * which had been removed in the meantime still ran requests, and a lease that another instance had acquired still counted as
+ * held. The time of day counts a suspension, but it may also be set.
  */
 import t from "tap";
 import { BootClock, VirtualClock } from "@gladewall/kernel";
