--- a/scripts/crashSoak.mjs
+++ b/scripts/crashSoak.mjs
@@ -12,7 +12,7 @@
 
 /** Maximum number of runs of one request after three endpoints have crashed under it. */
 const maxRuns = 3;
-/** A scenario takes 2 s; one that waits for this long never ends. */
+/** A scenario takes 2 s; one that takes this long waits for something that never happens. */
 const stuckMs = 60_000;
 
 function exitStuck(seed) {
--- a/scripts/wordSoak.mjs
+++ b/scripts/wordSoak.mjs
@@ -1,6 +1,6 @@
-// Runs the soak of endpoint notices: endpoints leave or refuse requests for a time and say so, with random events for each seed.
-// `node scripts/wordSoak.mjs --seeds 50`. A seed is broken if requests reached an endpoint that had announced that it leaves, or
-// that it accepts none for a time.
+// Runs the soak of endpoint notices: endpoints announce that they leave or that they accept no requests for a time, with random
+// events for each seed. `node scripts/wordSoak.mjs --seeds 50`. A seed is broken if requests reached an endpoint that had
+// announced that it leaves, or that it accepts none for a time.
 import { importTest, runSeeds } from "./playSeeds.mjs";
 
 const { runNoticeSoak } = await importTest("noticeSoak");
