--- a/packages/gateway/test/crashingEndpoints.ts
+++ b/packages/gateway/test/crashingEndpoints.ts
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Replaces crashed endpoints and removes their records. Waits until every instance knows that the old ones are gone before the
-   * new ones start, because instances are compared by the number of endpoints, which is the same with old and with new ones.
+   * Replaces crashed endpoints and removes their records. Waits until every instance has removed the old ones before the new
+   * ones start, because instances are compared by the number of endpoints, which is the same with old and with new ones.
    */
   async replace(): Promise<void> {
     while (this.crashed.length > 0) {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Whether every instance knows as many endpoints as are listed; a crashed one is listed until it is replaced. */
+  /** Whether every instance has as many endpoints as are listed; a crashed one is listed until it is replaced. */
   private isKnown(): boolean {
     const listed = this.running.size + this.crashed.length;
     return this.bench.instances.every(({ gateway }) => gateway.countEndpoints("web") === listed);
--- a/packages/gateway/test/knownEndpoints.ts
+++ b/packages/gateway/test/knownEndpoints.ts
@@ -1,5 +1,5 @@
 /**
- * Creates endpoints as an instance knows them from their records, for tests without a platform.
+ * Creates endpoints as an instance reads them from their records, for tests without a platform.
  * @module
  */
 import { Endpoint, type EndpointRecord } from "@gladewall/gateway";
--- a/packages/gateway/test/peerMessages.test.ts
+++ b/packages/gateway/test/peerMessages.test.ts
@@ -3,7 +3,7 @@
 import { respondSuccess, waitUntil } from "@gladewall/standins";
 import { createEngineTestBench } from "./engineTestBench.js";
 
-/** Longer than the test lasts, so that what is known earlier was not sent in a report. */
+/** Longer than the test lasts, so that what arrives at a peer earlier was not sent in a report. */
 const noReports = "peers.report_interval=10000";
 
 t.test("a long prompt is sent to peers immediately, a short one with the next report", async (t) => {
--- a/packages/gateway/test/readers.test.ts
+++ b/packages/gateway/test/readers.test.ts
@@ -5,7 +5,7 @@
 import { createConfigurationFollower } from "./followers.js";
 import { startFleet } from "./startedFleet.js";
 
-/** Starts a fleet that is a full mesh; all instances know one endpoint. */
+/** Starts a fleet that is a full mesh, with one endpoint that is listed for all instances. */
 async function createSmallFleet(t: Pick<Test, "teardown">, size: number) {
   const { bench, endpoint, instances } = await startFleet(
     t,
@@ -19,7 +19,7 @@
     ],
   );
   await waitUntil(() => instances.every(({ gateway }) => gateway.linkedPeers === size - 1));
-  // Each instance starts as a reader, while it knows no other instance.
+  // Each instance starts as a reader, while it has not found another instance.
   await waitUntil(() => instances.every(({ gateway }, index) => gateway.isReader === index >= size - 3));
   await waitUntil(() => instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
   return { bench, endpoint, instances };
--- a/packages/gateway/test/relay.test.ts
+++ b/packages/gateway/test/relay.test.ts
@@ -127,7 +127,7 @@
     return tokens.every((count) => count === 12_000);
   };
   await waitUntil(isKnown);
-  // After some reports and views, the prompt is known from these and no longer from its announcement.
+  // After some reports and views, peers count the prompt from these and no longer from its announcement.
   const sequence = sender!.gateway.peerTraffic.receivedFrames;
   await waitUntil(() => {
     isKnown();
--- a/packages/gateway/test/startedFleet.ts
+++ b/packages/gateway/test/startedFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a fleet of instances for one test, one after the other, with one endpoint that all of them know. Each
- * instance has a greater capacity than the one before it.
+ * Starts a fleet of instances for one test, one after the other, with one endpoint that is listed for all of them.
+ * Each instance has a greater capacity than the one before it.
  * @module
  */
 import type { Test } from "tap";
--- a/scripts/playSeeds.mjs
+++ b/scripts/playSeeds.mjs
@@ -1,6 +1,5 @@
 // Command line of the soaks on real processes: bundles the daemon, runs one seed after another, prints a line for each, and exits
-// with 1 if one was broken. `--seeds 50 [--from 1] [--instances N] [--seconds 12] [--logs FOLDER]
-// [--former DAEMON]`.
+// with 1 if one was broken. Options: `[--seeds 50] [--from 1] [--instances N] [--seconds 12] [--logs FOLDER] [--former DAEMON]`.
 import { spawnSync } from "node:child_process";
 import { fileURLToPath } from "node:url";
 import { parseArgs } from "node:util";
