--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -333,8 +333,8 @@
     source: LimitSource,
   ): void {
     const { clock, directory, limits } = this.parts;
-    if (load) endpoint.noteLoad(load, clock.getTime());
-    if (executionStatus === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.noteServed(clock.getTime());
+    if (load) endpoint.recordLoad(load, clock.getTime());
+    if (executionStatus === ExecutionStatus.Ran && !notice?.isLeaving) endpoint.recordServed(clock.getTime());
     if (notice) directory.handleNotice(endpoint, notice, source);
     // A refusal or failure without a limit does not mean that the limit has ended: the endpoint may still be overloaded.
     const isServed = executionStatus === ExecutionStatus.Ran && source.status < minServerErrorStatus;
@@ -360,12 +360,12 @@
     if (isLost) {
       this.history.recordRun();
       this.countUsageOnce(beganAt);
-      endpoint.noteOutcome(false, time);
+      endpoint.recordOutcome(false, time);
       return this.handleInterruption(endpoint);
     }
-    if (result.outcome === AttemptOutcome.NotSent) endpoint.noteUnreachable(time);
+    if (result.outcome === AttemptOutcome.NotSent) endpoint.recordUnreachable(time);
     if (result.outcome === AttemptOutcome.WrongEndpoint) directory.handleReplaced(endpoint);
-    if (result.outcome === AttemptOutcome.NotRun) endpoint.noteOutcome(false, time);
+    if (result.outcome === AttemptOutcome.NotRun) endpoint.recordOutcome(false, time);
     this.history.recordNotRun(createRefusal(FailureCode.Overloaded, service));
     return this.history.isExhausted ? NextStep.Fail : NextStep.Retry;
   }
@@ -377,7 +377,7 @@
    */
   private async handleInterruption(endpoint: Endpoint): Promise<NextStep> {
     this.history.recordRunFailure(Failure.create(FailureCode.EndpointCut, { endpoint: endpoint.id }));
-    const checked = this.parts.suspects.noteInterruption(endpoint, this);
+    const checked = this.parts.suspects.recordInterruption(endpoint, this);
     if (!this.isRetryAllowed()) return NextStep.Fail;
     await checked;
     return this.isOver ? NextStep.Done : NextStep.Retry;
@@ -397,8 +397,8 @@
     if (this.isOver) return NextStep.Done;
     const status = response.statusCode ?? 0;
     const isFailed = !body.isComplete || status >= minServerErrorStatus;
-    endpoint.noteOutcome(!isFailed, this.parts.clock.getTime());
-    if (!isFailed) endpoint.noteLatency(this.parts.clock.getTime() - startedAt);
+    endpoint.recordOutcome(!isFailed, this.parts.clock.getTime());
+    if (!isFailed) endpoint.recordLatency(this.parts.clock.getTime() - startedAt);
     if (isFailed && this.isRetryAllowed()) {
       this.log("attempt.failed", {
         endpoint: endpoint.id,
@@ -440,11 +440,11 @@
       this.recordPrefillRate(placement, time - startedAt);
       this.scheduleTrialEnd();
       this.countUsageOnce(this.parts.getTimeOfDay());
-      this.parts.placer.memory.noteSent(head.parts, endpoint.incarnation);
+      this.parts.placer.memory.recordProcessed(head.parts, endpoint.incarnation);
     };
     const relayOutcome = await this.relay.relay(endpointResponse, onFirst);
     if (this.isOver) return NextStep.Done;
-    endpoint.noteOutcome(relayOutcome === RelayOutcome.Complete, this.parts.clock.getTime());
+    endpoint.recordOutcome(relayOutcome === RelayOutcome.Complete, this.parts.clock.getTime());
     if (relayOutcome === RelayOutcome.Complete) {
       this.clearSuspicion();
       return NextStep.Done;
--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -83,21 +83,21 @@
     const { clock, own } = this.options;
     const { subject, isUndecided } = arbiterCall;
     const endsAt = clock.getTime() + waitMs;
-    const unanswered: ArbiterState[] = [];
+    const withoutReply: ArbiterState[] = [];
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
       const arbiter = await this.waitForArbiter(arbiterCall, endsAt);
       const remainingMs = endsAt - clock.getTime();
       if (arbiter === undefined || arbiter === own || remainingMs <= 0) break;
       const reply = await this.callOne(arbiter, arbiterCall, remainingMs);
       if (reply !== undefined && !isUndecided(reply)) {
-        for (const state of unanswered) state.backoffMs = Math.min(maxBackoffMs, state.backoffMs * 2);
+        for (const state of withoutReply) state.backoffMs = Math.min(maxBackoffMs, state.backoffMs * 2);
         return Ok(reply);
       }
-      if (reply === undefined) unanswered.push(this.getState(arbiter));
+      if (reply === undefined) withoutReply.push(this.getState(arbiter));
       this.skip(arbiter, subject, reply !== undefined);
     }
     // If all arbiters are slow, the links are slow, and only a longer timeout brings a reply.
-    for (const state of unanswered) state.timeoutMs = Math.min(maxTimeoutMs, state.timeoutMs * 2);
+    for (const state of withoutReply) state.timeoutMs = Math.min(maxTimeoutMs, state.timeoutMs * 2);
     return Err(Failure.create(FailureCode.PeerUnreachable, { peer: subject }));
   }
 
@@ -131,7 +131,7 @@
    * Counts the readers that precede this instance for a subject and may also be deciding on it, including readers that only other
    * instances can reach; 0 if this instance is the first choice of all.
    */
-  countBefore(subject: string, supportsCall: (name: string) => boolean): number {
+  countPrecedingReaders(subject: string, supportsCall: (name: string) => boolean): number {
     const { own, getReaders, isLinked } = this.options;
     const mayBeDeciding = (name: string): boolean => name === own || supportsCall(name) || !isLinked(name);
     const ranked = sortReaders(subject, getReaders().filter(mayBeDeciding));
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -102,7 +102,7 @@
     });
     sent.on("error", (error) => this.fail(error.message));
     sent.on("close", () => this.fail("closed"));
-    sent.on("response", (response) => this.takeResponse(response));
+    sent.on("response", (response) => this.handleResponse(response));
     sent.end(body.length > 0 ? body : undefined);
     return sent;
   }
@@ -112,7 +112,7 @@
     this.resolveResult({ outcome, detail, response: undefined });
   }
 
-  private takeResponse(response: IncomingMessage): void {
+  private handleResponse(response: IncomingMessage): void {
     const { protocol, requestId, onHead } = this.options;
     const status = response.statusCode ?? 0;
     const head = protocol.readResponseHead(requestId, status, response.headers);
--- a/packages/gateway/src/callerServer.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -33,7 +33,7 @@
       noDelay: true,
     };
     this.callers = createServer(bounds, (message, response) => void options.handle(message, response));
-    this.readiness = createServer((message, response) => this.answerReadiness(message, response));
+    this.readiness = createServer((message, response) => this.sendReadiness(message, response));
   }
 
   static create(options: CallerServerOptions): CallerServer {
@@ -66,7 +66,7 @@
     this.readiness.closeAllConnections();
   }
 
-  private answerReadiness(message: IncomingMessage, response: ServerResponse): void {
+  private sendReadiness(message: IncomingMessage, response: ServerResponse): void {
     const isKnown = message.url === this.options.readinessPath;
     response.statusCode = isKnown ? (this.options.isReady() ? statusOk : statusUnavailable) : statusNotFound;
     response.end();
--- a/packages/gateway/src/capacityOrders.ts
+++ b/packages/gateway/src/capacityOrders.ts
@@ -97,8 +97,8 @@
       if (!this.isDue(order, halls)) continue;
       const sender = getSender();
       if (!sender) return;
-      const isAnswered = await this.send(order, sender);
-      if (!isAnswered) return;
+      const hasReplied = await this.send(order, sender);
+      if (!hasReplied) return;
     }
   }
 
--- a/packages/gateway/src/committedWindows.ts
+++ b/packages/gateway/src/committedWindows.ts
@@ -59,7 +59,7 @@
   }
 
   /** Applies an item of the store, or its removal with the cause; ignores other keys. */
-  takeItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
+  handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
     const { prefix } = this.options;
     if (!key.startsWith(prefix)) return;
     const window = Number(key.slice(prefix.length));
--- a/packages/gateway/src/configurationFollower.ts
+++ b/packages/gateway/src/configurationFollower.ts
@@ -73,7 +73,7 @@
    */
   readonly firstWatchPauseMs?: number;
   /** Requests the configuration proofs of some peers; `held` is what this instance has. */
-  readonly askPeers: (held: HeldConfiguration) => Promise<readonly ConfigurationProof[]>;
+  readonly requestProofs: (held: HeldConfiguration) => Promise<readonly ConfigurationProof[]>;
   readonly settling: EraSettling;
 }
 
@@ -90,7 +90,7 @@
 /** Interval at which the age of the proof is checked while a reader feeds this instance. */
 const viaReaderIntervalMs = 500;
 /** Share of a proof's lifetime after which the proofs of peers are requested. */
-const askPeersAgeShare = 0.45;
+const requestProofsAgeShare = 0.45;
 /** The longest time, from the start of an era, to wait for operators to write a lost version again. */
 const maxRewriteWaitMs = 5_000;
 
@@ -106,7 +106,7 @@
   private lastExamined: ExaminedConfiguration | undefined;
   /** Era for which it was last logged that reads prove nothing. */
   private withheldEra: number | undefined;
-  private isAskingPeers = false;
+  private isRequestingProofs = false;
   private isLost = false;
   private role = StoreRole.Direct;
   /** Boot time at which the last read was sent to which the store responded. */
@@ -223,9 +223,9 @@
     const { clock, proofLifetimeMs } = this.options;
     while (!this.stop.signal.aborted) {
       this.updateFollowing();
-      const isOld = this.getProofAge() > proofLifetimeMs * askPeersAgeShare;
+      const isOld = this.getProofAge() > proofLifetimeMs * requestProofsAgeShare;
       if (isOld || !this.isViaReader) void this.tryRead();
-      if (isOld) void this.askPeers();
+      if (isOld) void this.requestProofs();
       await waitFor(clock, this.getInterval(), this.stop.signal);
     }
   }
@@ -309,18 +309,18 @@
    * proof counts back from the time at which the request was sent, not from the arrival of the reply, so that no
    * proof appears younger than it is, however long the reply took.
    */
-  private async askPeers(): Promise<void> {
-    if (this.isAskingPeers) return;
-    this.isAskingPeers = true;
-    const askedAt = this.options.clock.getBootTime();
-    const proofs = await this.options.askPeers(this.getHeld());
-    this.isAskingPeers = false;
+  private async requestProofs(): Promise<void> {
+    if (this.isRequestingProofs) return;
+    this.isRequestingProofs = true;
+    const calledAt = this.options.clock.getBootTime();
+    const proofs = await this.options.requestProofs(this.getHeld());
+    this.isRequestingProofs = false;
     if (this.stop.signal.aborted) return;
-    for (const proof of proofs) this.applyProof(proof, askedAt);
+    for (const proof of proofs) this.applyProof(proof, calledAt);
   }
 
   /** Applies a peer's proof that was requested at a boot time. */
-  applyProof(proof: ConfigurationProof, askedAt: number): void {
+  applyProof(proof: ConfigurationProof, calledAt: number): void {
     const { logger, platform } = this.options;
     const { proofAgeMs, revision, era = initialEra, value } = proof;
     platform.store.eras.advanceTo(era);
@@ -331,7 +331,7 @@
       void this.tryRead();
       return;
     }
-    const provenAt = askedAt - proofAgeMs;
+    const provenAt = calledAt - proofAgeMs;
     if (provenAt <= (this.proofSentAt ?? -Infinity)) return;
     this.proofSentAt = provenAt;
     logger.debug("configuration.vouched", {
--- a/packages/gateway/src/connectionEnds.ts
+++ b/packages/gateway/src/connectionEnds.ts
@@ -18,6 +18,6 @@
 }
 
 /** Whether a tracked connection was closed in an orderly way, not reset. */
-export function hasEndedInOrder(socket: Socket): boolean {
+export function hasClosedOrderly(socket: Socket): boolean {
   return socket.readableEnded && !socket.errored && !resetSockets.has(socket);
 }
--- a/packages/gateway/src/countHandover.ts
+++ b/packages/gateway/src/countHandover.ts
@@ -14,7 +14,7 @@
 /** Whether this instance still needs the counts of another collector. */
 export class CountHandover {
   private isCollector = false;
-  private askingSince: number | undefined;
+  private requestingSince: number | undefined;
 
   private constructor() {}
 
@@ -27,18 +27,18 @@
    * one.
    */
   setRole(isCollector: boolean, time: number): void {
-    if (isCollector && !this.isCollector) this.askingSince = time;
-    if (!isCollector) this.askingSince = undefined;
+    if (isCollector && !this.isCollector) this.requestingSince = time;
+    if (!isCollector) this.requestingSince = undefined;
     this.isCollector = isCollector;
   }
 
   /** Whether another collector's counts are still needed. */
-  isAsking(time: number): boolean {
-    return this.askingSince !== undefined && time - this.askingSince <= requestPeriodMs;
+  isRequesting(time: number): boolean {
+    return this.requestingSince !== undefined && time - this.requestingSince <= requestPeriodMs;
   }
 
   /** Records that the counts have arrived. */
   complete(): void {
-    this.askingSince = undefined;
+    this.requestingSince = undefined;
   }
 }
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -68,7 +68,7 @@
   }
 
   /** Records that a request was interrupted at an endpoint; resolves with whether the endpoint has crashed. */
-  async noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
+  async recordInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
     const { clock, records } = this.options;
     if (this.mayBePlannedStop(endpoint)) return false;
     if (records.hasCrashed(endpoint.incarnation)) {
@@ -83,7 +83,7 @@
   }
 
   /** Refutes crashes of endpoints that still have a record; called several times a second. */
-  review(): void {
+  refuteCrashes(): void {
     const { records, findEndpoint, getTimeSinceTrouble, logger, broadcast } = this.options;
     if (getTimeSinceTrouble() < refuteAfterMs) return;
     for (const incarnation of records.getCrashedBefore(refuteAfterMs)) {
@@ -147,7 +147,7 @@
         .join(),
     });
     if (!isFirst) return;
-    endpoint.noteUnreachable(clock.getTime());
+    endpoint.recordUnreachable(clock.getTime());
     countCrash(record.service);
   }
 }
--- a/packages/gateway/src/crashProtection.ts
+++ b/packages/gateway/src/crashProtection.ts
@@ -57,7 +57,7 @@
     });
     const onUpdate = (update: CrashUpdate): void => {
       this.markUnreachable(update);
-      this.crashStore.review();
+      this.crashStore.reconcileItems();
     };
     const gossip = CrashGossip.create({
       own,
@@ -68,7 +68,7 @@
     });
     const broadcast = (update: CrashUpdate): void => {
       gossip.broadcast(update);
-      this.crashStore.review();
+      this.crashStore.reconcileItems();
     };
     this.detector = CrashDetector.create({
       clock,
@@ -112,9 +112,9 @@
   }
 
   /** Refutes crashes that records disprove, and brings the store up to date; called several times a second. */
-  review(): void {
-    this.detector.review();
-    this.crashStore.review();
+  reconcile(): void {
+    this.detector.refuteCrashes();
+    this.crashStore.reconcileItems();
   }
 
   close(): void {
@@ -130,7 +130,7 @@
     for (const { life: incarnation } of reports) {
       const endpoint = directory.find(incarnation);
       const time = clock.getTime();
-      if (endpoint && !endpoint.isUnreachable(time)) endpoint.noteUnreachable(time);
+      if (endpoint && !endpoint.isUnreachable(time)) endpoint.recordUnreachable(time);
     }
   }
 }
--- a/packages/gateway/src/crashRecords.ts
+++ b/packages/gateway/src/crashRecords.ts
@@ -272,7 +272,7 @@
     for (const subject of others) isNew = this.addInFlight(crash, subject, false) || isNew;
     if (isNew) this.updateSuspects(crash);
     // Evicts only now, because a new crash without its requests supports no quarantine state and would itself be evicted.
-    this.forgetOldest();
+    this.removeOldest();
     return isNew;
   }
 
@@ -354,7 +354,7 @@
   }
 
   /** Evicts the oldest crash that no durable quarantine state is based on. */
-  private forgetOldest(): void {
+  private removeOldest(): void {
     if (this.crashes.size <= maxCrashes) return;
     const isDurable = ({ inFlight }: EndpointCrash): boolean =>
       [...inFlight.keys()].some((fingerprint) => this.getScore(fingerprint) >= cooldownScore);
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -68,7 +68,7 @@
   }
 
   /** Writes missing items and removes those of cleared requests; called several times a second. */
-  review(): void {
+  reconcileItems(): void {
     const { clock } = this.options;
     if (this.isWriting || clock.getTime() - this.failedAt < retryMs) return;
     const durable = this.options.records.getDurable();
--- a/packages/gateway/src/demandEstimator.ts
+++ b/packages/gateway/src/demandEstimator.ts
@@ -13,7 +13,7 @@
   readonly clock: Clock;
   readonly counters: SharedCounters;
   /** Returns the prompt tokens that a service's engine prefills in a millisecond. */
-  readonly getReadingRate: (service: string) => number;
+  readonly getPrefillRate: (service: string) => number;
   /** Whether that rate has been measured, and is not the one assumed at the start. */
   readonly isRateLearned: (service: string) => boolean;
   /** Share of that rate at which an engine still responds on time. */
@@ -62,7 +62,7 @@
 
   /** Returns the endpoints that a service needs. `present` is the number that it has in `halls` data halls. */
   getNeededEndpoints(service: Service, halls: number, present: number): number {
-    const { clock, counters, getReadingRate, isRateLearned, utilization, minEndpointsPerHall, windowMs } =
+    const { clock, counters, getPrefillRate, isRateLearned, utilization, minEndpointsPerHall, windowMs } =
       this.options;
     const time = clock.getTime();
     const tokensPerMs = counters.getSum(CounterKind.PromptTokens, service.name) / windowMs;
@@ -70,7 +70,7 @@
     const isWarmedUp = time - (this.loadSince.get(service.name) ?? time) > warmupMs;
     // An assumed rate may be far off, so it is no reason to order endpoints until a rate has been measured.
     const isRateKnown = isWarmedUp || isRateLearned(service.name);
-    const tokensPerEndpoint = getReadingRate(service.name) * utilization;
+    const tokensPerEndpoint = getPrefillRate(service.name) * utilization;
     const forTokens = isRateKnown ? Math.ceil(tokensPerMs / tokensPerEndpoint) : 0;
     const forLoad = Math.max(forTokens, this.getNeededForSlots(service));
     // Until the load is known, the number of endpoints present is the operators' own estimate of it.
--- a/packages/gateway/src/endpoint.ts
+++ b/packages/gateway/src/endpoint.ts
@@ -103,11 +103,11 @@
   }
 
   /** Records a failed connection and starts a backoff that doubles with each failure in a row. */
-  noteUnreachable(time: number): void {
+  recordUnreachable(time: number): void {
     this.unreachableCount += 1;
     const durationMs = Math.min(maxUnreachableMs, firstUnreachableMs * 2 ** (this.unreachableCount - 1));
     this.unreachableUntil = time + durationMs;
-    this.noteOutcome(false, time);
+    this.recordOutcome(false, time);
   }
 
   /**
@@ -121,7 +121,7 @@
   }
 
   /** Records whether an attempt succeeded; a success ends the backoff. */
-  noteOutcome(isSuccess: boolean, time: number): void {
+  recordOutcome(isSuccess: boolean, time: number): void {
     const share = this.getFailureShare(time);
     this.failureShare = share + ((isSuccess ? 0 : 1) - share) * failureWeight;
     this.failureShareAt = time;
@@ -135,16 +135,16 @@
    * Records a response without a leaving notice. Once the endpoint is known to be leaving, from whatever source, responses no
    * longer count.
    */
-  noteServed(time: number): void {
+  recordServed(time: number): void {
     if (this.state === EndpointState.Ready) this.servedAt = time;
   }
 
-  noteLatency(milliseconds: number): void {
+  recordLatency(milliseconds: number): void {
     this.latencyMs ??= milliseconds;
     this.latencyMs += (milliseconds - this.latencyMs) * latencyWeight;
   }
 
-  noteLoad(load: EndpointLoad, time: number): void {
+  recordLoad(load: EndpointLoad, time: number): void {
     this.load = load;
     this.loadAt = time;
   }
--- a/packages/gateway/src/endpointAvailability.ts
+++ b/packages/gateway/src/endpointAvailability.ts
@@ -58,7 +58,7 @@
   }
 
   /** Marks it as leaving; returns whether that is new. */
-  noteLeaving(source: LeavingSource, time: number): boolean {
+  recordLeaving(source: LeavingSource, time: number): boolean {
     this.updatedAt = time;
     if (this.firstSource !== undefined) return false;
     this.firstSource = source;
@@ -66,16 +66,16 @@
   }
 
   /** Starts a hold-off: the endpoint accepts no request of this instance for some time. If two overlap, the later end applies. */
-  noteHoldOff(milliseconds: number, time: number): void {
+  recordHoldOff(milliseconds: number, time: number): void {
     this.updatedAt = time;
     this.heldOffUntil = Math.max(this.heldOffUntil, time + milliseconds);
     this.beginSlowStart();
   }
 
   /** Applies a response that advertises a limit. */
-  noteLimit(perSecond: number, times: ResponseTimes, time: number): LimitChange {
+  recordLimit(perSecond: number, times: ResponseTimes, time: number): LimitChange {
     this.updatedAt = time;
-    return this.limit.noteAdvertised(perSecond, times);
+    return this.limit.recordAdvertised(perSecond, times);
   }
 
   /**
@@ -83,7 +83,7 @@
    * hold-off.
    */
   clearLimit(sentAt: number): LimitChange {
-    const change = this.limit.noteOmitted(sentAt);
+    const change = this.limit.recordOmitted(sentAt);
     if (change === LimitChange.Ended) this.beginSlowStart();
     return change;
   }
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -181,7 +181,7 @@
   private startHoldOff(incarnation: string, holdOffMs: number, response: LogFields): void {
     const { clock, logger } = this.options;
     const availability = this.getAvailability(incarnation);
-    availability.noteHoldOff(holdOffMs, clock.getTime());
+    availability.recordHoldOff(holdOffMs, clock.getTime());
     this.availabilities.touch(incarnation, availability);
     logger.info("endpoint.held-off", { life: incarnation, ...response, forMs: Math.round(holdOffMs) });
   }
@@ -200,7 +200,7 @@
     const time = clock.getTime();
     const endpoint = this.find(incarnation);
     const availability = this.getAvailability(incarnation);
-    const isNew = availability.noteLeaving(source, time);
+    const isNew = availability.recordLeaving(source, time);
     this.availabilities.touch(incarnation, availability);
     if (!isNew) return false;
     logger.info("endpoint.word", {
--- a/packages/gateway/src/endpointLimit.ts
+++ b/packages/gateway/src/endpointLimit.ts
@@ -77,7 +77,7 @@
    * request was sent before the last response came does not raise the limit, and one that came before the limit's end does not
    * restore it.
    */
-  noteAdvertised(perSecond: number, { sentAt, receivedAt }: ResponseTimes): LimitChange {
+  recordAdvertised(perSecond: number, { sentAt, receivedAt }: ResponseTimes): LimitChange {
     if (receivedAt <= this.endedAt) return LimitChange.None;
     const previous = this.advertised;
     if (previous === undefined || sentAt >= this.receivedAt || perSecond < previous)
@@ -90,7 +90,7 @@
   /**
    * Applies a response without a limit; it ends the limit if its request was sent after the last response that advertised one.
    */
-  noteOmitted(sentAt: number): LimitChange {
+  recordOmitted(sentAt: number): LimitChange {
     if (this.advertised === undefined || sentAt <= this.receivedAt) return LimitChange.None;
     this.advertised = undefined;
     this.endedAt = sentAt;
--- a/packages/gateway/src/endpointLimits.ts
+++ b/packages/gateway/src/endpointLimits.ts
@@ -93,7 +93,7 @@
     const change =
       perSecond === undefined
         ? availability.clearLimit(times.sentAt)
-        : availability.noteLimit(perSecond, times, time);
+        : availability.recordLimit(perSecond, times, time);
     if (perSecond !== undefined) directory.availabilities.touch(incarnation, availability);
     if (change === LimitChange.None) return change;
     const changeFields = {
--- a/packages/gateway/src/eraSettling.ts
+++ b/packages/gateway/src/eraSettling.ts
@@ -82,7 +82,7 @@
   }
 
   /** Applies a put item, or its removal if `item` is undefined; ignores all keys but its own. */
-  takeItem(key: string, item: StoreItem | undefined): void {
+  handleItem(key: string, item: StoreItem | undefined): void {
     if (key !== settledRecordKey) return;
     this.recordItem = item;
     this.settledRecord = item && decodeItem(settledRecordSchema, item.value);
@@ -102,7 +102,7 @@
   }
 
   /** Writes the record if it is due; called several times a second. */
-  review(): void {
+  writeRecordIfDue(): void {
     const { clock, isWriter } = this.options;
     const { current } = this.eras;
     const isDue = current !== initialEra && this.isSettled && this.settledRecord?.era !== current;
--- a/packages/gateway/src/feedReplication.ts
+++ b/packages/gateway/src/feedReplication.ts
@@ -96,11 +96,11 @@
   /**
    * Applies the reply to a report that was sent at a boot time; returns whether the store serves the sender.
    */
-  apply(message: FeedMessage, askedAt: number): boolean {
+  apply(message: FeedMessage, calledAt: number): boolean {
     const { vouch, era = initialEra, storeAgeMs, troubleAgeMs, prefixes } = message;
     if (storeAgeMs > this.maxStoreAgeMs) return false;
     this.eras.advanceTo(era);
-    if (vouch) this.configuration.applyProof(vouch, askedAt);
+    if (vouch) this.configuration.applyProof(vouch, calledAt);
     // Revisions of an era that has ended, or of an earlier build without eras, are not comparable with
     // those of this instance.
     if (era < this.eras.current) return false;
--- a/packages/gateway/src/fencedLeases.ts
+++ b/packages/gateway/src/fencedLeases.ts
@@ -46,7 +46,7 @@
   }
 
   /** Applies an item of the store if it is the offset; ignores other items. */
-  takeItem(key: string, item: StoreItem | undefined): void {
+  handleItem(key: string, item: StoreItem | undefined): void {
     if (key === this.options.offsetKey && item) this.keepLatest(decodeItem(offsetSchema, item.value));
   }
 
--- a/packages/gateway/src/fencedOrders.ts
+++ b/packages/gateway/src/fencedOrders.ts
@@ -43,11 +43,11 @@
     call: () => Promise<Result<OrderOutcome, Failure>>,
   ): Promise<Result<OrderOutcome, Failure>> {
     if (this.isRefused(fence)) return Err(Failure.create(FailureCode.FenceOutdated, { fence }));
-    const answer = await call();
-    if (answer.isErr() && answer.error.code === FailureCode.FenceOutdated) {
+    const result = await call();
+    if (result.isErr() && result.error.code === FailureCode.FenceOutdated) {
       this.refusedFence = Math.max(this.refusedFence, fence);
       this.logger.warn("fence.refused", { fence });
     }
-    return answer;
+    return result;
   }
 }
--- a/packages/gateway/src/fleetWork.ts
+++ b/packages/gateway/src/fleetWork.ts
@@ -108,22 +108,22 @@
   }
 
   /** Relays which prompt parts endpoints have processed. */
-  relayReadParts(read: PrefixReport): void {
-    this.relay.addReadParts(read);
+  relayProcessedParts(processed: PrefixReport): void {
+    this.relay.addProcessedParts(processed);
   }
 
   /** Records that an instance receives views from this one; placements are relayed to it from now on. */
   addSubscriber(name: string): void {
-    this.relay.noteSubscriber(name);
+    this.relay.recordSubscriber(name);
   }
 
   applyRelay({ first, entries }: PlacementRelayMessage, peer: PeerIdentity): void {
-    if (this.placements.takeRelayed(getIncarnationKey(peer), first, entries)) this.isStale = true;
+    if (this.placements.applyRelayed(getIncarnationKey(peer), first, entries)) this.isStale = true;
   }
 
   /** Records a view that includes all placements up to a number. */
   recordView(peer: PeerIdentity, placedNumber: number): void {
-    this.placements.noteView(getIncarnationKey(peer), placedNumber);
+    this.placements.recordView(getIncarnationKey(peer), placedNumber);
     this.isStale = true;
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -217,15 +217,15 @@
     const endsAt = this.leavingSince + this.settings.leaving.grace - exitMarginMs;
     const { requests } = this;
     logger.info("instance.leaving", { open: requests.open });
-    const dutiesClosed = this.parts.leaderTasks.close();
+    const leaderTasksClosed = this.parts.leaderTasks.close();
     await waitFor(clock, this.settings.leaving.unnoticed);
     this.front.stopAccepting();
     await this.finishRequests(endsAt);
     // Requests that arrive from now on would be interrupted by the end of the process.
     requests.stop();
     logger.info("instance.stopping", { open: requests.open });
-    requests.giveUpAll();
-    await Promise.race([dutiesClosed, waitFor(clock, responseFlushMs)]);
+    requests.abortAll();
+    await Promise.race([leaderTasksClosed, waitFor(clock, responseFlushMs)]);
     await waitFor(clock, responseFlushMs);
     logger.info("instance.stopped", { open: requests.open });
   }
--- a/packages/gateway/src/gatewayItems.ts
+++ b/packages/gateway/src/gatewayItems.ts
@@ -46,15 +46,15 @@
   }
 
   /** Applies a put item, or the removal of one if `item` is undefined. */
-  takeItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
-    this.settling.takeItem(key, item);
-    this.leases.takeItem(key, item);
-    this.committedWindows.takeItem(key, item, removal);
+  handleItem(key: string, item: StoreItem | undefined, removal?: Removal): void {
+    this.settling.handleItem(key, item);
+    this.leases.handleItem(key, item);
+    this.committedWindows.handleItem(key, item, removal);
   }
 
   /** Writes the items that are due; called several times a second. */
-  review(): void {
-    this.settling.review();
+  writeDueItems(): void {
+    this.settling.writeRecordIfDue();
     this.committedWindows.restoreLost();
   }
 }
--- a/packages/gateway/src/gatewayMetrics.ts
+++ b/packages/gateway/src/gatewayMetrics.ts
@@ -62,7 +62,7 @@
   private readonly server: Server;
 
   private constructor(private readonly address: string) {
-    this.server = createServer((message, response) => this.answer(message, response));
+    this.server = createServer((message, response) => this.sendMetrics(message, response));
   }
 
   static create(address: string): GatewayMetrics {
@@ -228,7 +228,7 @@
     this.server.closeAllConnections();
   }
 
-  private answer(message: IncomingMessage, response: ServerResponse): void {
+  private sendMetrics(message: IncomingMessage, response: ServerResponse): void {
     const isKnown = message.url === metricsPath;
     response.writeHead(isKnown ? good : notFound, { "content-type": contentType });
     response.end(isKnown ? this.registry.format() : "");
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -53,7 +53,7 @@
 
 /** Queries to the fleet, answered by parts that are created later. */
 interface FleetQueries {
-  readonly askPeers: ConfigurationFollowerOptions["askPeers"];
+  readonly requestProofs: ConfigurationFollowerOptions["requestProofs"];
   readonly getPeerWork: (endpoint: string) => PeerWork;
 }
 
@@ -135,7 +135,7 @@
   const state = createState(
     { ...base, settling: items.settling },
     {
-      askPeers: (held) => proofRequests.ask(held),
+      requestProofs: (held) => proofRequests.request(held),
       getPeerWork: (endpoint) => members.getPeerWork(endpoint),
     },
   );
@@ -143,15 +143,15 @@
   const reporter: UsageReporter = createReporter(state, items, (key) => members.items.get(key));
   const admission: Admission = createAdmission(state, () => members);
   const members: Members = createMembers(state, reporter, {
-    answerAsk: (peer, ask) => admission.decideForPeer(peer, ask),
+    decideQuotaCall: (peer, call) => admission.decideForPeer(peer, call),
     onItem: (key, item, removal) => {
-      items.takeItem(key, item, removal);
+      items.handleItem(key, item, removal);
       crashes.handleItem(key, item, removal);
     },
-    onTurn: () => {
+    onBeforeReport: () => {
       admission.updateDrainRates();
-      crashes.review();
-      items.review();
+      crashes.reconcile();
+      items.writeDueItems();
     },
   });
   const metrics = GatewayMetrics.create(settings.listen.metrics);
@@ -212,7 +212,7 @@
 
 function createState(
   base: Pick<GatewayState, keyof GatewayBase | "settling">,
-  { askPeers, getPeerWork }: FleetQueries,
+  { requestProofs, getPeerWork }: FleetQueries,
 ): GatewayState {
   const { settings, platform, clock, logger, settling } = base;
   const { configuration, retries, quotas, endpoints } = settings;
@@ -225,7 +225,7 @@
     readerIntervalMs: Math.min(configuration.proof_interval, feedTimings.proofIntervalMs),
     proofLifetimeMs: configuration.revoke_within - configuration.revoke_margin,
     firstWatchPauseMs,
-    askPeers,
+    requestProofs,
     settling,
   });
   const getTimeSinceTrouble = (): number => follower.getTimeSinceTrouble();
@@ -246,8 +246,8 @@
     unlistedMs: feedTimings.unlistedMs,
   });
   const rates = PrefillRates.create({ clock, logger, initialRate: endpoints.prefill_rate });
-  const countActive = (sum: number, { incarnation: life, active }: Endpoint): number =>
-    sum + active + getPeerWork(life).active;
+  const countActive = (sum: number, { incarnation, active }: Endpoint): number =>
+    sum + active + getPeerWork(incarnation).active;
   return {
     ...base,
     incarnation: clock.getWallTime(),
@@ -263,7 +263,7 @@
     demand: DemandEstimator.create({
       clock,
       counters,
-      getReadingRate: (service) => rates.get(service),
+      getPrefillRate: (service) => rates.get(service),
       isRateLearned: (service) => rates.isLearned(service),
       utilization: settings.orders.utilization,
       minEndpointsPerHall: settings.orders.least_per_hall,
@@ -275,7 +275,7 @@
 
 function createReporter(
   state: GatewayState,
-  { committedWindows: fixed, settling }: GatewayItems,
+  { committedWindows: windows, settling }: GatewayItems,
   getItem: Members["items"]["get"],
 ): UsageReporter {
   const { settings, platform, clock, logger, time, usage } = state;
@@ -291,7 +291,7 @@
     usage,
     life: getIncarnationKey({ name: settings.instance.name, incarnation: state.incarnation }),
     getItem,
-    committed: fixed,
+    committed: windows,
     getDurableSince: () => settling.getDurableSince(),
   });
 }
@@ -299,7 +299,7 @@
 function createMembers(
   state: GatewayState,
   reporter: UsageReporter,
-  handlers: Pick<MembersOptions, "answerAsk" | "onItem" | "onTurn">,
+  handlers: Pick<MembersOptions, "decideQuotaCall" | "onItem" | "onBeforeReport">,
 ): Members {
   const { settings, platform, clock, logger, counters, usage, time, directory, follower, rates } = state;
   const { instance, listen, peers } = settings;
@@ -337,7 +337,7 @@
   return Placer.create({
     clock,
     memory,
-    getReadingRate: (service) => rates.get(service),
+    getPrefillRate: (service) => rates.get(service),
     getEndpoints: (service) => directory.getOfService(service),
     getPeerWork: (endpoint) => members.getPeerWork(endpoint),
     getRandom: Math.random,
@@ -378,7 +378,7 @@
     supportsRetryCalls: (name) => links.canIssuePermits(name),
     getFleetSize: () => members.getFleetSize(),
   });
-  RetryLinks.create(members, (peer, ask) => budget.decideForPeer(peer, ask));
+  RetryLinks.create(members, (peer, call) => budget.decideForPeer(peer, call));
   return budget;
 }
 
@@ -403,7 +403,7 @@
     fleet: members,
     directory,
     limits,
-    decide: (ask, asker) => permits.decide(ask, asker),
+    decide: (call, requester) => permits.decide(call, requester),
   });
   return { limits, permits, links };
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -72,7 +72,7 @@
 export { createFingerprint } from "./requestFingerprint.js";
 export { GatewayItems } from "./gatewayItems.js";
 export { parseAdvertisedLimit } from "./advertisedLimit.js";
-export { longestRetryAfterMs, parseRetryAfter } from "./retryAfter.js";
+export { maxRetryAfterMs, parseRetryAfter } from "./retryAfter.js";
 export { RetryBudget } from "./retryBudget.js";
 export { type RetryReply, type RetryCallArguments, RetryLinks } from "./retryLinks.js";
 export type { FleetTopology } from "./fleetBroadcast.js";
--- a/packages/gateway/src/leakyBucket.ts
+++ b/packages/gateway/src/leakyBucket.ts
@@ -15,7 +15,7 @@
 }
 
 /**
- * Minima kept; of more, the two oldest are merged, which can only lower the result of `getLowestSince`, so that less is refunded.
+ * Minima kept; of more, the two oldest are merged, which can only lower the result of `getMinLevelSince`, so that less is refunded.
  */
 const maxMinima = 64;
 
@@ -53,7 +53,7 @@
   }
 
   /** Returns the lowest level after a time. */
-  getLowestSince(time: number, since: number): number {
+  getMinLevelSince(time: number, since: number): number {
     this.advance(time);
     const minimum = this.minima.find(({ at }) => at > since);
     return Math.min(this.level, minimum?.level ?? Infinity);
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -68,9 +68,9 @@
   /** Returns this instance's work by endpoint. */
   readonly getWork: () => ReadonlyMap<string, PeerWork>;
   /** Called before each report. */
-  readonly onTurn: () => void;
+  readonly onBeforeReport: () => void;
   /** Decides on a call as the arbiter of a limit. */
-  readonly answerAsk: (peer: PeerIdentity, call: QuotaCall) => QuotaReply;
+  readonly decideQuotaCall: (peer: PeerIdentity, call: QuotaCall) => QuotaReply;
 }
 
 /** Number of readers: one may end and another may lose its connection to the store at the same time. */
@@ -299,7 +299,7 @@
       this.applyCounts(message as CountsMessage, peer),
     );
     this.links.setHandler(MemberMessageKind.QuotaCall, (message, peer) =>
-      this.answerAsk(message as QuotaCall, peer),
+      this.replyToQuotaCall(message as QuotaCall, peer),
     );
     this.links.setHandler(MemberMessageKind.Placement, (message, peer) =>
       this.applyPlacement(message as PlacementMessage, peer),
@@ -320,7 +320,7 @@
   }
 
   private async sendReports(): Promise<void> {
-    const { clock, time, reportIntervalMs, largeFleetIntervalMs, onTurn } = this.options;
+    const { clock, time, reportIntervalMs, largeFleetIntervalMs, onBeforeReport } = this.options;
     const { signal } = this.stop;
     while (!signal.aborted) {
       await waitFor(clock, this.roles.isMesh ? reportIntervalMs : largeFleetIntervalMs, signal);
@@ -329,7 +329,7 @@
       this.work.refresh();
       this.feed.setRole(this.roles.isReader);
       this.handover.setRole(this.roles.isCollector, clock.getTime());
-      onTurn();
+      onBeforeReport();
       this.report();
     }
   }
@@ -339,7 +339,7 @@
     const { isMesh, isReader } = this.roles;
     const linked = this.roles.getLinkedReaders();
     const feedSource = this.feed.chooseReader(isReader, linked);
-    const countsSource = this.handover.isAsking(this.options.clock.getTime())
+    const countsSource = this.handover.isRequesting(this.options.clock.getTime())
       ? linked[this.sequence % linked.length]
       : undefined;
     for (const name of isMesh ? this.links.getLinked() : linked) {
@@ -362,7 +362,7 @@
     const report = counters.createReport(isCollector || isHistoryRequested);
     this.views.recordReport(this.sequence, report.totals);
     const read = this.options.memory.takeUnreported();
-    this.work.relayReadParts(read);
+    this.work.relayProcessedParts(read);
     const hasUsage = isMesh || this.sequence % reportsPerUsage === 0;
     return {
       kind: MemberMessageKind.Report,
@@ -379,13 +379,13 @@
 
   private applyReport(message: ReportMessage, peer: PeerIdentity): void {
     const { counters, rates, usage, clock } = this.options;
-    const life = getIncarnationKey(peer);
-    counters.applyReport(peer.name, life, message.counters);
-    if (message.usage) usage.mergePeerCounts(life, message.usage);
+    const incarnation = getIncarnationKey(peer);
+    counters.applyReport(peer.name, incarnation, message.counters);
+    if (message.usage) usage.mergePeerCounts(incarnation, message.usage);
     if (message.rates) rates.mergePeer(peer.name, message.rates);
     if (message.read) {
       this.options.memory.mergePeer(message.read);
-      this.work.relayReadParts(message.read);
+      this.work.relayProcessedParts(message.read);
     }
     this.silentPeers.recordReport(peer.name, clock.getTime());
     this.peerClocks.record(peer.name, message.time);
@@ -398,7 +398,7 @@
 
   private sendCounts({ sequence }: ReportMessage, peer: PeerIdentity): void {
     const { counters, clock } = this.options;
-    if (!this.roles.isCollector || this.handover.isAsking(clock.getTime())) return;
+    if (!this.roles.isCollector || this.handover.isRequesting(clock.getTime())) return;
     const message: CountsMessage = {
       kind: MemberMessageKind.Counts,
       sequence,
@@ -408,16 +408,16 @@
   }
 
   /** Decides as the arbiter; an instance that is not a collector lacks the counts to do so. */
-  private answerAsk(call: QuotaCall, peer: PeerIdentity): QuotaReply {
+  private replyToQuotaCall(call: QuotaCall, peer: PeerIdentity): QuotaReply {
     return this.roles.isCollector
-      ? this.options.answerAsk(peer, call)
+      ? this.options.decideQuotaCall(peer, call)
       : { word: GrantDecision.Unknown, level: 0 };
   }
 
   private applyCounts({ sequence, counters: received }: CountsMessage, peer: PeerIdentity): void {
     const { counters, clock, logger } = this.options;
-    const knowsMore = received.isInformed || received.uptime > counters.getUptime();
-    if (!this.handover.isAsking(clock.getTime()) || !knowsMore) return;
+    const isMoreComplete = received.isInformed || received.uptime > counters.getUptime();
+    if (!this.handover.isRequesting(clock.getTime()) || !isMoreComplete) return;
     if (!this.views.applyCounts(sequence, received)) return;
     this.handover.complete();
     const peers = Object.keys(received.included ?? {}).length;
@@ -460,7 +460,7 @@
 
   private applyFeed(sequence: number, feed: FeedMessage): void {
     const reportSentAt = this.views.findSentAt(sequence);
-    if (reportSentAt === undefined || !this.feed.isAsking(this.roles.isReader)) return;
+    if (reportSentAt === undefined || !this.feed.isRequestingContent(this.roles.isReader)) return;
     this.feed.apply(feed, reportSentAt);
   }
 }
--- a/packages/gateway/src/permitClient.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -37,7 +37,7 @@
   readonly metrics: Pick<GatewayMetrics, "countPermit">;
   readonly limits: EndpointLimits;
   readonly issuer: PermitIssuer;
-  readonly arbiters: Pick<Arbiters, "find" | "countBefore" | "call">;
+  readonly arbiters: Pick<Arbiters, "find" | "countPrecedingReaders" | "call">;
   /** Whether an instance can issue permits. */
   readonly canIssuePermits: (name: string) => boolean;
   readonly getFleetSize: () => number;
@@ -145,7 +145,7 @@
     if (requester !== own) limits.mergePeer(report, requester);
     const { perSecond, ageMs } = limits.get(incarnation);
     if (perSecond === undefined) return { word: PermitDecision.Free, permits: 0, waitMs: 0, endedMs: ageMs };
-    const place = arbiters.countBefore(incarnation, canIssuePermits);
+    const place = arbiters.countPrecedingReaders(incarnation, canIssuePermits);
     const grant = issuer.issue({ life: incarnation, perSecond, requester, rank, wanted, place });
     return { word: grant.permits > 0 ? PermitDecision.Granted : PermitDecision.Refused, ...grant };
   }
--- a/packages/gateway/src/permitIssuer.ts
+++ b/packages/gateway/src/permitIssuer.ts
@@ -120,7 +120,7 @@
     const state = isCurrent ? known : this.createState(incarnation, perSecond, place);
     this.states.delete(incarnation);
     this.states.set(incarnation, state);
-    this.forgetOldest();
+    this.removeOldest();
     state.requestedAt = time;
     state.bucket.setRate(time, perSecond * getShare(place));
     const newDepth = getDepth(perSecond, place);
@@ -141,7 +141,7 @@
     return { bucket, place, depth: newDepth, requesters: new Map(), ranks: new Map(), requestedAt: time };
   }
 
-  private forgetOldest(): void {
+  private removeOldest(): void {
     if (this.states.size <= maxIncarnations) return;
     const [oldest] = this.states.keys();
     if (oldest !== undefined) this.states.delete(oldest);
--- a/packages/gateway/src/placement.ts
+++ b/packages/gateway/src/placement.ts
@@ -40,7 +40,7 @@
   readonly clock: Clock;
   readonly memory: PrefixIndex;
   /** Returns the prompt tokens that a service's engine prefills in a millisecond. */
-  readonly getReadingRate: (service: string) => number;
+  readonly getPrefillRate: (service: string) => number;
   readonly getEndpoints: (service: string) => readonly Endpoint[];
   readonly getPeerWork: (endpoint: string) => PeerWork;
   /** Returns a number from 0 to 1, to break ties between endpoints. */
@@ -143,9 +143,9 @@
       return latency * (1 + active / Math.max(1, endpoint.record.slots));
     }
     const tokens = endpoint.pendingTokens + peers.pendingTokens + uncachedTokens;
-    const readingMs = tokens / this.options.getReadingRate(service.name);
+    const prefillMs = tokens / this.options.getPrefillRate(service.name);
     const full = active >= service.engine.slots ? active - service.engine.slots + 1 : 0;
-    return readingMs + active * runningCostMs + full * unknownLatencyMs;
+    return prefillMs + active * runningCostMs + full * unknownLatencyMs;
   }
 }
 
--- a/packages/gateway/src/placementRelay.ts
+++ b/packages/gateway/src/placementRelay.ts
@@ -63,7 +63,7 @@
   }
 
   /** Starts or extends the subscription of an instance. */
-  noteSubscriber(name: string): void {
+  recordSubscriber(name: string): void {
     this.subscribers.set(name, this.options.clock.getTime());
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Adds prompt parts that endpoints have processed, as an instance reports them. */
-  addReadParts(report: PrefixReport): void {
+  addProcessedParts(report: PrefixReport): void {
     if (this.subscribers.size === 0) return;
     for (const [endpoint, parts] of Object.entries(report)) {
       const remaining = Math.max(0, maxParts - this.partCount);
--- a/packages/gateway/src/prefixIndex.ts
+++ b/packages/gateway/src/prefixIndex.ts
@@ -39,7 +39,7 @@
   }
 
   /** Records that an endpoint has processed the prompt of a request of this instance; called at the first event. */
-  noteSent(parts: readonly PromptPart[], endpoint: string): void {
+  recordProcessed(parts: readonly PromptPart[], endpoint: string): void {
     // The last part is specific to the request and not reported: only the next request of its session contains it, and that
     // arrives at this instance.
     for (const { id, tokens } of parts.slice(0, -1)) {
--- a/packages/gateway/src/proofRequests.ts
+++ b/packages/gateway/src/proofRequests.ts
@@ -19,7 +19,7 @@
   readonly kind: ProofMessageKind.Request;
 }
 
-const askedPeerCount = 3;
+const calledPeerCount = 3;
 const requestTimeoutMs = 400;
 
 /** Sends requests for configuration proofs, and replies to those of peers. */
@@ -38,7 +38,7 @@
   }
 
   /** Calls a few linked peers, chosen at random; returns the proofs of those that have one. */
-  async ask(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
+  async request(held: HeldConfiguration): Promise<readonly ConfigurationProof[]> {
     const message: ProofRequestMessage = { kind: ProofMessageKind.Request, ...held };
     const replies = await Promise.all(
       this.choosePeers().map((name) => this.links.call(name, message, requestTimeoutMs)),
@@ -49,7 +49,7 @@
   private choosePeers(): readonly string[] {
     const candidates = this.links.getLinked().map((name) => ({ name, order: this.getRandom() }));
     candidates.sort((one, other) => one.order - other.order);
-    return candidates.slice(0, askedPeerCount).map(({ name }) => name);
+    return candidates.slice(0, calledPeerCount).map(({ name }) => name);
   }
 }
 
--- a/packages/gateway/src/readerSelection.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -10,7 +10,7 @@
   /** How often the selected reader was skipped for the next. */
   private skipCount = 0;
   private selectedAt = 0;
-  private answeredAt = -Infinity;
+  private repliedAt = -Infinity;
 
   private constructor(
     private readonly own: string,
@@ -24,12 +24,12 @@
 
   /** Returns the reader to send requests to now; undefined if none is linked. */
   choose(linked: readonly string[], time: number): string | undefined {
-    if (time - Math.max(this.answeredAt, this.selectedAt) > this.timeoutMs) this.skip(time);
+    if (time - Math.max(this.repliedAt, this.selectedAt) > this.timeoutMs) this.skip(time);
     return linked[(hashText(this.own) + this.skipCount) % Math.max(1, linked.length)];
   }
 
-  recordAnswer(time: number): void {
-    this.answeredAt = time;
+  recordReply(time: number): void {
+    this.repliedAt = time;
   }
 
   /** Selects the next reader. */
--- a/packages/gateway/src/recentPlacements.ts
+++ b/packages/gateway/src/recentPlacements.ts
@@ -24,7 +24,7 @@
   }
 
   /** Records a reader's view that includes all placements up to a number. */
-  noteView(reader: string, number: number): void {
+  recordView(reader: string, number: number): void {
     const isSame = reader === this.reader;
     this.placements = isSame ? this.placements.filter((placement) => placement.number > number) : [];
     this.reader = reader;
@@ -32,7 +32,7 @@
   }
 
   /** Applies relayed placements, numbered from `first` on; returns whether any is newer than the view. */
-  takeRelayed(reader: string, first: number, entries: readonly PlacementEntry[]): boolean {
+  applyRelayed(reader: string, first: number, entries: readonly PlacementEntry[]): boolean {
     if (reader !== this.reader) return false;
     const numbered = entries.map((entry, index) => ({ number: first + index, entry }));
     const fresh = numbered.filter(({ number }) => number > this.lastViewedNumber);
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -60,8 +60,8 @@
   }
 
   /** Ends all requests in progress now. */
-  giveUpAll(): void {
-    for (const exchange of this.activeRequests) exchange.giveUp();
+  abortAll(): void {
+    for (const activeRequest of this.activeRequests) activeRequest.giveUp();
   }
 
   /** Serves one request until its final response. */
@@ -109,10 +109,10 @@
       arrivedAt,
       charge: charge.value,
     };
-    const exchange = ActiveRequest.create(this.activeRequestParts, request);
-    this.activeRequests.add(exchange);
-    const end = await exchange.run();
-    this.activeRequests.delete(exchange);
+    const activeRequest = ActiveRequest.create(this.activeRequestParts, request);
+    this.activeRequests.add(activeRequest);
+    const end = await activeRequest.run();
+    this.activeRequests.delete(activeRequest);
     if (charge.value) this.options.parts.charges.settle(charge.value, end.runs);
     this.recordOutcome(admitted.value, head, service, end, arrivedAt);
     return undefined;
--- a/packages/gateway/src/responseBody.ts
+++ b/packages/gateway/src/responseBody.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { IncomingMessage } from "node:http";
-import { hasEndedInOrder } from "./connectionEnds.js";
+import { hasClosedOrderly } from "./connectionEnds.js";
 
 /** A received body and whether it is complete. */
 export interface ReceivedBody {
@@ -17,7 +17,7 @@
  */
 export function isCompleteResponse({ complete, headers, socket }: IncomingMessage): boolean {
   const isFramed = headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
-  return complete && (isFramed || hasEndedInOrder(socket));
+  return complete && (isFramed || hasClosedOrderly(socket));
 }
 
 /** Resolves when the body has ended, complete or not. Never rejects. */
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -6,13 +6,13 @@
 
 const millisecondsPerSecond = 1_000;
 /** Longest accepted time: a longer one is more likely a mistake, and would keep the endpoint out of service. */
-export const longestRetryAfterMs = 600_000;
+export const maxRetryAfterMs = 600_000;
 const secondsPattern = /^\d+(\.\d+)?$/;
 /** RFC 9110 dates begin with the name of a day; `Date.parse` also accepts texts that are no such dates. */
 const datePattern = /^(Mon|Tues?|Wed(nes)?|Thu(rs)?|Fri|Sat(ur)?|Sun)(day)?,? /;
 
 /**
- * Returns the milliseconds that a `Retry-After` header specifies, at most `longestRetryAfterMs`; undefined if it can't be
+ * Returns the milliseconds that a `Retry-After` header specifies, at most `maxRetryAfterMs`; undefined if it can't be
  * parsed. A date is relative to the response's own `Date`, or to `wallTime` (Unix milliseconds) if it has none.
  */
 export function parseRetryAfter(
@@ -34,5 +34,5 @@
 }
 
 function bound(milliseconds: number): number {
-  return Math.min(longestRetryAfterMs, Math.max(0, milliseconds));
+  return Math.min(maxRetryAfterMs, Math.max(0, milliseconds));
 }
--- a/packages/gateway/src/retryLinks.ts
+++ b/packages/gateway/src/retryLinks.ts
@@ -31,14 +31,14 @@
 export class RetryLinks {
   private constructor(
     private readonly fleet: FleetTopology,
-    private readonly decide: (peer: PeerIdentity, ask: RetryCallArguments) => RetryReply,
+    private readonly decide: (peer: PeerIdentity, call: RetryCallArguments) => RetryReply,
   ) {
     fleet.links.setHandler(retryCallKind, (message, peer) => this.handleCall(message as RetryCall, peer));
   }
 
   static create(
     fleet: FleetTopology,
-    decide: (peer: PeerIdentity, ask: RetryCallArguments) => RetryReply,
+    decide: (peer: PeerIdentity, call: RetryCallArguments) => RetryReply,
   ): RetryLinks {
     return new RetryLinks(fleet, decide);
   }
@@ -56,12 +56,12 @@
 
 /** Creates the call to the arbiter of a service's retries. */
 export function createRetryCall(
-  ask: RetryCallArguments,
+  call: RetryCallArguments,
   isAble: ((name: string) => boolean) | undefined,
 ): ArbiterCall<RetryReply> {
   return {
-    subject: ask.service,
-    message: { kind: retryCallKind, ...ask },
+    subject: call.service,
+    message: { kind: retryCallKind, ...call },
     isUndecided: ({ word }) => word === GrantDecision.Unknown,
     ...(isAble && { supportsCall: isAble }),
   };
--- a/packages/gateway/src/sharedCounters.ts
+++ b/packages/gateway/src/sharedCounters.ts
@@ -123,7 +123,7 @@
    * otherwise, if 100 units are taken, lapse and are taken again, refunding the first 100 would admit 100 more.
    */
   refund(name: string, amount: number, addedAt: number): void {
-    const lowest = this.getBucket(createKey(CounterKind.Quota, name)).getLowestSince(
+    const lowest = this.getBucket(createKey(CounterKind.Quota, name)).getMinLevelSince(
       this.options.clock.getTime(),
       addedAt,
     );
@@ -165,15 +165,15 @@
   ): GrantDecision {
     const time = this.options.clock.getTime();
     const known = this.peers.get(peer);
-    const isSameLife = known?.life === life;
-    if (!isSameLife && uptime >= this.longestWindow) return GrantDecision.Unknown;
+    const isSameIncarnation = known?.life === life;
+    if (!isSameIncarnation && uptime >= this.maxWindowMs) return GrantDecision.Unknown;
     const key = createKey(kind, name);
-    const before: CounterTotals = isSameLife ? known.totals : {};
+    const before: CounterTotals = isSameIncarnation ? known.totals : {};
     const amount = total - (before[key] ?? 0);
     if (amount <= 0) return GrantDecision.Granted;
     if (!mayTake(amount)) return GrantDecision.Refused;
     this.addToTotal(kind, key, time, amount);
-    const receivedAt = isSameLife ? known.receivedAt : time;
+    const receivedAt = isSameIncarnation ? known.receivedAt : time;
     this.peers.set(peer, { life, totals: { ...before, [key]: total }, receivedAt });
     return GrantDecision.Granted;
   }
@@ -216,7 +216,7 @@
 
   /** Whether the counts from before this instance's start are known. */
   get knowsHistory(): boolean {
-    return this.hasHistory || this.getUptime() > this.longestWindow;
+    return this.hasHistory || this.getUptime() > this.maxWindowMs;
   }
 
   /**
@@ -299,7 +299,7 @@
     for (const bucket of this.buckets.values()) bucket.set(time, bucket.getSum(time) * share);
   }
 
-  private get longestWindow(): number {
+  private get maxWindowMs(): number {
     return Math.max(...Object.values(this.options.windows));
   }
 
@@ -318,27 +318,27 @@
     inflow.add(time, amount);
   }
 
-  /** Applies a peer's report; `life` identifies the peer's start. */
-  applyReport(peer: string, life: string, { uptime, totals, sums }: CounterReport): void {
+  /** Applies a peer's report; `incarnation` identifies the peer's start. */
+  applyReport(peer: string, incarnation: string, { uptime, totals, sums }: CounterReport): void {
     const time = this.options.clock.getTime();
     this.adoptHistory(uptime, sums);
     const known = this.peers.get(peer);
-    const isSameLife = known?.life === life;
+    const isSameIncarnation = known?.life === incarnation;
     // If the peer has run for longer than every window, the adopted sums include what counts, and only later
     // increases are new. The same holds for a recently started peer if a view has just been applied that did not
     // contain the totals of each peer that it includes.
     const mayBeIncluded = !this.hasPeerTotals && time - this.viewAppliedAt <= maxExtrapolationMs;
-    const isYoung = uptime < this.longestWindow && !mayBeIncluded;
-    if (isSameLife || isYoung) {
-      const before = isSameLife ? known.totals : {};
-      this.addDifferences(before, totals, isSameLife ? time - known.receivedAt : uptime);
+    const isYoung = uptime < this.maxWindowMs && !mayBeIncluded;
+    if (isSameIncarnation || isYoung) {
+      const before = isSameIncarnation ? known.totals : {};
+      this.addDifferences(before, totals, isSameIncarnation ? time - known.receivedAt : uptime);
     }
-    this.peers.set(peer, { life, totals, receivedAt: time });
+    this.peers.set(peer, { life: incarnation, totals, receivedAt: time });
   }
 
   /** Adopts the sums from before this instance's start from the first peer that has run for a whole window. */
   private adoptHistory(uptime: number, sums: CounterTotals): void {
-    if (this.knowsHistory || uptime < this.longestWindow) return;
+    if (this.knowsHistory || uptime < this.maxWindowMs) return;
     if (Object.keys(sums).length === 0) return;
     this.hasHistory = true;
     const time = this.options.clock.getTime();
--- a/packages/gateway/src/silentPeers.ts
+++ b/packages/gateway/src/silentPeers.ts
@@ -16,7 +16,7 @@
 
 /** Decides which peers may be serving without their reports arriving. */
 export class SilentPeers {
-  private readonly heardAt = new Map<string, number>();
+  private readonly reportedAt = new Map<string, number>();
   private readonly servingUntil = new Map<string, number>();
 
   private constructor(private readonly servingMs: number) {}
@@ -30,15 +30,15 @@
   }
 
   recordReport(name: string, time: number): void {
-    this.heardAt.set(name, time);
+    this.reportedAt.set(name, time);
     this.servingUntil.delete(name);
   }
 
   /** Records that the link to a peer is down. A peer that reported until then has ended and serves nothing. */
   recordDisconnect(name: string, time: number): void {
-    const heardAt = this.heardAt.get(name);
-    if (heardAt === undefined || time - heardAt <= reportLifetimeMs) return;
-    this.servingUntil.set(name, heardAt + this.servingMs);
+    const reportedAt = this.reportedAt.get(name);
+    if (reportedAt === undefined || time - reportedAt <= reportLifetimeMs) return;
+    this.servingUntil.set(name, reportedAt + this.servingMs);
   }
 
   /**
@@ -47,7 +47,7 @@
    */
   mayBeServing(name: string, time: number, isLinked: boolean): boolean {
     if ((this.servingUntil.get(name) ?? -Infinity) > time) return true;
-    const heardAt = this.heardAt.get(name);
-    return heardAt !== undefined && isLinked && time - heardAt > reportLifetimeMs;
+    const reportedAt = this.reportedAt.get(name);
+    return reportedAt !== undefined && isLinked && time - reportedAt > reportLifetimeMs;
   }
 }
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -50,13 +50,13 @@
    * Whether this instance requests content from readers. A reader does so too while the store refuses it,
    * because it would otherwise keep using endpoints that have left.
    */
-  isAsking(isReader: boolean): boolean {
+  isRequestingContent(isReader: boolean): boolean {
     return !isReader || this.options.configuration.isStoreLost;
   }
 
   /** Returns the reader to send requests to now; undefined if this instance needs none or none is linked. */
   chooseReader(isReader: boolean, linked: readonly string[]): string | undefined {
-    if (!this.isAsking(isReader)) return undefined;
+    if (!this.isRequestingContent(isReader)) return undefined;
     return this.selection.choose(linked, this.options.clock.getTime());
   }
 
@@ -74,10 +74,10 @@
    * Applies a reader's reply to a report that was sent at a boot time. A reply from a reader that the store
    * does not serve is discarded.
    */
-  apply(message: FeedMessage, askedAt: number): void {
+  apply(message: FeedMessage, calledAt: number): void {
     const time = this.options.clock.getTime();
-    this.selection.recordAnswer(time);
-    if (this.feed.apply(message, askedAt)) {
+    this.selection.recordReply(time);
+    if (this.feed.apply(message, calledAt)) {
       this.lastFedAt = time;
       return;
     }
--- a/packages/gateway/src/suspectGate.ts
+++ b/packages/gateway/src/suspectGate.ts
@@ -74,8 +74,8 @@
   }
 
   /** Records that a request was interrupted at an endpoint; resolves with whether the endpoint has crashed. */
-  noteInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
-    return this.options.detector.noteInterruption(endpoint, request);
+  recordInterruption(endpoint: Endpoint, request: InFlightRequest): Promise<boolean> {
+    return this.options.detector.recordInterruption(endpoint, request);
   }
 
   /**
--- a/packages/gateway/src/usageCounts.ts
+++ b/packages/gateway/src/usageCounts.ts
@@ -34,7 +34,7 @@
     const counts = this.own.windows.get(window) ?? {};
     counts[workspace] = (counts[workspace] ?? 0) + 1;
     this.own.windows.set(window, counts);
-    forgetOld(this.own, window);
+    removeOldWindows(this.own, window);
   }
 
   /** Returns this instance's counts of the `count` latest windows. */
@@ -47,23 +47,23 @@
   }
 
   /** Merges the counts that one incarnation of a peer reports; counts only grow. */
-  mergePeerCounts(life: string, reported: WindowCounts): void {
-    const instance = this.peers.get(life) ?? new InstanceCounts();
-    this.peers.set(life, instance);
+  mergePeerCounts(incarnation: string, reported: WindowCounts): void {
+    const instance = this.peers.get(incarnation) ?? new InstanceCounts();
+    this.peers.set(incarnation, instance);
     for (const [window, counts] of Object.entries(reported)) {
       const known = instance.windows.get(Number(window));
       instance.windows.set(Number(window), known ? mergeCounts(known, counts) : counts);
-      forgetOld(instance, Number(window));
+      removeOldWindows(instance, Number(window));
     }
   }
 
   /** Returns the counts of the `count` latest windows by incarnation, this instance's own under the given key. */
-  getIncarnations(ownLife: string, newest: number, count: number): Record<string, WindowCounts> {
+  getIncarnations(ownIncarnation: string, newest: number, count: number): Record<string, WindowCounts> {
     const incarnations: Record<string, WindowCounts> = {};
-    for (const [life, instance] of [[ownLife, this.own] as const, ...this.peers]) {
+    for (const [incarnation, instance] of [[ownIncarnation, this.own] as const, ...this.peers]) {
       const windows: WindowCounts = {};
       for (const [window, counts] of instance.windows) if (window > newest - count) windows[window] = counts;
-      if (Object.keys(windows).length > 0) incarnations[life] = windows;
+      if (Object.keys(windows).length > 0) incarnations[incarnation] = windows;
     }
     return incarnations;
   }
@@ -81,9 +81,9 @@
 
   /** Removes incarnations of peers that reported nothing for the kept windows. */
   removeStalePeers(newest: number): void {
-    for (const [life, instance] of this.peers) {
+    for (const [incarnation, instance] of this.peers) {
       const latest = Math.max(...instance.windows.keys());
-      if (latest <= newest - keptWindows) this.peers.delete(life);
+      if (latest <= newest - keptWindows) this.peers.delete(incarnation);
     }
   }
 }
@@ -96,7 +96,7 @@
   return merged;
 }
 
-function forgetOld(instance: InstanceCounts, newest: number): void {
+function removeOldWindows(instance: InstanceCounts, newest: number): void {
   for (const window of instance.windows.keys()) {
     if (window <= newest - keptWindows) instance.windows.delete(window);
   }
--- a/packages/gateway/src/usageReporter.ts
+++ b/packages/gateway/src/usageReporter.ts
@@ -74,7 +74,7 @@
 
   /** Restores the checkpoint of the previous leader; called once by a new leader, before it reports. */
   async restoreCheckpoint(): Promise<void> {
-    const { store, checkpointKey, usage, life: ownLife, logger } = this.options;
+    const { store, checkpointKey, usage, life: ownIncarnation, logger } = this.options;
     const reading = await store.read(checkpointKey);
     const item = reading.isOk() ? reading.value.item : undefined;
     if (!item) return;
@@ -83,8 +83,8 @@
       logger.warn("usage.draft-refused", { revision: item.revision });
       return;
     }
-    for (const [life, windows] of Object.entries(incarnations)) {
-      if (life !== ownLife) usage.mergePeerCounts(life, windows);
+    for (const [incarnation, windows] of Object.entries(incarnations)) {
+      if (incarnation !== ownIncarnation) usage.mergePeerCounts(incarnation, windows);
       for (const window of Object.keys(windows)) {
         this.firstWindow = Math.min(this.firstWindow, Number(window));
       }
--- a/packages/gateway/test/arbiters.test.ts
+++ b/packages/gateway/test/arbiters.test.ts
@@ -10,7 +10,7 @@
 
 /** Sends calls one after the other; each arbiter replies after its own delay. Returns the duration of each call in milliseconds. */
 async function callRepeatedly(
-  answerMs: Readonly<Record<string, number>>,
+  replyMs: Readonly<Record<string, number>>,
   count: number,
   waitMs = 5_000,
 ): Promise<number[]> {
@@ -20,10 +20,10 @@
     clock,
     logger: Logger.createSilent(),
     own: "own",
-    getReaders: () => Object.keys(answerMs),
+    getReaders: () => Object.keys(replyMs),
     isLinked: () => true,
     call: async (name, _, timeoutMs): Promise<Result<unknown, Failure>> => {
-      const tookMs = answerMs[name] ?? 0;
+      const tookMs = replyMs[name] ?? 0;
       await waitFor(clock, Math.min(tookMs, timeoutMs));
       if (tookMs <= timeoutMs) return Ok(granted);
       return Err(Failure.create(FailureCode.PeerUnreachable, { peer: name }));
@@ -54,8 +54,8 @@
 
 t.test("if all links are slow, the timeouts grow until replies arrive", async (t) => {
   const times = await callRepeatedly({ a: 800, b: 800, c: 800 }, 60);
-  const answered = times.slice(20).filter((time) => Math.round(time) === 800);
-  t.ok(answered.length >= 30, times.join());
+  const replied = times.slice(20).filter((time) => Math.round(time) === 800);
+  t.ok(replied.length >= 30, times.join());
 });
 
 t.test("no question takes longer than its request can wait", async (t) => {
--- a/packages/gateway/test/capacityPlan.test.ts
+++ b/packages/gateway/test/capacityPlan.test.ts
@@ -60,11 +60,11 @@
           (hall) => orders.find((order) => order.hall === hall && order.isReclaimable)?.desired ?? 0,
         );
         const ways = [...spread(needed, max)];
-        const leastLoss = Math.min(...ways.map((way) => getLoss(way)));
+        const minLoss = Math.min(...ways.map((way) => getLoss(way)));
         const best = Math.min(
-          ...ways.filter((way) => getLoss(way) === leastLoss).map((way) => getCost(way, prices)),
+          ...ways.filter((way) => getLoss(way) === minLoss).map((way) => getCost(way, prices)),
         );
-        t.equal(getLoss(planned), leastLoss);
+        t.equal(getLoss(planned), minLoss);
         t.ok(
           Math.abs(getCost(planned, prices) - best) < 1e-9,
           `${needed} endpoints, prices ${prices.join()}`,
--- a/packages/gateway/test/countHandover.test.ts
+++ b/packages/gateway/test/countHandover.test.ts
@@ -5,16 +5,16 @@
 t.test("counts are requested from the time at which an instance becomes a collector", async (t) => {
   const handover = CountHandover.create();
   handover.setRole(false, 0);
-  t.notOk(handover.isAsking(0));
+  t.notOk(handover.isRequesting(0));
   handover.setRole(true, 500);
   handover.setRole(true, 1_400);
-  t.ok(handover.isAsking(1_500));
-  t.notOk(handover.isAsking(1_501), "if all become collectors together, no instance has the counts");
+  t.ok(handover.isRequesting(1_500));
+  t.notOk(handover.isRequesting(1_501), "if all become collectors together, no instance has the counts");
   handover.setRole(false, 2_000);
   handover.setRole(true, 3_000);
   handover.complete();
   handover.setRole(true, 3_100);
-  t.notOk(handover.isAsking(3_100));
+  t.notOk(handover.isRequesting(3_100));
 });
 
 t.test(
--- a/packages/gateway/test/crashDetector.test.ts
+++ b/packages/gateway/test/crashDetector.test.ts
@@ -51,13 +51,13 @@
     const beside = { subject: { workspace: "w", fingerprint: "beside" } };
     endpoint.inFlight.add(beside);
     const crashed = await Promise.all([
-      detector.noteInterruption(endpoint, request),
-      detector.noteInterruption(endpoint, request),
+      detector.recordInterruption(endpoint, request),
+      detector.recordInterruption(endpoint, request),
     ]);
     t.same(crashed, [true, true]);
     t.equal(state.probes, 1, "one probe serves both interruptions");
     t.same(sent, [{ reports: [{ life: "e", suspects: [], others: [subject, beside.subject] }] }]);
-    t.ok(await detector.noteInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
+    t.ok(await detector.recordInterruption(endpoint, { subject: { workspace: "w", fingerprint: "late" } }));
     t.equal(state.probes, 1);
     t.equal(records.getQuarantineState({ workspace: "w", fingerprint: "late" }), QuarantineState.Suspect);
   },
@@ -66,15 +66,15 @@
 t.test("one of the two signs alone is not enough", async (t) => {
   for (const result of [ProbeResult.Listening, ProbeResult.Unknown]) {
     const { clock, records, endpoint, detector, state } = createDetector(result);
-    t.notOk(await detector.noteInterruption(endpoint, request));
-    t.notOk(await detector.noteInterruption(endpoint, request));
+    t.notOk(await detector.recordInterruption(endpoint, request));
+    t.notOk(await detector.recordInterruption(endpoint, request));
     t.equal(
       state.probes,
       result === ProbeResult.Listening ? 1 : 2,
       "an endpoint that accepts connections is not probed twice in a row",
     );
     await clock.advance(200);
-    t.notOk(await detector.noteInterruption(endpoint, request));
+    t.notOk(await detector.recordInterruption(endpoint, request));
     t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
@@ -83,7 +83,7 @@
   for (const state of [EndpointState.Leaving, EndpointState.Unlisted]) {
     const { records, endpoint, detector } = createDetector(ProbeResult.Refused);
     endpoint.state = state;
-    t.notOk(await detector.noteInterruption(endpoint, request));
+    t.notOk(await detector.recordInterruption(endpoint, request));
     t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   }
 });
@@ -95,10 +95,10 @@
     for (const id of ["e1", "e2", "e3"]) {
       const endpoint = createKnownEndpoint({ id });
       endpoint.servedAt = clock.getTime();
-      endpoint.availability.noteLeaving(LeavingSource.Answer, clock.getTime());
+      endpoint.availability.recordLeaving(LeavingSource.Answer, clock.getTime());
       endpoint.state = EndpointState.Leaving;
       await clock.advance(100);
-      t.ok(await detector.noteInterruption(endpoint, request));
+      t.ok(await detector.recordInterruption(endpoint, request));
     }
     t.equal(
       records.getQuarantineState(subject),
@@ -119,11 +119,11 @@
     ]) {
       const { clock, records, endpoint, detector } = createDetector(ProbeResult.Refused);
       endpoint.servedAt = clock.getTime();
-      endpoint.availability.noteLeaving(source, clock.getTime());
+      endpoint.availability.recordLeaving(source, clock.getTime());
       endpoint.state = EndpointState.Leaving;
       const isOfRecord = source === LeavingSource.Record || source === LeavingSource.Successor;
       await clock.advance(isOfRecord ? 100 : drainMs);
-      t.notOk(await detector.noteInterruption(endpoint, request), LeavingSource[source]);
+      t.notOk(await detector.recordInterruption(endpoint, request), LeavingSource[source]);
       t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
     }
   },
@@ -131,9 +131,9 @@
 
 t.test("a record that is still there refutes a crash, unless the store is failing", async (t) => {
   const { clock, records, endpoint, sent, detector, state } = createDetector(ProbeResult.Refused);
-  await detector.noteInterruption(endpoint, request);
+  await detector.recordInterruption(endpoint, request);
   await clock.advance(5_000);
-  detector.review();
+  detector.refuteCrashes();
   t.equal(
     records.getQuarantineState(subject),
     QuarantineState.Suspect,
@@ -141,18 +141,18 @@
   );
   await clock.advance(2_000);
   state.troubleMs = 100;
-  detector.review();
+  detector.refuteCrashes();
   t.equal(records.getQuarantineState(subject), QuarantineState.Suspect);
   state.troubleMs = Infinity;
   state.isListed = false;
-  detector.review();
+  detector.refuteCrashes();
   t.equal(
     records.getQuarantineState(subject),
     QuarantineState.Suspect,
     "its record is gone, so the crash is not refuted",
   );
   state.isListed = true;
-  detector.review();
+  detector.refuteCrashes();
   t.equal(records.getQuarantineState(subject), QuarantineState.Clear);
   t.same(sent.at(-1), { refuted: ["e"] });
 });
@@ -167,18 +167,18 @@
     getEndpoints: () => endpoints,
     getPeerWork: () => ({ active: 0, pendingTokens: 0 }),
   });
-  const ask = (fingerprint: string, waitMs = 0, excluded: readonly string[] = []) =>
+  const requestTrial = (fingerprint: string, waitMs = 0, excluded: readonly string[] = []) =>
     scheduler.decideOrWait({ service: "web", subject: { workspace: "w", fingerprint }, excluded, waitMs });
-  return { clock, records, endpoints, scheduler, ask };
+  return { clock, records, endpoints, scheduler, requestTrial };
 }
 
 t.test(
   "no two isolated requests run at one endpoint, and half of the service stays free for others",
   async (t) => {
-    const { clock, endpoints, scheduler, ask } = createScheduler(6);
+    const { clock, endpoints, scheduler, requestTrial } = createScheduler(6);
     endpoints[3]!.active = 5;
     endpoints[0]!.active = 1;
-    const first = await Promise.all(["a", "b", "c", "d"].map((fingerprint) => ask(fingerprint)));
+    const first = await Promise.all(["a", "b", "c", "d"].map((fingerprint) => requestTrial(fingerprint)));
     t.same(
       first.map(({ word: result }) => TrialDecision[result]),
       ["Granted", "Granted", "Granted", "Busy"],
@@ -188,15 +188,19 @@
       ["e1", "e2", "e4", undefined],
       "the endpoints with the fewest open requests",
     );
-    const waiting = ask("d", 600);
+    const waiting = requestTrial("d", 600);
     scheduler.end("e2", "x");
     scheduler.end("e2", "b");
     t.match(await waiting, { word: TrialDecision.Granted, life: "e2" });
-    const late = ask("e", 600);
+    const late = requestTrial("e", 600);
     await clock.advance(600);
     t.equal((await late).word, TrialDecision.Busy);
     await clock.advance(2_000);
-    t.equal((await ask("f")).word, TrialDecision.Granted, "a trial whose end is not reported expires");
+    t.equal(
+      (await requestTrial("f")).word,
+      TrialDecision.Granted,
+      "a trial whose end is not reported expires",
+    );
     scheduler.close();
   },
 );
@@ -204,15 +208,15 @@
 t.test(
   "crashed endpoints count as unavailable; the only endpoint of a service may be used for a trial",
   async (t) => {
-    const { records, ask, scheduler } = createScheduler(4);
+    const { records, requestTrial, scheduler } = createScheduler(4);
     records.apply({ reports: [{ life: "e0", suspects: [], others: [] }] });
-    t.equal((await ask("a")).word, TrialDecision.Granted);
-    t.equal((await ask("b")).word, TrialDecision.Busy);
+    t.equal((await requestTrial("a")).word, TrialDecision.Granted);
+    t.equal((await requestTrial("b")).word, TrialDecision.Busy);
     scheduler.close();
     const single = createScheduler(1);
-    t.match(await single.ask("a"), { word: TrialDecision.Granted, life: "e0" });
-    t.equal((await single.ask("b")).word, TrialDecision.Busy);
-    t.equal((await single.ask("b", 0, ["e0"])).word, TrialDecision.Busy);
+    t.match(await single.requestTrial("a"), { word: TrialDecision.Granted, life: "e0" });
+    t.equal((await single.requestTrial("b")).word, TrialDecision.Busy);
+    t.equal((await single.requestTrial("b", 0, ["e0"])).word, TrialDecision.Busy);
     single.scheduler.close();
   },
 );
@@ -243,13 +247,13 @@
     reports: [{ life: "e0", suspects: [], others: [{ workspace: "w", fingerprint: "other" }] }],
   });
   crashTwice();
-  store.review();
+  store.reconcileItems();
   await clock.advance(100);
-  store.review();
+  store.reconcileItems();
   await clock.advance(100);
   t.same([...shared.entries.keys()], [key], "a suspect of a single crash is not stored");
   records.apply({ acquittals: [{ fingerprint: "f", lives: ["e1", "e2"] }] });
-  store.review();
+  store.reconcileItems();
   await clock.advance(100);
   t.same([...shared.entries.keys()], []);
 });
@@ -257,14 +261,14 @@
 t.test("an item that the store lost is written again; one that an operator removed is not", async (t) => {
   const { clock, shared, records, store, crashTwice } = createStore();
   crashTwice();
-  store.review();
+  store.reconcileItems();
   await clock.advance(100);
   const item = shared.entries.get(key)!;
   store.handleItem(key, item);
   shared.remove(key);
   store.handleItem(key, undefined, { cause: RemovalCause.Lost, troubleAgeMs: undefined });
   t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
-  store.review();
+  store.reconcileItems();
   await clock.advance(100);
   t.ok(shared.entries.has(key));
   shared.remove(key);
@@ -277,7 +281,7 @@
     QuarantineState.Clear,
     "nor by a snapshot that still has the item",
   );
-  store.review();
+  store.reconcileItems();
   await clock.advance(100);
   t.notOk(shared.entries.has(key));
 });
@@ -316,7 +320,7 @@
       records.apply({ reports: [{ life: incarnation, suspects: [], others: [subject] }] });
     records.apply({ reports: [{ life: "e3", suspects: [subject, other], others: [] }] });
     t.equal(records.getQuarantineState(subject), QuarantineState.Resting);
-    store.review();
+    store.reconcileItems();
     await clock.advance(100);
     const item = shared.entries.get(key);
     const later = createStore();
@@ -335,7 +339,7 @@
     }
   }
   for (let step = 0; step < 100; step++) {
-    store.review();
+    store.reconcileItems();
     await clock.advance(1);
   }
   t.equal(shared.entries.size, 64);
@@ -352,12 +356,12 @@
   const beside = { workspace: "w", fingerprint: "beside" };
   records.apply({ reports: [{ life: "e1", suspects: [], others: [subject, beside] }] });
   records.apply({ reports: [{ life: "e2", suspects: [subject], others: [] }] });
-  store.review();
+  store.reconcileItems();
   await clock.advance(10);
   records.apply({ reports: [{ life: "e2", suspects: [beside], others: [] }] });
-  store.review();
+  store.reconcileItems();
   await clock.advance(10);
-  store.review();
+  store.reconcileItems();
   const item = shared.entries.get(key);
   t.ok(item, "the item stays");
   if (item) store.handleItem(key, { key, revision: 2, value: item.value });
--- a/packages/gateway/test/demandEstimator.test.ts
+++ b/packages/gateway/test/demandEstimator.test.ts
@@ -17,7 +17,7 @@
   const demand = DemandEstimator.create({
     clock,
     counters,
-    getReadingRate: () => 50,
+    getPrefillRate: () => 50,
     isRateLearned: () => true,
     utilization: 0.4,
     minEndpointsPerHall: 1,
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -10,7 +10,7 @@
   EndpointAvailability,
   type CrashDetector,
   GatewayMetrics,
-  longestRetryAfterMs,
+  maxRetryAfterMs,
   parseRetryAfter,
   SuspectGate,
   TrialDecision,
@@ -147,11 +147,11 @@
 t.test("a suspect gets no trial at an endpoint that holds this instance off", async (t) => {
   const { clock, findTrial, held, open, requested, isIsolated } = createGate();
   t.ok(isIsolated());
-  held.availability.noteHoldOff(longMs, clock.getTime());
+  held.availability.recordHoldOff(longMs, clock.getTime());
   const first = await findTrial();
   t.equal(first.unwrap()?.endpoint, open);
   t.same(requested, [[held.incarnation]]);
-  open.availability.noteHoldOff(longMs, clock.getTime());
+  open.availability.recordHoldOff(longMs, clock.getTime());
   const second = await findTrial();
   t.ok(second.isErr(), "a grant for it is not used either");
 });
@@ -159,7 +159,7 @@
 t.test("a suspect gets no trial at an endpoint for which this instance gets no permit", async (t) => {
   const { clock, findTrial, held, open, requested } = createGate();
   const time = clock.getTime();
-  held.availability.noteLimit(1, { sentAt: time, receivedAt: time }, time);
+  held.availability.recordLimit(1, { sentAt: time, receivedAt: time }, time);
   t.equal((await findTrial()).unwrap()?.endpoint, open);
   t.same(requested.pop(), [], "it may ask for a permit");
   held.availability.limit.beginPermitCall();
@@ -174,8 +174,8 @@
     const availability = EndpointAvailability.create();
     t.ok(availability.acceptsRequest(0));
     const earlier = availability.beginAttempt();
-    availability.noteHoldOff(1_000, 0);
-    availability.noteHoldOff(300, 100);
+    availability.recordHoldOff(1_000, 0);
+    availability.recordHoldOff(300, 100);
     t.notOk(availability.acceptsRequest(999));
     t.ok(availability.acceptsRequest(1_000));
     const first = availability.beginAttempt();
@@ -188,7 +188,7 @@
 
 t.test("requests return one, two, four at a time; a refusal starts over", async (t) => {
   const availability = EndpointAvailability.create();
-  availability.noteHoldOff(1_000, 0);
+  availability.recordHoldOff(1_000, 0);
   const fill = (time: number): number[] => {
     const attempts: number[] = [];
     while (attempts.length < 100 && availability.acceptsRequest(time))
@@ -202,7 +202,7 @@
     for (const round of attempts) availability.endAttempt(round, true);
   }
   t.same(counts, [1, 2, 4, 100]);
-  availability.noteHoldOff(500, 2_000);
+  availability.recordHoldOff(500, 2_000);
   t.equal(fill(2_499).length, 0);
   const [next = 0, ...others] = fill(2_500);
   t.equal(others.length, 0);
@@ -227,7 +227,7 @@
       "by this instance's clock if the response has no date",
     );
     t.equal(read(date), 0, "a date in the past");
-    t.equal(read("31536000"), longestRetryAfterMs);
+    t.equal(read("31536000"), maxRetryAfterMs);
     for (const malformed of ["", "soon", "-1", "1e3", "NaN", "Infinity", "2 s", "1,2", "Sun, never"]) {
       t.equal(read(malformed), undefined, malformed);
     }
--- a/packages/gateway/test/endpointIncarnations.test.ts
+++ b/packages/gateway/test/endpointIncarnations.test.ts
@@ -40,7 +40,7 @@
   platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1" });
   await clock.advance(200);
   const former = find();
-  former?.noteUnreachable(clock.getTime());
+  former?.recordUnreachable(clock.getTime());
   platform.putEndpoint({ id: "e", born: 1, address: "127.0.0.1:1", isLeaving: true });
   await clock.advance(200);
   t.notOk(find()?.isUsable());
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -42,8 +42,8 @@
     call.response.setHeader("x-limit", String(perSecond));
     respondSuccess(call);
   };
-  const getMostArrivalsInWindow = (): number => getMaxArrivals(arrivals);
-  return { script, getMostArrivalsInWindow, arrivals };
+  const getMaxArrivalsInWindow = (): number => getMaxArrivals(arrivals);
+  return { script, getMaxArrivalsInWindow, arrivals };
 }
 
 /** Starts instances, one endpoint that advertises a limit and has responded to one of them, and other endpoints without a limit. */
@@ -92,8 +92,8 @@
   ] as const) {
     const { limited, callAll } = await startLimited(t, instances, perSecond, 1);
     const responses = await callAll(240 / instances);
-    const report = `${instances} instances, ${perSecond} a second: ${limited.getMostArrivalsInWindow()} in a window`;
-    t.ok(limited.getMostArrivalsInWindow() <= getAllowedArrivals(perSecond), report);
+    const report = `${instances} instances, ${perSecond} a second: ${limited.getMaxArrivalsInWindow()} in a window`;
+    t.ok(limited.getMaxArrivalsInWindow() <= getAllowedArrivals(perSecond), report);
     t.ok(
       responses.every(({ status }) => status === 200),
       "other endpoints serve what it does not accept",
@@ -104,7 +104,7 @@
 t.test("the same holds if instances learn of each other only from readers", async (t) => {
   const { limited, callAll } = await startLimited(t, 6, 1, 1, true);
   const responses = await callAll(40);
-  t.ok(limited.getMostArrivalsInWindow() <= getAllowedArrivals(1), String(limited.getMostArrivalsInWindow()));
+  t.ok(limited.getMaxArrivalsInWindow() <= getAllowedArrivals(1), String(limited.getMaxArrivalsInWindow()));
   t.ok(responses.every(({ status }) => status === 200));
 });
 
@@ -112,10 +112,7 @@
   const { bench, limited, callAll } = await startLimited(t, 3, 0.5, 0);
   const responses = await callAll(60);
   const refused = responses.filter(({ status }) => status === 503);
-  t.ok(
-    limited.getMostArrivalsInWindow() <= getAllowedArrivals(0.5),
-    String(limited.getMostArrivalsInWindow()),
-  );
+  t.ok(limited.getMaxArrivalsInWindow() <= getAllowedArrivals(0.5), String(limited.getMaxArrivalsInWindow()));
   t.ok(refused.length > 150, String(refused.length));
   for (const { headers } of refused) t.ok(Number(headers["retry-after"]) >= 0.3);
   const metrics = await bench.readMetrics(bench.instances[0]!);
@@ -150,32 +147,32 @@
 
 t.test("responses that overtake each other neither end a limit nor restore it", async (t) => {
   const limit = EndpointLimit.create();
-  t.equal(limit.noteOmitted(0), LimitChange.None);
-  t.equal(limit.noteAdvertised(5, at(10, 20)), LimitChange.Begun);
-  t.equal(limit.noteOmitted(15), LimitChange.None, "sent before the limit was received");
+  t.equal(limit.recordOmitted(0), LimitChange.None);
+  t.equal(limit.recordAdvertised(5, at(10, 20)), LimitChange.Begun);
+  t.equal(limit.recordOmitted(15), LimitChange.None, "sent before the limit was received");
   t.equal(
-    limit.noteAdvertised(8, at(15, 30)),
+    limit.recordAdvertised(8, at(15, 30)),
     LimitChange.None,
     "not raised by a response to a request sent before",
   );
-  t.equal(limit.noteAdvertised(3, at(15, 35)), LimitChange.Changed, "but lowered");
-  t.equal(limit.noteAdvertised(9, at(40, 50)), LimitChange.Changed);
+  t.equal(limit.recordAdvertised(3, at(15, 35)), LimitChange.Changed, "but lowered");
+  t.equal(limit.recordAdvertised(9, at(40, 50)), LimitChange.Changed);
   t.equal(limit.perSecond, 9);
-  t.equal(limit.noteOmitted(50), LimitChange.None);
-  t.equal(limit.noteOmitted(51), LimitChange.Ended);
+  t.equal(limit.recordOmitted(50), LimitChange.None);
+  t.equal(limit.recordOmitted(51), LimitChange.Ended);
   t.equal(
-    limit.noteAdvertised(9, at(45, 50)),
+    limit.recordAdvertised(9, at(45, 50)),
     LimitChange.None,
     "a response from before the end, reported late",
   );
-  t.equal(limit.noteAdvertised(9, at(45, 60)), LimitChange.Begun, "a response from after it");
+  t.equal(limit.recordAdvertised(9, at(45, 60)), LimitChange.Begun, "a response from after it");
 });
 
 t.test(
   "permits expire after a short time, and a refusal holds back all but more urgent requests",
   async (t) => {
     const limit = EndpointLimit.create();
-    limit.noteAdvertised(1, at(0, 0));
+    limit.recordAdvertised(1, at(0, 0));
     t.ok(limit.mayRequestPermits(0, 3));
     t.equal(limit.beginPermitCall(), 1);
     t.notOk(limit.mayRequestPermits(1, 0), "one request to the issuer at a time");
@@ -257,9 +254,9 @@
 t.test("a limit does not hide a hold-off of its endpoint", async (t) => {
   const endpoint = createKnownEndpoint({ id: "e" });
   const { availability } = endpoint;
-  availability.noteLimit(2, at(0, 0), 0);
+  availability.recordLimit(2, at(0, 0), 0);
   t.ok(endpoint.acceptsRequest(1));
-  availability.noteHoldOff(1_000, 1);
+  availability.recordHoldOff(1_000, 1);
   t.notOk(endpoint.acceptsRequest(500));
   t.notOk(endpoint.acceptsPermitted(500), "nor with a permit");
   t.equal(availability.getWaitMs(500), 501);
@@ -292,7 +289,7 @@
     getFleetSize: () => fleetSize,
   });
   const endpoint = createKnownEndpoint({ id: "e" });
-  endpoint.availability.noteLimit(1, at(0, 0), 0);
+  endpoint.availability.recordLimit(1, at(0, 0), 0);
   const request = { id: "r", rank: 0, leftMs: 5_000 };
   const countIn = async (seconds: number): Promise<number> => {
     let taken = 0;
--- a/packages/gateway/test/fedFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -101,13 +101,13 @@
     for (const reader of this.readers) {
       reader.feed.setRole(true);
       const others = readerNames.filter((_, index) => this.readers[index] !== reader);
-      this.ask(reader, true, others);
+      this.requestContent(reader, true, others);
     }
     this.fed.feed.setRole(false);
-    this.ask(this.fed, false, readerNames);
+    this.requestContent(this.fed, false, readerNames);
   }
 
-  private ask(requester: StoreView, isReader: boolean, linked: readonly string[]): void {
+  private requestContent(requester: StoreView, isReader: boolean, linked: readonly string[]): void {
     const name = requester.feed.chooseReader(isReader, linked);
     const reader = this.readers[readerNames.indexOf(name ?? "")];
     const message = reader?.feed.createMessage(requester.feed.getState());
--- a/packages/gateway/test/followers.ts
+++ b/packages/gateway/test/followers.ts
@@ -40,7 +40,7 @@
     proofIntervalMs: 1_500,
     readerIntervalMs: 600,
     proofLifetimeMs: 4_600,
-    askPeers: async () => [],
+    requestProofs: async () => [],
     settling: options.settling ?? createSettling(platform.store, clock),
     ...options,
   });
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -23,7 +23,7 @@
  * Sends a request of so many tokens. Between two views at most as much is extrapolated as was taken in the last
  * second.
  */
-function ask(bench: GatewayTestBench, instance: BenchInstance, tokens: number): Promise<CallResult> {
+function callGateway(bench: GatewayTestBench, instance: BenchInstance, tokens: number): Promise<CallResult> {
   return bench.call(instance, { key: "key", headers: { "x-tokens": String(tokens) } });
 }
 
@@ -55,13 +55,13 @@
     let taken = 0;
     for (const [index, instance] of instances.entries()) {
       const tokens = index < 5 ? 1 : 60;
-      t.equal((await ask(bench, instance, tokens)).status, 200);
+      t.equal((await callGateway(bench, instance, tokens)).status, 200);
       taken += tokens;
       await waitUntil(() =>
         instances.every(({ gateway }) => gateway.getQuotaLevel("workspace") > taken - 0.5),
       );
     }
-    for (const instance of instances) t.equal((await ask(bench, instance, 60)).status, 429);
+    for (const instance of instances) t.equal((await callGateway(bench, instance, 60)).status, 429);
     t.equal(endpoint.requests.length, 6);
   },
 );
@@ -75,16 +75,17 @@
     // What a peer's first report adds in the second after a view is lost; that fault has its own test below.
     await waitUntil(() => instances.slice(3).every(({ gateway }) => gateway.reportingPeers === 5));
     const [first, second, third, , , last] = instances;
-    for (const instance of [first!, second!, third!]) t.equal((await ask(bench, instance, 1)).status, 200);
+    for (const instance of [first!, second!, third!])
+      t.equal((await callGateway(bench, instance, 1)).status, 200);
     await waitUntil(() => instances.every(({ gateway }) => gateway.getQuotaLevel("workspace") > 2.5));
     await last!.gateway.close();
     await waitUntil(() => third!.gateway.isCollector && third!.gateway.linkedPeers === 4);
     // Until it receives the reports of all instances, a new collector is limited to its own part of the limit,
     // and correctly refuses.
     await waitUntil(() => third!.gateway.knownShare === 1);
-    t.equal((await ask(bench, third!, 60)).status, 200);
+    t.equal((await callGateway(bench, third!, 60)).status, 200);
     await waitUntil(() => first!.gateway.getQuotaLevel("workspace") > 62.5);
-    t.equal((await ask(bench, first!, 60)).status, 429);
+    t.equal((await callGateway(bench, first!, 60)).status, 429);
   },
 );
 
--- a/packages/gateway/test/leaderTasks.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -25,7 +25,7 @@
 const windowMs = 5_000;
 const leaseKey = "gladewall/duty";
 const prefix = "gladewall/usage/";
-const reviewEveryMs = 250;
+const writeIntervalMs = 250;
 
 /** Instances that compete for leadership in one store, on a virtual clock. */
 class LeaderTestBench {
@@ -63,24 +63,24 @@
       isWriter: () => true,
       getTimeOfDay,
     });
-    const { committedWindows: fixed, leases, settling } = own;
+    const { committedWindows: windows, leases, settling } = own;
     const follower = PrefixFollower.create({
       store,
       prefix: "gladewall/",
       clock,
       logger,
       listener: {
-        handlePut: (item) => own.takeItem(item.key, item),
-        handleRemoved: (key, removal) => own.takeItem(key, undefined, removal),
+        handlePut: (item) => own.handleItem(item.key, item),
+        handleRemoved: (key, removal) => own.handleItem(key, undefined, removal),
       },
     });
     store.eras.onEraChange(() => follower.restart());
     follower.start();
-    const review = (): void => {
-      own.review();
-      clock.startTimer(reviewEveryMs, review);
+    const writeDueItems = (): void => {
+      own.writeDueItems();
+      clock.startTimer(writeIntervalMs, writeDueItems);
     };
-    review();
+    writeDueItems();
     const getItem = (key: string): StoreItem | undefined => follower.getItem(key);
     const usage = UsageReporter.create({
       store,
@@ -94,7 +94,7 @@
       usage: counts,
       life: `${name}/1`,
       getItem,
-      committed: fixed,
+      committed: windows,
       getDurableSince: () => settling.getDurableSince(),
     });
     const capacity = CapacityOrders.create({
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -167,45 +167,45 @@
     const sequence = ++this.sequence;
     this.sentTotals.set(sequence, report.totals);
     const readers = fleet.readers.filter((reader) => reader !== this.name && fleet.isAlive(reader));
-    const asked = readers[sequence % readers.length];
+    const selected = readers[sequence % readers.length];
     for (const reader of readers) {
       fleet.send(reader, (member) => {
         member.counters.applyReport(this.name, this.life, report);
         member.receivedAt.set(this.name, fleet.clock.getTime());
-        if (reader === asked) member.answer(this, sequence);
+        if (reader === selected) member.sendView(this, sequence);
       });
     }
   }
 
-  private answer(peer: Member, sequence: number): void {
-    if (!this.isReader || this.handover.isAsking(this.fleet.clock.getTime())) return;
-    const wantsCounts = peer.handover.isAsking(this.fleet.clock.getTime());
+  private sendView(peer: Member, sequence: number): void {
+    if (!this.isReader || this.handover.isRequesting(this.fleet.clock.getTime())) return;
+    const wantsCounts = peer.handover.isRequesting(this.fleet.clock.getTime());
     const view = structuredClone(this.counters.createView(wantsCounts));
     const share = this.getKnownShare();
     this.fleet.send(peer.name, (member) => {
       if (member !== peer) return;
       const included = peer.sentTotals.get(sequence);
       if (!included || peer.isReader !== wantsCounts) return;
-      if (wantsCounts && !peer.handover.isAsking(this.fleet.clock.getTime())) return;
+      if (wantsCounts && !peer.handover.isRequesting(this.fleet.clock.getTime())) return;
       peer.counters.applyView(view, included);
       peer.handover.complete();
       peer.view = { share, at: this.fleet.clock.getTime() };
     });
   }
 
-  private call(peer: string, ask: QuotaCall, timeoutMs: number): Promise<Result<unknown, Failure>> {
+  private call(peer: string, call: QuotaCall, timeoutMs: number): Promise<Result<unknown, Failure>> {
     const { fleet } = this;
     return new Promise((resolve) => {
       const fail = (): void => resolve(Err(Failure.create(FailureCode.PeerUnreachable, { peer })));
       const timer = fleet.clock.startTimer(timeoutMs, fail);
       fleet.send(peer, (member) => {
-        const answer: QuotaReply = member.admission.decideForPeer(
+        const reply: QuotaReply = member.admission.decideForPeer(
           { name: this.name, incarnation: this.startedAt },
-          ask,
+          call,
         );
         fleet.send(this.name, () => {
           timer.cancel();
-          resolve(Ok(answer));
+          resolve(Ok(reply));
         });
       });
     });
@@ -347,13 +347,13 @@
       return;
     }
     if (!isBeforeSurge) this.served[size] = (this.served[size] ?? 0) + 1;
-    this.noteRun(member, units);
+    this.recordRun(member, units);
     if (this.getRandom() >= retryShare) return;
-    if ((await member.charges.takeRetry(charge.value, leftMs)).isOk()) this.noteRun(member, units);
+    if ((await member.charges.takeRetry(charge.value, leftMs)).isOk()) this.recordRun(member, units);
   }
 
   /** Records a run; a paused instance runs what it has admitted when it resumes. */
-  private noteRun(member: Member, units: number): void {
+  private recordRun(member: Member, units: number): void {
     this.runs.record("w", Math.max(this.clock.getTime(), member.pausedUntil), units);
   }
 }
--- a/packages/gateway/test/peerMessages.test.ts
+++ b/packages/gateway/test/peerMessages.test.ts
@@ -33,8 +33,8 @@
       { id: "session", tokens: 4_000 },
       { id: "rest", tokens: 6_000 },
     ];
-    own.noteSent(parts, "b");
-    own.noteSent(parts, "b");
+    own.recordProcessed(parts, "b");
+    own.recordProcessed(parts, "b");
     const sent = own.takeUnreported();
     t.same(sent, { b: ["shared", "session"] }, "neither small parts nor the request's own part");
     t.same(own.takeUnreported(), {}, "sent once");
@@ -45,7 +45,8 @@
     peer.removeEndpoint("b");
     peer.mergePeer(sent);
     t.notOk(peer.holds("session", "b"), "a late report does not restore an endpoint that was removed");
-    for (let index = 0; index < 200; index++) own.noteSent([{ id: `p${index}`, tokens: 900 }, ...parts], "b");
+    for (let index = 0; index < 200; index++)
+      own.recordProcessed([{ id: `p${index}`, tokens: 900 }, ...parts], "b");
     t.equal(own.takeUnreported().b?.length, 64, "the number of parts in a report is bounded");
   },
 );
--- a/packages/gateway/test/placement.test.ts
+++ b/packages/gateway/test/placement.test.ts
@@ -24,7 +24,7 @@
   return Placer.create({
     memory: PrefixIndex.create(),
     clock,
-    getReadingRate: () => 50,
+    getPrefillRate: () => 50,
     getEndpoints: () => endpoints,
     getPeerWork: () => ({ active: 0, pendingTokens: 0 }),
     getRandom: () => 0,
@@ -71,7 +71,7 @@
   const endpoints = createEndpoints(3);
   const placer = createPlacer(endpoints, clock);
   endpoints[0]!.state = EndpointState.Leaving;
-  endpoints[1]!.noteUnreachable(clock.getTime());
+  endpoints[1]!.recordUnreachable(clock.getTime());
   t.equal(placer.choose(request)?.endpoint.id, "b2");
   t.equal(
     placer.choose({ ...request, excluded: new Set(["b2"]) })?.endpoint.id,
@@ -87,7 +87,7 @@
 t.test("an endpoint that fails some of its requests gets fewer, although it looks idle", async (t) => {
   const endpoints = createEndpoints(2);
   const placer = createPlacer(endpoints);
-  for (let count = 0; count < 6; count++) endpoints[0]!.noteOutcome(count % 2 === 0, 0);
+  for (let count = 0; count < 6; count++) endpoints[0]!.recordOutcome(count % 2 === 0, 0);
   endpoints[1]!.active = 3;
   t.equal(placer.choose(request)?.endpoint.id, "b1");
 });
--- a/packages/gateway/test/prefillRates.test.ts
+++ b/packages/gateway/test/prefillRates.test.ts
@@ -54,7 +54,7 @@
 t.test("the number of needed endpoints and expected times follow the learned rate", async (t) => {
   const clock = VirtualClock.create();
   const rates = createRates(clock);
-  const getReadingRate = (name: string): number => rates.get(name);
+  const getPrefillRate = (name: string): number => rates.get(name);
   const windows = {
     [CounterKind.Quota]: 8_000,
     [CounterKind.Requests]: 10_000,
@@ -64,7 +64,7 @@
   const demand = DemandEstimator.create({
     clock,
     counters: SharedCounters.create({ clock, windows }),
-    getReadingRate,
+    getPrefillRate,
     isRateLearned: (name) => rates.isLearned(name),
     utilization: 0.4,
     minEndpointsPerHall: 1,
@@ -74,7 +74,7 @@
   const placer = Placer.create({
     memory: PrefixIndex.create(),
     clock,
-    getReadingRate,
+    getPrefillRate,
     getEndpoints: () => [createKnownEndpoint({ id: "b0", service: "model", slots: 24 })],
     getPeerWork: () => ({ active: 0, pendingTokens: 0 }),
     getRandom: () => 0,
--- a/packages/gateway/test/readers.test.ts
+++ b/packages/gateway/test/readers.test.ts
@@ -95,13 +95,13 @@
   async (t) => {
     const readers = ["r1", "r2", "r3"];
     const selection = ReaderSelection.create("instance", 400);
-    selection.recordAnswer(1_000);
+    selection.recordReply(1_000);
     const first = selection.choose(readers, 1_400);
     t.equal(selection.choose(readers, 1_100), first);
     const second = selection.choose(readers, 1_401);
     t.not(second, first);
     t.equal(selection.choose(readers, 1_700), second, "it has the same time to answer");
-    selection.recordAnswer(1_700);
+    selection.recordReply(1_700);
     selection.skip(1_700);
     t.equal(new Set([first, second, selection.choose(readers, 1_800)]).size, 3);
     t.equal(selection.choose([], 1_800), undefined);
--- a/packages/gateway/test/relay.test.ts
+++ b/packages/gateway/test/relay.test.ts
@@ -22,9 +22,9 @@
     const { clock, relay, sent } = createRelay();
     relay.add("a", ["b0", 1]);
     t.equal(relay.lastNumber, 1, "numbered although there is no subscriber");
-    relay.noteSubscriber("a");
-    relay.noteSubscriber("c");
-    relay.addReadParts({ b1: ["shared"] });
+    relay.recordSubscriber("a");
+    relay.recordSubscriber("c");
+    relay.addProcessedParts({ b1: ["shared"] });
     relay.add("a", ["b1", 10_000]);
     relay.add("reader", ["b2", 20_000]);
     t.equal(relay.lastNumber, 3);
@@ -61,7 +61,7 @@
 
 t.test("of many placements only the latest are relayed, with their own numbers", async (t) => {
   const { clock, relay, sent } = createRelay();
-  relay.noteSubscriber("c");
+  relay.recordSubscriber("c");
   for (let index = 1; index <= 40; index++) relay.add("a", [`b${index}`, 1]);
   await clock.advance(20);
   t.equal(sent[0]?.[1].first, 25);
@@ -72,11 +72,11 @@
 
 t.test("prompt parts that endpoints have read are sent along with placements, up to a maximum", async (t) => {
   const { clock, relay, sent } = createRelay();
-  relay.addReadParts({ b0: ["no subscriber"] });
-  relay.noteSubscriber("c");
+  relay.addProcessedParts({ b0: ["no subscriber"] });
+  relay.recordSubscriber("c");
   const parts = Array.from({ length: 50 }, (_, index) => `p${index}`);
-  relay.addReadParts({ b1: parts });
-  relay.addReadParts({ b2: parts });
+  relay.addProcessedParts({ b1: parts });
+  relay.addProcessedParts({ b2: parts });
   await clock.advance(100);
   t.equal(sent.length, 0, "parts are not sent without a placement");
   relay.add("a", ["b1", 10_000]);
@@ -91,10 +91,10 @@
   "placements that a view includes are not counted twice, and another reader's placements are ignored",
   async (t) => {
     const recent = RecentPlacements.create();
-    t.notOk(recent.takeRelayed("r/1", 1, [["b", 100]]), "no view yet");
-    recent.noteView("r/1", 4);
+    t.notOk(recent.applyRelayed("r/1", 1, [["b", 100]]), "no view yet");
+    recent.recordView("r/1", 4);
     t.ok(
-      recent.takeRelayed("r/1", 4, [
+      recent.applyRelayed("r/1", 4, [
         ["b", 100],
         ["b", 200],
         ["", 0],
@@ -102,10 +102,10 @@
       ]),
     );
     t.same(recent.getWork(), { b: [1, 200], c: [1, 50] });
-    recent.noteView("r/1", 5);
+    recent.recordView("r/1", 5);
     t.same(recent.getWork(), { c: [1, 50] });
-    t.notOk(recent.takeRelayed("r/2", 9, [["b", 900]]));
-    recent.noteView("r/2", 0);
+    t.notOk(recent.applyRelayed("r/2", 9, [["b", 900]]));
+    recent.recordView("r/2", 0);
     t.same(recent.getWork(), {}, "the new reader's view includes all placements");
   },
 );
--- a/packages/gateway/test/restarts.test.ts
+++ b/packages/gateway/test/restarts.test.ts
@@ -24,11 +24,11 @@
   bench.platform.shared.fault = StoreFault.Down;
   const instance = await bench.start(["configuration.proof_interval=50", "listen.start_hold=60000"]);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
-  const answer = bench.call(instance);
+  const response = bench.call(instance);
   while (!(await bench.readMetrics(instance)).includes("gladewall_open_requests 1")) continue;
   t.equal(instance.gateway.isReady(), false);
   bench.platform.shared.fault = StoreFault.None;
-  t.equal((await answer).status, 200);
+  t.equal((await response).status, 200);
 });
 
 t.test("a request is refused if the instance is not ready within the hold time", async (t) => {
--- a/packages/gateway/test/returnCrowd.test.ts
+++ b/packages/gateway/test/returnCrowd.test.ts
@@ -42,16 +42,16 @@
   const { clock, platform, fleet } = await createFleet();
   const { shared } = platform;
   shared.restore(shared.takeSnapshot());
-  let mostReads = 0;
-  let mostWrites = 0;
+  let maxReads = 0;
+  let maxWrites = 0;
   for (let second = 0; second < 6; second++) {
     const { reads, writes } = shared;
     await clock.advance(1_000);
-    mostReads = Math.max(mostReads, shared.reads - reads);
-    mostWrites = Math.max(mostWrites, shared.writes - writes);
+    maxReads = Math.max(maxReads, shared.reads - reads);
+    maxWrites = Math.max(maxWrites, shared.writes - writes);
   }
-  t.ok(mostReads < readsPerSecond, `${mostReads} reads in a second`);
-  t.ok(mostWrites < writesPerSecond / 4, `${mostWrites} writes in a second`);
+  t.ok(maxReads < readsPerSecond, `${maxReads} reads in a second`);
+  t.ok(maxWrites < writesPerSecond / 4, `${maxWrites} writes in a second`);
   const recorded = [...shared.entries.keys()].filter((key) => key.startsWith("gladewall/members/"));
   t.equal(recorded.length, fleetSize, "all instances are recorded");
   await clock.advance(10_000);
--- a/packages/gateway/test/storeRestore.test.ts
+++ b/packages/gateway/test/storeRestore.test.ts
@@ -202,17 +202,17 @@
     const { follower: fresh } = followAgain();
     await clock.advance(500);
     t.notOk(fresh.hasFreshProof(), "it knows only the snapshot");
-    const askedAt = clock.getBootTime();
+    const calledAt = clock.getBootTime();
     const proof = running.createProof(fresh.getHeld());
     t.ok(proof?.value, "a peer has a newer configuration");
-    fresh.applyProof(proof!, askedAt);
+    fresh.applyProof(proof!, calledAt);
     t.ok(fresh.hasFreshProof());
     t.notOk(admitsRemovedKey(fresh));
     const { follower: later, settling } = followAgain();
     await clock.advance(100);
     t.notOk(later.hasFreshProof());
     const value = Buffer.from(JSON.stringify({ era: shared.era, at: 0 }));
-    settling.takeItem("gladewall/store-era", { key: "gladewall/store-era", value, revision: 9 });
+    settling.handleItem("gladewall/store-era", { key: "gladewall/store-era", value, revision: 9 });
     await clock.advance(50);
     t.ok(later.hasFreshProof(), "the record says that the era is settled");
   },
@@ -287,8 +287,8 @@
     configure(["kept"]);
     await clock.advance(3_500);
     t.equal(store.eras.current, 1);
-    const askedAt = clock.getBootTime();
-    cutOff.applyProof(running.createProof(cutOff.getHeld())!, askedAt);
+    const calledAt = clock.getBootTime();
+    cutOff.applyProof(running.createProof(cutOff.getHeld())!, calledAt);
     t.equal(store.eras.current, 2);
     t.equal(cutOff.getTable()?.version, 2);
     t.notOk(admitsRemovedKey(cutOff));
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -41,9 +41,9 @@
 
 t.test("a peer's proof that was requested before a suspension is as old as the request", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
-  const askedAt = clock.getBootTime();
+  const calledAt = clock.getBootTime();
   clock.shiftWallTime(10_000);
-  follower.applyProof({ proofAgeMs: 0, ...follower.getHeld() }, askedAt);
+  follower.applyProof({ proofAgeMs: 0, ...follower.getHeld() }, calledAt);
   t.notOk(follower.hasFreshProof());
 });
 
