--- a/packages/gateway/src/activeRequest.ts
+++ b/packages/gateway/src/activeRequest.ts
@@ -95,7 +95,7 @@
     const { response } = this.request;
     const handleClose = (): void => this.handleCallerGone();
     response.on("close", handleClose);
-    this.timer = this.parts.clock.startTimer(this.getTimeLeft(), () => this.giveUp());
+    this.timer = this.parts.clock.startTimer(this.getTimeLeft(), () => this.abort());
     this.parts.budget.countRequest(this.request.service.name);
     this.parts.demand.countPromptTokens(this.request.service.name, this.request.head.promptTokens ?? 0);
     let next = NextStep.Retry;
@@ -497,7 +497,7 @@
   }
 
   /** Ends the request now, because the route's timeout has passed or the instance stops. */
-  giveUp(): void {
+  abort(): void {
     if (this.isOver) return;
     const { route } = this.request.admitted;
     const { runs } = this;
--- a/packages/gateway/src/arbiters.ts
+++ b/packages/gateway/src/arbiters.ts
@@ -24,7 +24,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /** Name of this instance. */
-  readonly own: string;
+  readonly ownName: string;
   readonly getReaders: () => readonly string[];
   readonly isLinked: (name: string) => boolean;
   readonly call: (name: string, message: PeerMessage, timeoutMs: number) => Promise<Result<unknown, Failure>>;
@@ -72,7 +72,7 @@
 
   /** Whether this instance is the arbiter of a subject. */
   isOwnSubject(subject: string): boolean {
-    return this.find(subject) === this.options.own;
+    return this.find(subject) === this.options.ownName;
   }
 
   /**
@@ -80,14 +80,14 @@
    * `waitMs`; the arbiters may then still have counted what was requested.
    */
   async call<Reply>(arbiterCall: ArbiterCall<Reply>, waitMs: number): Promise<Result<Reply, Failure>> {
-    const { clock, own } = this.options;
+    const { clock, ownName } = this.options;
     const { subject, isUndecided } = arbiterCall;
     const endsAt = clock.getTime() + waitMs;
     const withoutReply: ArbiterState[] = [];
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
       const arbiter = await this.waitForArbiter(arbiterCall, endsAt);
       const remainingMs = endsAt - clock.getTime();
-      if (arbiter === undefined || arbiter === own || remainingMs <= 0) break;
+      if (arbiter === undefined || arbiter === ownName || remainingMs <= 0) break;
       const reply = await this.callOne(arbiter, arbiterCall, remainingMs);
       if (reply !== undefined && !isUndecided(reply)) {
         for (const state of withoutReply) state.backoffMs = Math.min(maxBackoffMs, state.backoffMs * 2);
@@ -118,12 +118,12 @@
 
   /** Returns the first reader that can decide, which may be this instance; undefined if none can be reached. */
   find(subject: string, supportsCall: (name: string) => boolean = () => true): string | undefined {
-    const { clock, own, getReaders, isLinked } = this.options;
+    const { clock, ownName, getReaders, isLinked } = this.options;
     const time = clock.getTime();
     const readers = getReaders();
-    if (readers.length === 0) return own;
+    if (readers.length === 0) return ownName;
     const canDecide = (name: string): boolean =>
-      name === own || (isLinked(name) && supportsCall(name) && this.getState(name).skippedUntil <= time);
+      name === ownName || (isLinked(name) && supportsCall(name) && this.getState(name).skippedUntil <= time);
     return sortReaders(subject, readers).find(canDecide);
   }
 
@@ -132,10 +132,11 @@
    * instances can reach; 0 if this instance is the first choice of all.
    */
   countPrecedingReaders(subject: string, supportsCall: (name: string) => boolean): number {
-    const { own, getReaders, isLinked } = this.options;
-    const mayBeDeciding = (name: string): boolean => name === own || supportsCall(name) || !isLinked(name);
+    const { ownName, getReaders, isLinked } = this.options;
+    const mayBeDeciding = (name: string): boolean =>
+      name === ownName || supportsCall(name) || !isLinked(name);
     const ranked = sortReaders(subject, getReaders().filter(mayBeDeciding));
-    const position = ranked.indexOf(own);
+    const position = ranked.indexOf(ownName);
     return position < 0 ? ranked.length : position;
   }
 
--- a/packages/gateway/src/crashGossip.ts
+++ b/packages/gateway/src/crashGossip.ts
@@ -42,7 +42,7 @@
 
 /** Options of the exchange. */
 export interface CrashGossipOptions {
-  readonly own: string;
+  readonly ownName: string;
   readonly fleet: CrashFleet;
   readonly records: CrashRecords;
   readonly scheduler: TrialScheduler;
@@ -83,9 +83,9 @@
    * known then where other isolated requests run.
    */
   async callArbiter(request: TrialCallArguments): Promise<TrialReply> {
-    const { own, fleet, scheduler } = this.options;
+    const { ownName, fleet, scheduler } = this.options;
     const arbiter = fleet.findArbiter(request.service);
-    if (arbiter === own) return scheduler.decideOrWait(request);
+    if (arbiter === ownName) return scheduler.decideOrWait(request);
     if (arbiter === undefined) return { word: TrialDecision.Unknown };
     const message: TrialCall = { kind: CrashMessageKind.TrialCall, ...request };
     const reply = await fleet.links.call(arbiter, message, request.waitMs + replyMarginMs);
@@ -94,10 +94,10 @@
 
   /** Notifies the arbiter that a trial is over, or has lasted long enough. */
   endTrial(service: string, incarnation: string, fingerprint: string): void {
-    const { own, fleet, scheduler } = this.options;
+    const { ownName, fleet, scheduler } = this.options;
     const arbiter = fleet.findArbiter(service);
     const message: TrialEndMessage = { kind: CrashMessageKind.TrialEnd, life: incarnation, fingerprint };
-    if (arbiter === own) scheduler.end(incarnation, fingerprint);
+    if (arbiter === ownName) scheduler.end(incarnation, fingerprint);
     else if (arbiter !== undefined) fleet.links.send(arbiter, message);
   }
 
--- a/packages/gateway/src/crashProtection.ts
+++ b/packages/gateway/src/crashProtection.ts
@@ -20,7 +20,7 @@
 /** Options of the crash protection. */
 export interface CrashProtectionOptions {
   /** Name of this instance. */
-  readonly own: string;
+  readonly ownName: string;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly store: MetadataStore;
@@ -44,7 +44,7 @@
   private readonly crashStore: CrashStore;
 
   private constructor(private readonly options: CrashProtectionOptions) {
-    const { own, clock, logger, store, directory, members, metrics } = options;
+    const { ownName, clock, logger, store, directory, members, metrics } = options;
     const records = CrashRecords.create(clock);
     this.records = records;
     const findEndpoint = directory.find.bind(directory);
@@ -60,7 +60,7 @@
       this.crashStore.reconcileItems();
     };
     const gossip = CrashGossip.create({
-      own,
+      ownName,
       fleet: members,
       records,
       scheduler: this.scheduler,
@@ -86,7 +86,7 @@
       clock,
       logger,
       records,
-      isWriter: (fingerprint) => members.isCollector && members.findArbiter(fingerprint) === own,
+      isWriter: (fingerprint) => members.isCollector && members.findArbiter(fingerprint) === ownName,
     });
     this.suspects = SuspectGate.create({
       clock,
--- a/packages/gateway/src/crashStore.ts
+++ b/packages/gateway/src/crashStore.ts
@@ -92,8 +92,8 @@
 
   private hasSpace(workspace: string): boolean {
     const items = [...this.items.values()];
-    const own = items.filter((item) => item.workspace === workspace);
-    return items.length < maxItems && own.length < maxItemsOfWorkspace;
+    const ofWorkspace = items.filter((item) => item.workspace === workspace);
+    return items.length < maxItems && ofWorkspace.length < maxItemsOfWorkspace;
   }
 
   /**
--- a/packages/gateway/src/endpointDirectory.ts
+++ b/packages/gateway/src/endpointDirectory.ts
@@ -306,7 +306,7 @@
     );
     clock.startTimer(this.options.unlistedMs, () => {
       // Only this instance's connection to the store may have failed; the removal then means that the endpoint left.
-      if (!isLost && !this.haveManyVanished()) this.giveUpUnlisted(endpoint);
+      if (!isLost && !this.haveManyVanished()) this.removeUnlisted(endpoint);
     });
     this.awaitRelisting(endpoint, clock.getTime() + maxUnlistedMs);
   }
@@ -317,7 +317,7 @@
     const remaining = Math.min(relistWithinMs, endsAt - clock.getTime());
     clock.startTimer(remaining, () => {
       const isStoreHealthy = getTimeSinceTrouble() >= relistWithinMs;
-      if (isStoreHealthy || clock.getTime() >= endsAt) this.giveUpUnlisted(endpoint);
+      if (isStoreHealthy || clock.getTime() >= endsAt) this.removeUnlisted(endpoint);
       else this.awaitRelisting(endpoint, endsAt);
     });
   }
@@ -328,7 +328,7 @@
     return unlisted > 1 && unlisted >= this.endpoints.size * massRemovalShare;
   }
 
-  private giveUpUnlisted(endpoint: Endpoint): void {
+  private removeUnlisted(endpoint: Endpoint): void {
     if (endpoint.state !== EndpointState.Unlisted) return;
     this.setState(endpoint, EndpointState.Leaving, "not listed again");
     this.forgetRemoved(endpoint);
--- a/packages/gateway/src/fleetRoles.ts
+++ b/packages/gateway/src/fleetRoles.ts
@@ -13,7 +13,7 @@
 /** Options of the roles. */
 export interface FleetRolesOptions {
   readonly clock: Clock;
-  readonly own: string;
+  readonly ownName: string;
   /** Largest fleet in which every instance sends its reports to every other. */
   readonly largestMesh: number;
   /** Number of readers. */
@@ -51,7 +51,7 @@
 
   /** Whether this instance reads the store on behalf of the fleet. */
   get isReader(): boolean {
-    return this.readers.includes(this.options.own);
+    return this.readers.includes(this.options.ownName);
   }
 
   /** Instances to link with, including those that are unreachable now. */
@@ -71,8 +71,8 @@
 
   /** Applies a new list of members. */
   updateMembers(): void {
-    const { own, getNames, getCapacity } = this.options;
-    const names = new Set([...getNames(), own]);
+    const { ownName, getNames, getCapacity } = this.options;
+    const names = new Set([...getNames(), ownName]);
     const ranked = [...names].map((name) => ({ name, capacity: getCapacity(name), hash: hashText(name) }));
     ranked.sort((one, other) => other.capacity - one.capacity || other.hash - one.hash);
     this.ranking = ranked.map(({ name }) => name);
@@ -81,13 +81,13 @@
 
   /** Chooses the readers again, by the links that are up; returns whether the choice has changed. */
   chooseReaders(): boolean {
-    const { own, count } = this.options;
+    const { ownName, count } = this.options;
     const chosen: string[] = [];
     let reachable = 0;
     for (const name of this.ranking) {
       if (reachable >= count) break;
       chosen.push(name);
-      if (name === own || !this.isUnreachable(name)) reachable += 1;
+      if (name === ownName || !this.isUnreachable(name)) reachable += 1;
     }
     for (const name of this.unlinkedSince.keys()) {
       if (!chosen.includes(name)) this.unlinkedSince.delete(name);
--- a/packages/gateway/src/fleetWork.ts
+++ b/packages/gateway/src/fleetWork.ts
@@ -17,7 +17,7 @@
 export interface FleetWorkOptions {
   readonly clock: Clock;
   /** Name of this instance. */
-  readonly own: string;
+  readonly ownName: string;
   /** Returns this instance's work by endpoint. */
   readonly getOwn: () => ReadonlyMap<string, PeerWork>;
   /** Returns the work of all other instances by the last view; undefined if this instance uses reports. */
@@ -68,7 +68,7 @@
   }
 
   /** This instance's work as of the last `refresh`, for its peers. */
-  get own(): EndpointWork {
+  get reportedWork(): EndpointWork {
     return this.ownWork;
   }
 
@@ -104,7 +104,7 @@
 
   /** Records a placement of this instance, to be relayed. */
   recordPlacement(entry: PlacementEntry): void {
-    this.relay.add(this.options.own, entry);
+    this.relay.add(this.options.ownName, entry);
   }
 
   /** Relays which prompt parts endpoints have processed. */
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -235,7 +235,7 @@
     [CounterKind.Retries]: retries.window,
     [CounterKind.PromptTokens]: demandWindowMs,
   };
-  const counters = SharedCounters.create({ clock, own: settings.instance.name, windows });
+  const counters = SharedCounters.create({ clock, ownName: settings.instance.name, windows });
   const directory = EndpointDirectory.create({
     platform,
     clock,
@@ -348,7 +348,7 @@
   const { settings, platform, clock, logger, directory, follower } = state;
   const { connect_timeout: connectTimeoutMs, drain: drainMs } = settings.endpoints;
   return CrashProtection.create({
-    own: settings.instance.name,
+    ownName: settings.instance.name,
     clock,
     logger,
     store: platform.store,
@@ -372,7 +372,7 @@
     ratio: retries.ratio,
     slack: retries.slack,
     getKnownShare: () => members.getKnownShare(),
-    own: instance.name,
+    ownName: instance.name,
     arbiters: members.arbiters,
     // Builds that exchange the limits of endpoints also reply to retry calls.
     supportsRetryCalls: (name) => links.canIssuePermits(name),
@@ -389,7 +389,7 @@
 ): Pick<GatewayParts, "limits" | "permits"> & { readonly links: LimitGossip } {
   const limits = EndpointLimits.create({ clock, logger, directory });
   const permits: PermitClient = PermitClient.create({
-    own: settings.instance.name,
+    ownName: settings.instance.name,
     clock,
     logger,
     metrics,
--- a/packages/gateway/src/members.ts
+++ b/packages/gateway/src/members.ts
@@ -125,7 +125,7 @@
     this.records = MemberRecords.create({ ...options, onChange, isLinked });
     this.roles = FleetRoles.create({
       clock,
-      own: name,
+      ownName: name,
       largestMesh,
       count: readerCount,
       getNames: () => this.records.getNames(),
@@ -135,7 +135,7 @@
     this.arbiters = Arbiters.create({
       clock,
       logger,
-      own: name,
+      ownName: name,
       getReaders: () => this.roles.getReaders(),
       isLinked,
       call: (peer, message, timeoutMs) => this.links.call(peer, message, timeoutMs),
@@ -143,7 +143,7 @@
     this.feed = StoreFeed.create({
       clock,
       logger,
-      own: name,
+      ownName: name,
       timings: options.feedTimings,
       eras: options.store.eras,
       configuration: options.configuration,
@@ -158,7 +158,7 @@
     });
     this.work = FleetWork.create({
       clock,
-      own: name,
+      ownName: name,
       getOwn: options.getWork,
       findView: () => (this.roles.isCollector ? undefined : this.views.find()?.work),
       send: (peer, message) => void this.links.send(peer, message),
@@ -369,7 +369,7 @@
       sequence: this.sequence,
       time: time.get(),
       counters: report,
-      work: this.work.own,
+      work: this.work.reportedWork,
       rates: rates.createReport(),
       hearsAll: isCollector,
       read,
--- a/packages/gateway/src/permitClient.ts
+++ b/packages/gateway/src/permitClient.ts
@@ -31,7 +31,7 @@
 /** Options of the client. */
 export interface PermitClientOptions {
   /** Name of this instance. */
-  readonly own: string;
+  readonly ownName: string;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Pick<GatewayMetrics, "countPermit">;
@@ -114,11 +114,11 @@
     perSecond: number,
     request: PermitBatchRequest,
   ): Promise<SourcedReply> {
-    const { own, arbiters, canIssuePermits, limits } = this.options;
+    const { ownName, arbiters, canIssuePermits, limits } = this.options;
     const issuer = arbiters.find(incarnation, canIssuePermits);
     if (issuer === undefined) return this.useOwnShare(incarnation, perSecond);
     const callArguments = { ...limits.get(incarnation), rank: request.rank, wanted: request.wanted };
-    if (issuer === own) return { source: PermitSource.Own, ...this.decide(callArguments, own) };
+    if (issuer === ownName) return { source: PermitSource.Own, ...this.decide(callArguments, ownName) };
     const message: PermitCall = { kind: LimitMessageKind.PermitCall, ...callArguments };
     const waitMs = Math.min(maxReplyWaitMs, request.leftMs * replyWaitShare);
     const isUndecided = ({ word }: PermitReply): boolean => word === PermitDecision.Unknown;
@@ -140,9 +140,9 @@
     { rank, wanted, ...report }: PeerLimit & Pick<PermitCall, "rank" | "wanted">,
     requester: string,
   ): PermitReply {
-    const { own, arbiters, canIssuePermits, issuer, limits } = this.options;
+    const { ownName, arbiters, canIssuePermits, issuer, limits } = this.options;
     const { life: incarnation } = report;
-    if (requester !== own) limits.mergePeer(report, requester);
+    if (requester !== ownName) limits.mergePeer(report, requester);
     const { perSecond, ageMs } = limits.get(incarnation);
     if (perSecond === undefined) return { word: PermitDecision.Free, permits: 0, waitMs: 0, endedMs: ageMs };
     const place = arbiters.countPrecedingReaders(incarnation, canIssuePermits);
--- a/packages/gateway/src/prefillRates.ts
+++ b/packages/gateway/src/prefillRates.ts
@@ -118,8 +118,8 @@
 
   private merge(service: string): number | undefined {
     const rates: number[] = [];
-    const own = this.learned.get(service)?.rate;
-    if (own !== undefined) rates.push(own);
+    const ownRate = this.learned.get(service)?.rate;
+    if (ownRate !== undefined) rates.push(ownRate);
     const oldestAt = this.options.clock.getTime() - peerLifetimeMs;
     for (const [peer, report] of this.peers) {
       if (report.receivedAt < oldestAt) this.peers.delete(peer);
--- a/packages/gateway/src/readerSelection.ts
+++ b/packages/gateway/src/readerSelection.ts
@@ -13,19 +13,19 @@
   private repliedAt = -Infinity;
 
   private constructor(
-    private readonly own: string,
+    private readonly ownName: string,
     private readonly timeoutMs: number,
   ) {}
 
   /** `timeoutMs`: time without a reply after which a reader is skipped. */
-  static create(own: string, timeoutMs: number): ReaderSelection {
-    return new ReaderSelection(own, timeoutMs);
+  static create(ownName: string, timeoutMs: number): ReaderSelection {
+    return new ReaderSelection(ownName, timeoutMs);
   }
 
   /** Returns the reader to send requests to now; undefined if none is linked. */
   choose(linked: readonly string[], time: number): string | undefined {
     if (time - Math.max(this.repliedAt, this.selectedAt) > this.timeoutMs) this.skip(time);
-    return linked[(hashText(this.own) + this.skipCount) % Math.max(1, linked.length)];
+    return linked[(hashText(this.ownName) + this.skipCount) % Math.max(1, linked.length)];
   }
 
   recordReply(time: number): void {
--- a/packages/gateway/src/requestServer.ts
+++ b/packages/gateway/src/requestServer.ts
@@ -61,7 +61,7 @@
 
   /** Ends all requests in progress now. */
   abortAll(): void {
-    for (const activeRequest of this.activeRequests) activeRequest.giveUp();
+    for (const activeRequest of this.activeRequests) activeRequest.abort();
   }
 
   /** Serves one request until its final response. */
@@ -206,11 +206,11 @@
     });
     this.options.parts.metrics.countRefusal(failure.name, failure.status);
     if (failure.code === FailureCode.CallerGone || response.headersSent) return;
-    const own = this.options.parts.platform.callers.createGatewayHeaders(request);
+    const gatewayHeaders = this.options.parts.platform.callers.createGatewayHeaders(request);
     // After `BodyTooLarge` the connection is closed, because the unread rest of the body would be parsed as the next
     // request.
     const closes = this.options.getLeavingSince() !== undefined || failure.code === FailureCode.BodyTooLarge;
-    writeProblemResponse(response, failure, own, closes);
+    writeProblemResponse(response, failure, gatewayHeaders, closes);
     message.resume();
   }
 }
--- a/packages/gateway/src/retryBudget.ts
+++ b/packages/gateway/src/retryBudget.ts
@@ -23,7 +23,7 @@
   /** Whether an instance's build can decide on retries. */
   readonly supportsRetryCalls?: (name: string) => boolean;
   /** Name of this instance. */
-  readonly own?: string;
+  readonly ownName?: string;
   /** Returns the number of instances; 1 if omitted. */
   readonly getFleetSize?: () => number;
 }
@@ -63,11 +63,12 @@
    * arbiter, all instances would take the same remainder when endpoints fail under many requests at once.
    */
   async take(service: string, leftMs: number): Promise<boolean> {
-    const { arbiters, supportsRetryCalls: isAble, own, counters } = this.options;
+    const { arbiters, supportsRetryCalls: isAble, ownName, counters } = this.options;
     const arbiter = arbiters?.find(service, isAble);
     const fitsUnreported =
       counters.getUnreported(CounterKind.Retries, service) + 1 <= this.getUnreportedAllowance(service);
-    if (!arbiters || arbiter === undefined || arbiter === own || fitsUnreported) return this.tryTake(service);
+    if (!arbiters || arbiter === undefined || arbiter === ownName || fitsUnreported)
+      return this.tryTake(service);
     if (!this.hasCapacity(service, 1)) return false;
     counters.add(CounterKind.Retries, service, 1);
     const total = counters.getOwnTotal(CounterKind.Retries, service);
--- a/packages/gateway/src/sharedCounters.ts
+++ b/packages/gateway/src/sharedCounters.ts
@@ -72,7 +72,7 @@
 export interface SharedCountersOptions {
   readonly clock: Clock;
   /** Name of this instance among its peers; left out if it has none. */
-  readonly own?: string;
+  readonly ownName?: string;
   /** Window of each kind, in milliseconds. */
   readonly windows: Readonly<Record<CounterKind, number>>;
 }
@@ -84,7 +84,7 @@
 
 /** This instance's counters and the fleet's sums. */
 export class SharedCounters {
-  private readonly own: Record<string, number> = {};
+  private readonly ownCounts: Record<string, number> = {};
   /** This instance's totals that some collector is known to have counted. */
   private readonly confirmed: Record<string, number> = {};
   private readonly sums = new Map<string, SlidingWindow>();
@@ -113,7 +113,7 @@
   add(kind: CounterKind, name: string, amount: number): void {
     const time = this.options.clock.getTime();
     const key = createKey(kind, name);
-    this.own[key] = (this.own[key] ?? 0) + amount;
+    this.ownCounts[key] = (this.ownCounts[key] ?? 0) + amount;
     this.addToTotal(kind, key, time, amount);
     this.getWindow(this.ownSums, kind, key).add(time, amount);
   }
@@ -132,7 +132,7 @@
 
   /** Returns what this instance has counted since its start. */
   getOwnTotal(kind: CounterKind, name: string): number {
-    return this.own[createKey(kind, name)] ?? 0;
+    return this.ownCounts[createKey(kind, name)] ?? 0;
   }
 
   /** Returns what was counted here and no other instance is known to have counted. */
@@ -234,7 +234,7 @@
   /** Returns the report; the fleet's sums are left out if no receiver needs them. */
   createReport(hasSums = true): CounterReport {
     const sums = hasSums ? this.getSums() : {};
-    return { uptime: Math.round(this.getUptime()), totals: { ...this.own }, sums };
+    return { uptime: Math.round(this.getUptime()), totals: { ...this.ownCounts }, sums };
   }
 
   /**
@@ -265,7 +265,7 @@
       const kind: CounterKind = Number.parseInt(key, 10);
       if (this.options.windows[kind] === undefined) continue;
       const total = this.getTotal(kind, key);
-      const sinceView = (this.own[key] ?? 0) - (ownTotals[key] ?? 0);
+      const sinceView = (this.ownCounts[key] ?? 0) - (ownTotals[key] ?? 0);
       const known = isInformed ? 0 : total.getSum(time);
       total.set(time, Math.max(0, sum + sinceView, known));
     }
@@ -286,7 +286,7 @@
     this.peers.clear();
     this.hasPeerTotals = included !== undefined;
     for (const [peer, { life, totals }] of Object.entries(included ?? {})) {
-      if (peer !== this.options.own) this.peers.set(peer, { life, totals, receivedAt });
+      if (peer !== this.options.ownName) this.peers.set(peer, { life, totals, receivedAt });
     }
   }
 
--- a/packages/gateway/src/storeFeed.ts
+++ b/packages/gateway/src/storeFeed.ts
@@ -16,7 +16,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /** Name of this instance. */
-  readonly own: string;
+  readonly ownName: string;
   readonly timings: FeedTimings;
   readonly eras: StoreEras;
   readonly configuration: ConfigurationFollower;
@@ -32,9 +32,9 @@
   private lastFedAt = -Infinity;
 
   private constructor(private readonly options: StoreFeedOptions) {
-    const { own, timings, configuration, followers } = options;
+    const { ownName, timings, configuration, followers } = options;
     this.feed = FeedReplication.create(options.eras, configuration, followers, timings.maxStoreAgeMs);
-    this.selection = ReaderSelection.create(own, timings.readerTimeoutMs);
+    this.selection = ReaderSelection.create(ownName, timings.readerTimeoutMs);
   }
 
   static create(options: StoreFeedOptions): StoreFeed {
--- a/packages/gateway/src/usageCounts.ts
+++ b/packages/gateway/src/usageCounts.ts
@@ -20,7 +20,7 @@
 
 /** Counts of all instances. */
 export class UsageCounts {
-  private readonly own = new InstanceCounts();
+  private readonly ownCounts = new InstanceCounts();
   private readonly peers = new Map<string, InstanceCounts>();
 
   private constructor() {}
@@ -31,16 +31,16 @@
 
   /** Counts one run of a workspace that began at this instance. */
   add(window: number, workspace: string): void {
-    const counts = this.own.windows.get(window) ?? {};
+    const counts = this.ownCounts.windows.get(window) ?? {};
     counts[workspace] = (counts[workspace] ?? 0) + 1;
-    this.own.windows.set(window, counts);
-    removeOldWindows(this.own, window);
+    this.ownCounts.windows.set(window, counts);
+    removeOldWindows(this.ownCounts, window);
   }
 
   /** Returns this instance's counts of the `count` latest windows. */
   getOwnCounts(newest: number, count: number): WindowCounts {
     const result: WindowCounts = {};
-    for (const [window, counts] of this.own.windows) {
+    for (const [window, counts] of this.ownCounts.windows) {
       if (window > newest - count) result[window] = counts;
     }
     return result;
@@ -60,7 +60,7 @@
   /** Returns the counts of the `count` latest windows by incarnation, this instance's own under the given key. */
   getIncarnations(ownIncarnation: string, newest: number, count: number): Record<string, WindowCounts> {
     const incarnations: Record<string, WindowCounts> = {};
-    for (const [incarnation, instance] of [[ownIncarnation, this.own] as const, ...this.peers]) {
+    for (const [incarnation, instance] of [[ownIncarnation, this.ownCounts] as const, ...this.peers]) {
       const windows: WindowCounts = {};
       for (const [window, counts] of instance.windows) if (window > newest - count) windows[window] = counts;
       if (Object.keys(windows).length > 0) incarnations[incarnation] = windows;
@@ -71,7 +71,7 @@
   /** Returns a window's counts over all instances. */
   getTotal(window: number): WorkspaceCounts {
     const total: WorkspaceCounts = {};
-    for (const instance of [this.own, ...this.peers.values()]) {
+    for (const instance of [this.ownCounts, ...this.peers.values()]) {
       for (const [workspace, count] of Object.entries(instance.windows.get(window) ?? {})) {
         total[workspace] = (total[workspace] ?? 0) + count;
       }
--- a/packages/gateway/test/arbiters.test.ts
+++ b/packages/gateway/test/arbiters.test.ts
@@ -19,7 +19,7 @@
   const arbiters = Arbiters.create({
     clock,
     logger: Logger.createSilent(),
-    own: "own",
+    ownName: "own",
     getReaders: () => Object.keys(replyMs),
     isLinked: () => true,
     call: async (name, _, timeoutMs): Promise<Result<unknown, Failure>> => {
--- a/packages/gateway/test/countHandover.test.ts
+++ b/packages/gateway/test/countHandover.test.ts
@@ -22,7 +22,7 @@
   async (t) => {
     const windows = { 1: 8_000, 2: 10_000, 3: 10_000, 4: 4_000 };
     const clock = VirtualClock.create();
-    const create = (own: string): SharedCounters => SharedCounters.create({ clock, own, windows });
+    const create = (ownName: string): SharedCounters => SharedCounters.create({ clock, ownName, windows });
     const [old, reader] = [create("old"), create("reader")];
     await clock.advance(11_000);
     const [young, next] = [create("young"), create("next")];
--- a/packages/gateway/test/endpointHoldOff.test.ts
+++ b/packages/gateway/test/endpointHoldOff.test.ts
@@ -215,7 +215,8 @@
   async (t) => {
     const date = "Sun, 06 Nov 1994 08:49:37 GMT";
     const wallTime = Date.parse(date) + 3_000;
-    const read = (text: string, own?: string): number | undefined => parseRetryAfter(text, own, wallTime);
+    const read = (text: string, responseDate?: string): number | undefined =>
+      parseRetryAfter(text, responseDate, wallTime);
     t.equal(read("2"), 2_000);
     t.equal(read(" 0.25 "), 250);
     t.equal(read("0"), 0);
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -271,7 +271,7 @@
 function createIssuerlessClient(fleetSize: number) {
   const { clock, limits } = createLimits([]);
   const client = PermitClient.create({
-    own: "i1",
+    ownName: "i1",
     clock,
     logger: Logger.createSilent(),
     metrics: { countPermit: () => undefined },
@@ -280,7 +280,7 @@
     arbiters: Arbiters.create({
       clock,
       logger: Logger.createSilent(),
-      own: "i1",
+      ownName: "i1",
       getReaders: () => ["i2", "i3"],
       isLinked: () => true,
       call: () => Promise.reject(new Error("no arbiter may be asked")),
--- a/packages/gateway/test/fedFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -49,7 +49,7 @@
     const feed = StoreFeed.create({
       clock,
       logger,
-      own: name,
+      ownName: name,
       timings: times,
       eras,
       configuration,
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -154,10 +154,10 @@
   const clock = VirtualClock.create();
   const names = Array.from({ length: 40 }, (_, index) => `n${index}`);
   const down = new Set<string>();
-  const create = (own: string): FleetRoles => {
+  const create = (ownName: string): FleetRoles => {
     const roles = FleetRoles.create({
       clock,
-      own,
+      ownName,
       largestMesh: 24,
       count: 3,
       getNames: () => names,
--- a/packages/gateway/test/leaderTasks.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -55,7 +55,7 @@
     const store = FakeMetadataStore.create(shared, clock);
     const logger = Logger.createSilent();
     const getTimeOfDay = (): number => clock.getWallTime();
-    const own = GatewayItems.create({
+    const items = GatewayItems.create({
       store,
       clock,
       logger,
@@ -63,21 +63,21 @@
       isWriter: () => true,
       getTimeOfDay,
     });
-    const { committedWindows: windows, leases, settling } = own;
+    const { committedWindows: windows, leases, settling } = items;
     const follower = PrefixFollower.create({
       store,
       prefix: "gladewall/",
       clock,
       logger,
       listener: {
-        handlePut: (item) => own.handleItem(item.key, item),
-        handleRemoved: (key, removal) => own.handleItem(key, undefined, removal),
+        handlePut: (item) => items.handleItem(item.key, item),
+        handleRemoved: (key, removal) => items.handleItem(key, undefined, removal),
       },
     });
     store.eras.onEraChange(() => follower.restart());
     follower.start();
     const writeDueItems = (): void => {
-      own.writeDueItems();
+      items.writeDueItems();
       clock.startTimer(writeIntervalMs, writeDueItems);
     };
     writeDueItems();
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -108,7 +108,7 @@
     const { clock, follower, scenario } = fleet;
     this.startedAt = clock.getTime();
     this.life = `${name}/${this.startedAt}`;
-    this.counters = SharedCounters.create({ clock, own: name, windows });
+    this.counters = SharedCounters.create({ clock, ownName: name, windows });
     this.admission = Admission.create({
       clock,
       follower,
@@ -131,7 +131,7 @@
       arbiters: Arbiters.create({
         clock,
         logger,
-        own: name,
+        ownName: name,
         getReaders: () => (scenario.hasArbiters ? fleet.readers : []),
         isLinked: (peer) => fleet.isAlive(peer),
         call: (peer, call, timeoutMs) => this.call(peer, call as QuotaCall, timeoutMs),
--- a/packages/gateway/test/peerMessages.test.ts
+++ b/packages/gateway/test/peerMessages.test.ts
@@ -25,7 +25,7 @@
 t.test(
   "which endpoints have processed which shared prompt parts is sent to peers once, and used by them",
   async (t) => {
-    const own = PrefixIndex.create();
+    const ownIndex = PrefixIndex.create();
     const peer = PrefixIndex.create();
     const parts = [
       { id: "shared", tokens: 500 },
@@ -33,11 +33,11 @@
       { id: "session", tokens: 4_000 },
       { id: "rest", tokens: 6_000 },
     ];
-    own.recordProcessed(parts, "b");
-    own.recordProcessed(parts, "b");
-    const sent = own.takeUnreported();
+    ownIndex.recordProcessed(parts, "b");
+    ownIndex.recordProcessed(parts, "b");
+    const sent = ownIndex.takeUnreported();
     t.same(sent, { b: ["shared", "session"] }, "neither small parts nor the request's own part");
-    t.same(own.takeUnreported(), {}, "sent once");
+    t.same(ownIndex.takeUnreported(), {}, "sent once");
     peer.mergePeer(sent);
     t.ok(peer.holds("session", "b"));
     t.notOk(peer.holds("rest", "b"));
@@ -46,7 +46,7 @@
     peer.mergePeer(sent);
     t.notOk(peer.holds("session", "b"), "a late report does not restore an endpoint that was removed");
     for (let index = 0; index < 200; index++)
-      own.recordProcessed([{ id: `p${index}`, tokens: 900 }, ...parts], "b");
-    t.equal(own.takeUnreported().b?.length, 64, "the number of parts in a report is bounded");
+      ownIndex.recordProcessed([{ id: `p${index}`, tokens: 900 }, ...parts], "b");
+    t.equal(ownIndex.takeUnreported().b?.length, 64, "the number of parts in a report is bounded");
   },
 );
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -119,13 +119,13 @@
     const arbiters = Arbiters.create({
       clock,
       logger,
-      own: name,
+      ownName: name,
       getReaders: () => fleet.getReaders(),
       isLinked: (peer) => fleet.isLinked(name, peer),
       call: (peer, message, timeoutMs) => this.call(peer, message, timeoutMs),
     });
     this.permits = PermitClient.create({
-      own: name,
+      ownName: name,
       clock,
       logger,
       metrics: { countPermit: () => undefined },
--- a/packages/gateway/test/placement.test.ts
+++ b/packages/gateway/test/placement.test.ts
@@ -101,8 +101,8 @@
     [CounterKind.PromptTokens]: 10_000,
   };
   const counters = [SharedCounters.create({ clock, windows }), SharedCounters.create({ clock, windows })];
-  const budgets = counters.map((own) =>
-    RetryBudget.create({ counters: own, ratio: 0.2, slack: 10, getKnownShare: () => 1 }),
+  const budgets = counters.map((budgetCounters) =>
+    RetryBudget.create({ counters: budgetCounters, ratio: 0.2, slack: 10, getKnownShare: () => 1 }),
   );
   let requests = 0;
   let retries = 0;
--- a/packages/gateway/test/retryBudget.test.ts
+++ b/packages/gateway/test/retryBudget.test.ts
@@ -127,11 +127,11 @@
   ) {
     const { clock } = fleet;
     this.identity = { name, incarnation: 1 };
-    this.counters = SharedCounters.create({ clock, own: name, windows });
+    this.counters = SharedCounters.create({ clock, ownName: name, windows });
     const arbiters = Arbiters.create({
       clock,
       logger: Logger.createSilent(),
-      own: name,
+      ownName: name,
       getReaders: () => fleet.readers,
       isLinked: () => true,
       call: (peer, message, timeoutMs) => fleet.call(this, peer, message, timeoutMs),
