--- a/packages/gateway/src/feedTimings.ts
+++ b/packages/gateway/src/feedTimings.ts
@@ -11,9 +11,9 @@
   readonly proofIntervalMs: number;
   /** Messages of a reader whose last answered read was sent longer ago are discarded. */
   readonly maxStoreAgeMs: number;
-  /** An instance that no reader has answered for this time reads the store itself. */
+  /** An instance that has received no reply from a reader for this time reads the store itself. */
   readonly feedLifetimeMs: number;
-  /** A reader that has not answered for this time is skipped for the next. */
+  /** A reader that has not replied for this time is skipped for the next. */
   readonly readerTimeoutMs: number;
   /** Maximum duration of a watch of endpoints. */
   readonly watchWaitMs: number;
--- a/packages/gateway/src/gatewayParts.ts
+++ b/packages/gateway/src/gatewayParts.ts
@@ -51,7 +51,7 @@
 /** Longer than a reader takes to begin to feed an instance that has just been listed. */
 const firstWatchPauseMs = 800;
 
-/** Queries to the fleet, answered by parts that are created later. */
+/** Queries to the fleet, implemented by parts that are created later. */
 interface FleetQueries {
   readonly requestProofs: ConfigurationFollowerOptions["requestProofs"];
   readonly getPeerWork: (endpoint: string) => PeerWork;
--- a/packages/gateway/test/endpointLimits.test.ts
+++ b/packages/gateway/test/endpointLimits.test.ts
@@ -283,7 +283,7 @@
       ownName: "i1",
       getReaders: () => ["i2", "i3"],
       isLinked: () => true,
-      call: () => Promise.reject(new Error("no arbiter may be asked")),
+      call: () => Promise.reject(new Error("no arbiter may be called")),
     }),
     canIssuePermits: () => false,
     getFleetSize: () => fleetSize,
--- a/packages/gateway/test/leaderTasks.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -365,13 +365,13 @@
     order ? `${order.hall}${order.isReclaimable ? "r" : "d"}${order.desired}` : "",
   );
   t.same(
-    orderTexts.filter((word) => word.startsWith("ar")),
+    orderTexts.filter((text) => text.startsWith("ar")),
     ["ar2"],
     "ordered once",
   );
   t.ok(orderTexts.includes("br4"), "the other data hall makes up for it");
   t.ok(
-    orderTexts.some((word) => word.startsWith("ad") || word.startsWith("bd")),
+    orderTexts.some((text) => text.startsWith("ad") || text.startsWith("bd")),
     "on-demand endpoints fill what is missing",
   );
   const sentCount = orders.taken.length;
