--- a/packages/gateway/src/placementRelay.ts
+++ b/packages/gateway/src/placementRelay.ts
@@ -45,7 +45,7 @@
   /** Number of the first placement in the queue. */
   private first = 1;
   /** Prompt parts that endpoints have processed, to be sent with the next placements. */
-  private read: Record<string, string[]> = {};
+  private processedParts: Record<string, string[]> = {};
   private partCount = 0;
   /** Monotonic time at which each instance last sent a report to this reader. */
   private readonly subscribers = new Map<string, number>();
@@ -84,7 +84,7 @@
       const remaining = Math.max(0, maxParts - this.partCount);
       const taken = parts.slice(0, remaining);
       if (taken.length === 0) continue;
-      (this.read[endpoint] ??= []).push(...taken);
+      (this.processedParts[endpoint] ??= []).push(...taken);
       this.partCount += taken.length;
     }
   }
@@ -95,15 +95,15 @@
 
   private flush(): void {
     this.timer = undefined;
-    const { queue, first, read } = this;
+    const { queue, first, processedParts } = this;
     this.queue = [];
     this.first += queue.length;
-    this.read = {};
+    this.processedParts = {};
     this.partCount = 0;
     const limit = this.options.clock.getTime() - subscriptionTtlMs;
     for (const [name, subscribedAt] of this.subscribers) {
       if (subscribedAt < limit) this.subscribers.delete(name);
-      else this.options.send(name, createMessage(name, first, queue, read));
+      else this.options.send(name, createMessage(name, first, queue, processedParts));
     }
   }
 }
@@ -112,7 +112,7 @@
   receiver: string,
   first: number,
   queue: readonly QueuedPlacement[],
-  read: PrefixReport,
+  processedParts: PrefixReport,
 ): PlacementRelayMessage {
   // Only the latest are sent, because the next view, which includes all, arrives sooner after an older placement.
   const latest = queue.slice(-maxEntries);
@@ -121,6 +121,6 @@
     kind: MemberMessageKind.PlacementRelay,
     first: first + queue.length - latest.length,
     entries,
-    read,
+    read: processedParts,
   };
 }
