--- a/packages/gateway/test/explain.test.ts
+++ b/packages/gateway/test/explain.test.ts
@@ -2,28 +2,28 @@
 import { fileURLToPath } from "node:url";
 import t, { type Test } from "tap";
 import { Gateway, gatewaySchema, RouteKind } from "@gladewall/gateway";
-import { formatReference, Logger, LogLevel, parseSettings } from "@gladewall/kernel";
+import { formatSettingsReference, Logger, LogLevel, parseSettings } from "@gladewall/kernel";
 import {
-  answerGood,
-  beginEvents,
+  respondSuccess,
+  startEventStream,
   createRoute,
   createWorkspace,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
   waitUntil,
 } from "@gladewall/standins";
 
 /** One instance whose log lines are kept. */
-async function createBench(t: Pick<Test, "teardown">, route: Parameters<typeof createRoute>[0]) {
+async function createTestBench(t: Pick<Test, "teardown">, route: Parameters<typeof createRoute>[0]) {
   const lines: string[] = [];
-  const bench = GatewayBench.create(
+  const bench = GatewayTestBench.create(
     undefined,
     Logger.create(LogLevel.Info, {}, (line) => lines.push(line)),
   );
   const workspaces = [createWorkspace({ ratePerSecond: 0.001, burst: 1 })];
   bench.platform.configure({ routes: [createRoute(route)], workspaces });
-  const endpoint = await ScriptedEndpoint.create("b1", answerGood);
-  bench.platform.list({ id: "b1", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("b1", respondSuccess);
+  bench.platform.putEndpoint({ id: "b1", address: endpoint.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   const find = (event: string, part: string): string | undefined =>
@@ -34,7 +34,7 @@
 t.test(
   "a refusal for a limit leads from its id to the level, the room and the part of the fleet heard",
   async (t) => {
-    const { bench, instance, find } = await createBench(t, {});
+    const { bench, instance, find } = await createTestBench(t, {});
     t.equal((await bench.call(instance, { key: "key" })).status, 200);
     t.equal((await bench.call(instance, { id: "limited", key: "key" })).status, 429);
     const line = find("request.refused", "request=limited");
@@ -45,15 +45,18 @@
 );
 
 t.test("a cut stream leads from its id to its endpoint, and from there to the endpoint's end", async (t) => {
-  const { bench, instance, endpoint, find } = await createBench(t, { kind: RouteKind.Stream, attempts: 1 });
+  const { bench, instance, endpoint, find } = await createTestBench(t, {
+    kind: RouteKind.Stream,
+    attempts: 1,
+  });
   endpoint.script = (call) => {
-    beginEvents(call);
+    startEventStream(call);
     call.response.write("id: 1\ndata: a\n\n");
   };
   const onData = (): void => {
-    bench.platform.list({ id: "b1", address: endpoint.address, isLeaving: true });
+    bench.platform.putEndpoint({ id: "b1", address: endpoint.address, isLeaving: true });
     void waitUntil(() => instance.gateway.countEndpoints("web") === 0).then(() =>
-      endpoint.calls[0]?.socket.destroy(),
+      endpoint.requests[0]?.socket.destroy(),
     );
   };
   await bench.call(instance, { id: "cut", key: "key", method: "POST", body: "x", onData });
@@ -64,7 +67,7 @@
 });
 
 t.test("a 504 leads from its id to the endpoint that was silent", async (t) => {
-  const { bench, instance, endpoint, find } = await createBench(t, { timeoutMs: 50, attempts: 1 });
+  const { bench, instance, endpoint, find } = await createTestBench(t, { timeoutMs: 50, attempts: 1 });
   endpoint.script = () => undefined;
   t.equal((await bench.call(instance, { id: "late", key: "key" })).status, 504);
   await waitUntil(() => find("request.failed", "request=late") !== undefined);
@@ -81,7 +84,7 @@
   const page = fileURLToPath(new URL("../../../../docs/operating/gateway-settings.md", import.meta.url));
   t.equal(
     readFileSync(page, "utf8").trim(),
-    `# Settings of a gateway instance\n\n${formatReference(gatewaySchema)}`.trim(),
+    `# Settings of a gateway instance\n\n${formatSettingsReference(gatewaySchema)}`.trim(),
   );
   const text = "[instance]\nname = n\nhall = z\n[listen]\ncallers = nowhere\n";
   const settings = parseSettings(gatewaySchema, text, { file: "f.ini", environment: {}, overrides: [] });
--- a/packages/gateway/test/toldFleet.ts
+++ b/packages/gateway/test/fedFleet.ts
@@ -5,13 +5,13 @@
  */
 import {
   type ConfigurationFollower,
-  createFeedTimes,
+  createFeedTimings,
   EndpointDirectory,
   type PlatformAdapter,
   StoreFeed,
 } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
-import { StandinPlatform, StoreTrouble } from "@gladewall/standins";
+import { FakePlatform, StoreFault } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 
 /** Time in which work must stop going to an endpoint that leaves; milliseconds. */
@@ -29,9 +29,9 @@
     readonly platform: PlatformAdapter,
   ) {}
 
-  static create(name: string, platform: StandinPlatform, clock: VirtualClock): StoreView {
+  static create(name: string, platform: FakePlatform, clock: VirtualClock): StoreView {
     const adapter = platform.createAdapter();
-    const times = createFeedTimes(drainMs);
+    const times = createFeedTimings(drainMs);
     const logger = Logger.createSilent();
     const configuration = createConfigurationFollower(adapter, clock, {
       readerIntervalMs: times.proofIntervalMs,
@@ -46,7 +46,15 @@
     });
     const followers = { [adapter.endpointPrefix]: directory.follower };
     const { eras } = adapter.store;
-    const feed = StoreFeed.create({ clock, logger, own: name, times, eras, configuration, followers });
+    const feed = StoreFeed.create({
+      clock,
+      logger,
+      own: name,
+      timings: times,
+      eras,
+      configuration,
+      followers,
+    });
     return new StoreView(configuration, directory, feed, adapter);
   }
 
@@ -67,18 +75,19 @@
 const readerNames = ["r1", "r2", "r3"];
 
 /** Three readers of the store, and an instance that they tell. */
-class ToldFleet {
+class FedFleet {
   readonly clock = VirtualClock.create();
-  readonly platform = StandinPlatform.create(this.clock, stepMs);
+  readonly platform = FakePlatform.create(this.clock, stepMs);
   readonly readers = readerNames.map((name) => StoreView.create(name, this.platform, this.clock));
   readonly told = StoreView.create("told", this.platform, this.clock);
 
-  static async create(): Promise<ToldFleet> {
-    const fleet = new ToldFleet();
+  static async create(): Promise<FedFleet> {
+    const fleet = new FedFleet();
     fleet.platform.configure({});
-    for (const id of ["a", "b", "c", "d", "e", "f"]) fleet.platform.list({ id, address: "127.0.0.1:1" });
+    for (const id of ["a", "b", "c", "d", "e", "f"])
+      fleet.platform.putEndpoint({ id, address: "127.0.0.1:1" });
     for (const id of ["g", "h", "i", "j", "k", "l", "m"]) {
-      fleet.platform.list({ id, service: "pool", address: "127.0.0.1:1" });
+      fleet.platform.putEndpoint({ id, service: "pool", address: "127.0.0.1:1" });
     }
     for (const view of [...fleet.readers, fleet.told]) view.start();
     fleet.takeTurn();
@@ -102,7 +111,7 @@
     const name = asker.feed.chooseReader(isReader, linked);
     const asked = this.readers[readerNames.indexOf(name ?? "")];
     const answer = asked?.feed.createMessage(asker.feed.getState());
-    if (answer) asker.feed.take(answer, this.clock.getTime());
+    if (answer) asker.feed.apply(answer, this.clock.getTime());
   }
 
   async close(): Promise<void> {
@@ -134,23 +143,23 @@
 }
 
 /** Plays a departure. */
-export async function playDeparture(departure: Departure): Promise<UsedFor> {
+export async function runDepartureScenario(departure: Departure): Promise<UsedFor> {
   const { troubles, leavesAt, isStated, together = [], silentAt } = departure;
-  const fleet = await ToldFleet.create();
+  const fleet = await FedFleet.create();
   const { platform, clock } = fleet;
   const startedAt = clock.getTime();
   for (const [index, { at, lasts }] of troubles.entries()) {
     const store = platform.stores[index]!;
-    clock.startTimer(at, () => (store.trouble = StoreTrouble.Down));
-    clock.startTimer(at + lasts, () => (store.trouble = StoreTrouble.None));
+    clock.startTimer(at, () => (store.fault = StoreFault.Down));
+    clock.startTimer(at + lasts, () => (store.fault = StoreFault.None));
   }
   if (silentAt !== undefined) {
-    clock.startTimer(silentAt, () => platform.stores.forEach((store) => store.silenceWatches()));
+    clock.startTimer(silentAt, () => platform.stores.forEach((store) => store.stallWatches()));
   }
   clock.startTimer(leavesAt, () => {
     for (const id of ["a", ...together]) {
-      if (isStated) platform.list({ id, address: "127.0.0.1:1", isLeaving: true });
-      else platform.unlist(id);
+      if (isStated) platform.putEndpoint({ id, address: "127.0.0.1:1", isLeaving: true });
+      else platform.removeEndpoint(id);
     }
   });
   const usedFor = { told: 0, readers: 0 };
--- a/packages/gateway/test/freshness.test.ts
+++ b/packages/gateway/test/freshness.test.ts
@@ -2,23 +2,23 @@
 import { EndpointDirectory } from "@gladewall/gateway";
 import { Logger, SystemClock, VirtualClock } from "@gladewall/kernel";
 import {
-  answerGood,
+  respondSuccess,
   createRoute,
   createWorkspace,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
-  StandinPlatform,
-  StoreTrouble,
+  FakePlatform,
+  StoreFault,
   waitUntil,
 } from "@gladewall/standins";
 
 /** One instance with short proofs, so that tests wait for events and not for seconds. */
-async function createBench(t: Pick<Test, "teardown">) {
-  const bench = GatewayBench.create();
+async function createTestBench(t: Pick<Test, "teardown">) {
+  const bench = GatewayTestBench.create();
   const routes = [createRoute({}), createRoute({ name: "open", prefix: "/open/", isPublic: true })];
   bench.platform.configure({ routes, workspaces: [createWorkspace({ keys: ["one", "two"] })] });
-  const endpoint = await ScriptedEndpoint.create("b", answerGood);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   const instance = await bench.startReady(1, "web", [
     "configuration.proof_interval=50",
     "configuration.revoke_within=600",
@@ -29,10 +29,10 @@
 }
 
 t.test("a removed key runs nothing, an unknown one gets 401, an unknown route 404", async (t) => {
-  const { bench, instance, endpoint, routes } = await createBench(t);
+  const { bench, instance, endpoint, routes } = await createTestBench(t);
   t.equal((await bench.call(instance, { key: "two" })).status, 200);
-  t.equal(endpoint.calls[0]?.headers["x-workspace"], "workspace");
-  t.equal(endpoint.calls[0]?.headers.authorization, undefined);
+  t.equal(endpoint.requests[0]?.headers["x-workspace"], "workspace");
+  t.equal(endpoint.requests[0]?.headers.authorization, undefined);
   bench.platform.configure({ routes, workspaces: [createWorkspace({ keys: ["one"] })] });
   await waitUntil(() => instance.gateway.version === 2);
   t.equal((await bench.call(instance, { key: "two" })).status, 401);
@@ -43,10 +43,10 @@
 t.test(
   "without a young proof no key counts and the instance is unready; with the store back it serves again",
   async (t) => {
-    const { bench, instance, endpoint } = await createBench(t);
-    bench.platform.shared.trouble = StoreTrouble.Down;
+    const { bench, instance, endpoint } = await createTestBench(t);
+    bench.platform.shared.fault = StoreFault.Down;
     await waitUntil(() => !instance.gateway.isReady());
-    const before = endpoint.calls.length;
+    const before = endpoint.requests.length;
     const refused = await bench.call(instance, { key: "one" });
     t.equal(refused.status, 503);
     t.ok(Number(refused.headers["retry-after"]) > 0);
@@ -56,8 +56,8 @@
       "a newer version may have this route",
     );
     t.equal((await bench.call(instance, { path: "/open/x" })).status, 200, "a public route needs no key");
-    t.equal(endpoint.calls.length, before + 1);
-    bench.platform.shared.trouble = StoreTrouble.None;
+    t.equal(endpoint.requests.length, before + 1);
+    bench.platform.shared.fault = StoreFault.None;
     await waitUntil(() => instance.gateway.isReady());
     t.equal((await bench.call(instance, { key: "one" })).status, 200);
   },
@@ -66,14 +66,14 @@
 t.test(
   "an instance that the store turns away goes on by a peer's word, and learns of changes by it",
   async (t) => {
-    const { bench, instance, routes } = await createBench(t);
+    const { bench, instance, routes } = await createTestBench(t);
     const other = await bench.startReady(1, "web", ["configuration.proof_interval=50"]);
     await waitUntil(() => instance.gateway.linkedPeers === 1 && other.gateway.linkedPeers === 1);
-    bench.platform.stores[0]!.trouble = StoreTrouble.Down;
+    bench.platform.stores[0]!.fault = StoreFault.Down;
     bench.platform.configure({ routes, workspaces: [createWorkspace({ keys: ["three"] })] });
     await waitUntil(() => instance.gateway.version === 2);
     const since = SystemClock.create().getTime();
-    await waitUntil(() => instance.gateway.provenAt > since);
+    await waitUntil(() => instance.gateway.proofSentAt > since);
     t.equal((await bench.call(instance, { key: "three" })).status, 200);
     t.equal((await bench.call(instance, { key: "one" })).status, 401);
     const large = Array.from({ length: 400 }, (_, index) =>
@@ -84,20 +84,20 @@
       workspaces: [createWorkspace({ keys: ["three"] })],
     });
     await waitUntil(() => instance.gateway.version === 3);
-    bench.platform.shared.trouble = StoreTrouble.Down;
+    bench.platform.shared.fault = StoreFault.Down;
     await waitUntil(() => !instance.gateway.isReady());
     t.equal((await bench.call(instance, { key: "three" })).status, 503, "words of words grow old as well");
   },
 );
 
 t.test("a version in force never falls, and deaf watches delay it by no more than a proof", async (t) => {
-  const { bench, instance, routes } = await createBench(t);
-  bench.platform.shared.isDeaf = true;
+  const { bench, instance, routes } = await createTestBench(t);
+  bench.platform.shared.hidesChanges = true;
   bench.platform.configure({ routes, workspaces: [createWorkspace({ keys: ["three"] })] });
   await waitUntil(() => instance.gateway.version === 2);
   t.equal((await bench.call(instance, { key: "three" })).status, 200);
-  bench.platform.shared.isDeaf = false;
-  bench.platform.shared.forgetHistory();
+  bench.platform.shared.hidesChanges = false;
+  bench.platform.shared.compactHistory();
   t.equal((await bench.call(instance, { key: "one" })).status, 401);
   t.equal(instance.gateway.version, 2);
 });
@@ -105,10 +105,10 @@
 t.test(
   "a limit holds over two instances, and what is over it gets 429 with a time to come back",
   async (t) => {
-    const bench = GatewayBench.create();
+    const bench = GatewayTestBench.create();
     bench.platform.configure({ workspaces: [createWorkspace({ ratePerSecond: 0.001, burst: 6 })] });
-    const endpoint = await ScriptedEndpoint.create("b", answerGood);
-    bench.platform.list({ id: "b", address: endpoint.address });
+    const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
+    bench.platform.putEndpoint({ id: "b", address: endpoint.address });
     const quick = ["peers.report_interval=20"];
     const one = await bench.startReady(1, "web", quick);
     const two = await bench.startReady(1, "web", quick);
@@ -119,7 +119,7 @@
     const refused = await bench.call(two, { key: "key" });
     t.equal(refused.status, 429);
     t.ok(Number(refused.headers["retry-after"]) > 0);
-    t.equal(endpoint.calls.length, 6);
+    t.equal(endpoint.requests.length, 6);
   },
 );
 
@@ -127,7 +127,7 @@
   "a record that vanishes in this instance's own trouble ends work in time; many together have until the store is back",
   async (t) => {
     const clock = VirtualClock.create();
-    const platform = StandinPlatform.create(clock);
+    const platform = FakePlatform.create(clock);
     let troubleAt = clock.getTime();
     const directory = EndpointDirectory.create({
       platform: platform.createAdapter(),
@@ -137,28 +137,28 @@
       watchWaitMs: 600,
       unlistedMs: 1_300,
     });
-    for (const id of ["a", "b", "c", "d"]) platform.list({ id, address: "127.0.0.1:1" });
+    for (const id of ["a", "b", "c", "d"]) platform.putEndpoint({ id, address: "127.0.0.1:1" });
     directory.start();
     await clock.advance(50);
     const count = (): number =>
       directory.getOfService("web").filter((endpoint) => endpoint.isUsable()).length;
-    platform.unlist("a");
+    platform.removeEndpoint("a");
     await clock.advance(50);
     t.equal(count(), 4);
     await clock.advance(1_500);
     t.equal(count(), 3);
     troubleAt = clock.getTime();
-    for (const id of ["b", "c", "d"]) platform.unlist(id);
+    for (const id of ["b", "c", "d"]) platform.removeEndpoint(id);
     await clock.advance(2_000);
     t.equal(count(), 3);
-    platform.list({ id: "b", address: "127.0.0.1:1" });
+    platform.putEndpoint({ id: "b", address: "127.0.0.1:1" });
     // The store has been well for longer than a living endpoint needs to record itself again.
     await clock.advance(2_500);
     t.equal(count(), 1);
-    platform.list({ id: "e", address: "127.0.0.1:1" });
+    platform.putEndpoint({ id: "e", address: "127.0.0.1:1" });
     await clock.advance(50);
     troubleAt = clock.getTime();
-    for (const id of ["b", "e"]) platform.unlist(id);
+    for (const id of ["b", "e"]) platform.removeEndpoint(id);
     for (let second = 0; second < 4; second++) {
       troubleAt = clock.getTime();
       await clock.advance(1_000);
@@ -176,16 +176,16 @@
 t.test(
   "an endpoint that leaves gets nothing new, and never again under its id; a replaced one is found out by its answer",
   async (t) => {
-    const { bench, instance, endpoint } = await createBench(t);
-    const other = await ScriptedEndpoint.create("c", answerGood);
+    const { bench, instance, endpoint } = await createTestBench(t);
+    const other = await ScriptedEndpoint.create("c", respondSuccess);
     t.teardown(() => other.close());
-    bench.platform.list({ id: "c", address: other.address });
+    bench.platform.putEndpoint({ id: "c", address: other.address });
     await waitUntil(() => instance.gateway.countEndpoints("web") === 2);
-    bench.platform.list({ id: "b", address: endpoint.address, isLeaving: true });
+    bench.platform.putEndpoint({ id: "b", address: endpoint.address, isLeaving: true });
     await waitUntil(() => instance.gateway.countEndpoints("web") === 1);
-    bench.platform.list({ id: "b", address: endpoint.address });
+    bench.platform.putEndpoint({ id: "b", address: endpoint.address });
     for (let count = 0; count < 4; count++) t.equal((await bench.call(instance, { key: "one" })).status, 200);
-    t.equal(endpoint.calls.length, 0);
+    t.equal(endpoint.requests.length, 0);
     other.script = ({ id, response }) => {
       response.writeHead(421, { "x-id": id, "content-length": 0 });
       response.end();
@@ -198,7 +198,7 @@
 t.test(
   "a peer whose connection was closed keeps no part of the limits, whether it was heard or not",
   async (t) => {
-    const bench = GatewayBench.create();
+    const bench = GatewayTestBench.create();
     bench.platform.configure({});
     const one = await bench.startReady(0, "web", ["peers.report_interval=20"]);
     t.teardown(() => bench.close());
--- a/packages/gateway/test/innocentRequests.test.ts
+++ b/packages/gateway/test/innocentRequests.test.ts
@@ -5,18 +5,18 @@
 import t, { type Test } from "tap";
 import { RouteKind } from "@gladewall/gateway";
 import {
-  answerGood,
+  respondSuccess,
   type BenchInstance,
   createRoute,
-  type EndpointCall,
-  GatewayBench,
+  type EndpointRequest,
+  GatewayTestBench,
   ScriptedEndpoint,
   waitUntil,
 } from "@gladewall/standins";
-import { startEndingFleet } from "./endingEndpoints.js";
+import { startCrashingFleet } from "./crashingEndpoints.js";
 
 /** What goes wrong with one request at an endpoint that lives. */
-const troubles: Readonly<Record<string, (call: EndpointCall) => void>> = {
+const troubles: Readonly<Record<string, (call: EndpointRequest) => void>> = {
   "a connection that is reset": ({ socket }) => void socket.resetAndDestroy(),
   "an answer that is lost": ({ socket }) => void socket.destroy(),
   "an answer that is cut": ({ id, response, socket }) => {
@@ -30,17 +30,17 @@
   "bytes that are no answer": ({ socket }) => void socket.end("this is no answer\r\n\r\n"),
 };
 
-async function createBench(t: Pick<Test, "teardown">, kind: RouteKind) {
-  const bench = GatewayBench.create();
+async function createTestBench(t: Pick<Test, "teardown">, kind: RouteKind) {
+  const bench = GatewayTestBench.create();
   bench.platform.configure({ routes: [createRoute({ kind })] });
-  const endpoint = await ScriptedEndpoint.create("e", answerGood);
-  bench.platform.list({ id: "e", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("e", respondSuccess);
+  bench.platform.putEndpoint({ id: "e", address: endpoint.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   return { bench, endpoint, instance };
 }
 
-async function readCount(bench: GatewayBench, instance: BenchInstance, name: string): Promise<number> {
+async function readCount(bench: GatewayTestBench, instance: BenchInstance, name: string): Promise<number> {
   const page = await bench.readMetrics(instance);
   return Number(new RegExp(`^${name}(?:{[^}]*})? (\\d+)$`, "m").exec(page)?.[1] ?? 0);
 }
@@ -48,12 +48,12 @@
 for (const [trouble, script] of Object.entries(troubles)) {
   for (const kind of [RouteKind.Safe, RouteKind.Unsafe]) {
     t.test(`${trouble} speaks against no request (${RouteKind[kind].toLowerCase()})`, async (t) => {
-      const { bench, endpoint, instance } = await createBench(t, kind);
+      const { bench, endpoint, instance } = await createTestBench(t, kind);
       endpoint.script = script;
       for (let index = 0; index < 5; index++) {
         t.not((await bench.call(instance, { method: "POST", body: "same" })).status, 200);
       }
-      endpoint.script = answerGood;
+      endpoint.script = respondSuccess;
       t.equal((await bench.call(instance, { method: "POST", body: "same" })).status, 200);
       t.equal(await readCount(bench, instance, "gladewall_endpoint_ends_total"), 0);
       t.equal(await readCount(bench, instance, "gladewall_suspects"), 0);
@@ -62,7 +62,7 @@
 }
 
 t.test("an address that refuses connections speaks against no request that was not cut there", async (t) => {
-  const { bench, endpoint, instance } = await createBench(t, RouteKind.Safe);
+  const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
   await endpoint.close();
   for (let index = 0; index < 5; index++) {
     t.equal((await bench.call(instance, { method: "POST", body: "same" })).status, 503);
@@ -71,11 +71,11 @@
 });
 
 t.test("a planned end speaks against no request", async (t) => {
-  const { bench, endpoint, instance } = await createBench(t, RouteKind.Safe);
+  const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
   endpoint.script = () => undefined;
   const answer = bench.call(instance, { method: "POST", body: "same" });
-  await endpoint.waitForCalls(1);
-  bench.platform.list({ id: "e", address: endpoint.address, isLeaving: true });
+  await endpoint.waitForRequests(1);
+  bench.platform.putEndpoint({ id: "e", address: endpoint.address, isLeaving: true });
   await waitUntil(() => instance.gateway.countEndpoints("web") === 0);
   await endpoint.close();
   t.equal((await answer).status, 502);
@@ -83,14 +83,14 @@
 });
 
 t.test("a caller that left before its endpoint ended is no suspect", async (t) => {
-  const { bench, endpoint, instance } = await createBench(t, RouteKind.Safe);
+  const { bench, endpoint, instance } = await createTestBench(t, RouteKind.Safe);
   endpoint.script = () => undefined;
   const caller = new AbortController();
   const left = bench.call(instance, { method: "POST", body: "left", signal: caller.signal });
-  await endpoint.waitForCalls(1);
+  await endpoint.waitForRequests(1);
   caller.abort();
   await left;
-  await waitUntil(() => endpoint.calls[0]?.socket.destroyed === true);
+  await waitUntil(() => endpoint.requests[0]?.socket.destroyed === true);
   await endpoint.close();
   t.equal(await readCount(bench, instance, "gladewall_suspects"), 0);
 });
@@ -98,8 +98,8 @@
 t.test(
   "what ran beside a request that ends endpoints is answered, and not held against its callers",
   async (t) => {
-    const { bench, endpoints } = await startEndingFleet(t, 3, 4);
-    const held: EndpointCall[] = [];
+    const { bench, endpoints } = await startCrashingFleet(t, 3, 4);
+    const held: EndpointRequest[] = [];
     endpoints.script = (call) => void held.push(call);
     const send = (body: string, index: number) =>
       bench.call(bench.instances[index % 3]!, { method: "POST", key: "key", body });
@@ -107,9 +107,9 @@
     await waitUntil(() => held.length === 12);
     const deadly = Array.from({ length: 3 }, (_, index) => send("deadly", index));
     await Promise.all(deadly);
-    endpoints.script = answerGood;
+    endpoints.script = respondSuccess;
     // Those that were not cut are answered where they are, the others where they were sent on to.
-    for (const call of held) if (!call.socket.destroyed) answerGood(call);
+    for (const call of held) if (!call.socket.destroyed) respondSuccess(call);
     await Promise.all(innocent);
     await endpoints.replace();
     const again = await Promise.all(
--- a/packages/gateway/test/largeFleet.test.ts
+++ b/packages/gateway/test/largeFleet.test.ts
@@ -1,13 +1,13 @@
 import t, { type Test } from "tap";
-import { Collectors, CounterKind, QuotaUnit, SharedCounters } from "@gladewall/gateway";
+import { FleetRoles, CounterKind, QuotaUnit, SharedCounters } from "@gladewall/gateway";
 import { SystemClock, VirtualClock } from "@gladewall/kernel";
 import {
   type BenchInstance,
-  type CallerView,
+  type CallResult,
   createRoute,
   createWorkspace,
-  GatewayBench,
-  StoreTrouble,
+  GatewayTestBench,
+  StoreFault,
   waitUntil,
 } from "@gladewall/standins";
 import { startFleet } from "./startedFleet.js";
@@ -15,12 +15,12 @@
 const windows = {
   [CounterKind.Quota]: 8_000,
   [CounterKind.Requests]: 10_000,
-  [CounterKind.Repeats]: 10_000,
-  [CounterKind.Work]: 4_000,
+  [CounterKind.Retries]: 10_000,
+  [CounterKind.PromptTokens]: 4_000,
 };
 
 /** Asks for so many tokens; what is foreseen between two views is at most as much as was taken in the last second. */
-function ask(bench: GatewayBench, instance: BenchInstance, tokens: number): Promise<CallerView> {
+function ask(bench: GatewayTestBench, instance: BenchInstance, tokens: number): Promise<CallResult> {
   return bench.call(instance, { key: "key", headers: { "x-tokens": String(tokens) } });
 }
 
@@ -59,7 +59,7 @@
       );
     }
     for (const instance of instances) t.equal((await ask(bench, instance, 60)).status, 429);
-    t.equal(endpoint.calls.length, 6);
+    t.equal(endpoint.requests.length, 6);
   },
 );
 
@@ -68,7 +68,7 @@
   const { instances } = bench;
   await waitUntil(() => instances.every(({ gateway }) => gateway.knownShare === 1));
   // What a peer's first report tells in the second after a view is lost: a fault of its own, with its own test below.
-  await waitUntil(() => instances.slice(3).every(({ gateway }) => gateway.heardPeers === 5));
+  await waitUntil(() => instances.slice(3).every(({ gateway }) => gateway.reportingPeers === 5));
   const [first, second, third, , , last] = instances;
   for (const instance of [first!, second!, third!]) t.equal((await ask(bench, instance, 1)).status, 200);
   await waitUntil(() => instances.every(({ gateway }) => gateway.getQuotaLevel("workspace") > 2.5));
@@ -91,9 +91,9 @@
       "configuration.revoke_margin=100",
     ]);
     const { instances, platform } = bench;
-    await waitUntil(() => instances.every(({ gateway }) => gateway.isCollector || gateway.isFed));
-    for (const store of platform.stores.slice(0, 3)) store.trouble = StoreTrouble.Down;
-    platform.list({ id: "c", address: endpoint.address });
+    await waitUntil(() => instances.every(({ gateway }) => gateway.isCollector || gateway.isFeedActive));
+    for (const store of platform.stores.slice(0, 3)) store.fault = StoreFault.Down;
+    platform.putEndpoint({ id: "c", address: endpoint.address });
     platform.configure({ workspaces: [createWorkspace({ keys: ["two"] })] });
     await waitUntil(() =>
       instances.every(({ gateway }) => gateway.version === 2 && gateway.countEndpoints("web") === 2),
@@ -102,17 +102,17 @@
     const large = Array.from({ length: 400 }, (_, index) =>
       createRoute({ name: `route-${index}`, prefix: `/${"p".repeat(40)}/${index}/` }),
     );
-    for (const store of platform.stores.slice(0, 3)) store.trouble = StoreTrouble.None;
+    for (const store of platform.stores.slice(0, 3)) store.fault = StoreFault.None;
     platform.configure({
       routes: [createRoute({}), ...large],
       workspaces: [createWorkspace({ keys: ["two"] })],
     });
     await waitUntil(() => instances.every(({ gateway }) => gateway.version === 3));
-    for (const store of platform.stores.slice(0, 3)) store.trouble = StoreTrouble.Down;
-    platform.unlist("c");
+    for (const store of platform.stores.slice(0, 3)) store.fault = StoreFault.Down;
+    platform.removeEndpoint("c");
     await waitUntil(() => instances.every(({ gateway }) => gateway.countEndpoints("web") === 1));
     const since = SystemClock.create().getTime();
-    await waitUntil(() => instances.every(({ gateway }) => gateway.provenAt > since));
+    await waitUntil(() => instances.every(({ gateway }) => gateway.proofSentAt > since));
     t.ok(instances.every(({ gateway }) => gateway.isReady()));
     t.equal((await bench.call(instances[0]!, { key: "two" })).status, 200);
   },
@@ -128,17 +128,17 @@
       "configuration.revoke_margin=100",
     ]);
     const { instances, platform } = bench;
-    await waitUntil(() => instances.every(({ gateway }) => gateway.isCollector || gateway.isFed));
-    for (const store of platform.stores.slice(3)) store.trouble = StoreTrouble.Down;
+    await waitUntil(() => instances.every(({ gateway }) => gateway.isCollector || gateway.isFeedActive));
+    for (const store of platform.stores.slice(3)) store.fault = StoreFault.Down;
     platform.configure({ workspaces: [createWorkspace({ keys: ["two"] })] });
     await waitUntil(() => instances.every(({ gateway }) => gateway.version === 2));
     const since = SystemClock.create().getTime();
-    await waitUntil(() => instances.every(({ gateway }) => gateway.provenAt > since));
+    await waitUntil(() => instances.every(({ gateway }) => gateway.proofSentAt > since));
     t.ok(
       instances.every(({ gateway }) => gateway.isReady()),
       "collectors have the others' word",
     );
-    await waitUntil(() => !instances[0]!.gateway.isFed);
+    await waitUntil(() => !instances[0]!.gateway.isFeedActive);
   },
 );
 
@@ -148,8 +148,8 @@
     const clock = VirtualClock.create();
     const names = Array.from({ length: 40 }, (_, index) => `n${index}`);
     const down = new Set<string>();
-    const create = (own: string): Collectors => {
-      const collectors = Collectors.create({
+    const create = (own: string): FleetRoles => {
+      const collectors = FleetRoles.create({
         clock,
         own,
         largestMesh: 24,
@@ -162,18 +162,18 @@
       return collectors;
     };
     const [one, other] = [create("n1"), create("n2")];
-    t.equal(one.getNames()[0], "n7");
-    t.equal(one.getNames().length, 3);
-    t.same(other.getNames(), one.getNames());
+    t.equal(one.getLinkTargets()[0], "n7");
+    t.equal(one.getLinkTargets().length, 3);
+    t.same(other.getLinkTargets(), one.getLinkTargets());
     down.add("n7");
-    t.notOk(one.choose(), "a link may take a moment to come up");
+    t.notOk(one.chooseReaders(), "a link may take a moment to come up");
     await clock.advance(1_000);
-    t.ok(one.choose());
-    t.equal(one.getNames().length, 4);
+    t.ok(one.chooseReaders());
+    t.equal(one.getLinkTargets().length, 4);
     t.notOk(one.getLinkedReaders().includes("n7"));
     down.delete("n7");
-    one.choose();
-    t.equal(one.getNames().length, 3);
+    one.chooseReaders();
+    t.equal(one.getLinkTargets().length, 3);
   },
 );
 
@@ -187,9 +187,9 @@
   collector.add(CounterKind.Quota, "workspace", 500);
   member.add(CounterKind.Quota, "workspace", 40);
   const { totals } = member.createReport();
-  collector.takeReport("member", "member/1", member.createReport());
+  collector.applyReport("member", "member/1", member.createReport());
   member.add(CounterKind.Quota, "workspace", 5);
-  member.takeView(collector.createView(), totals);
+  member.applyView(collector.createView(), totals);
   // The member had lived for longer than the window: what it told first is taken as known.
   t.equal(member.getSum(CounterKind.Quota, "workspace"), 505);
   await clock.advance(400);
@@ -208,11 +208,11 @@
   const clock = VirtualClock.create();
   const [peer, reader, late] = [1, 2, 3].map(() => SharedCounters.create({ clock, windows }));
   peer!.add(CounterKind.Quota, "w", 1);
-  reader!.takeReport("peer", "peer/1", peer!.createReport());
-  late!.takeView(reader!.createView(), late!.createReport().totals);
+  reader!.applyReport("peer", "peer/1", peer!.createReport());
+  late!.applyView(reader!.createView(), late!.createReport().totals);
   await clock.advance(100);
   peer!.add(CounterKind.Quota, "w", 1);
-  late!.takeReport("peer", "peer/1", peer!.createReport());
+  late!.applyReport("peer", "peer/1", peer!.createReport());
   t.equal(late!.getKnownSum(CounterKind.Quota, "w"), 2);
 });
 
@@ -223,9 +223,9 @@
   const { totals } = member.createReport();
   const young = SharedCounters.create({ clock, windows });
   young.add(CounterKind.Quota, "workspace", 10);
-  member.takeView(young.createView(), totals);
+  member.applyView(young.createView(), totals);
   t.equal(member.getSum(CounterKind.Quota, "workspace"), 300);
   young.add(CounterKind.Quota, "workspace", 400);
-  member.takeView(young.createView(), totals);
+  member.applyView(young.createView(), totals);
   t.equal(member.getSum(CounterKind.Quota, "workspace"), 410);
 });
--- a/packages/gateway/test/duties.test.ts
+++ b/packages/gateway/test/leaderTasks.test.ts
@@ -2,10 +2,10 @@
 import {
   CapacityOrders,
   type CapacityOrder,
-  Duties,
+  LeaderTasks,
   FencedOrders,
-  OrderWord,
-  OwnItems,
+  OrderOutcome,
+  GatewayItems,
   PrefixFollower,
   type StoreItem,
   UsageCounts,
@@ -14,11 +14,11 @@
 import { Logger, VirtualClock } from "@gladewall/kernel";
 import {
   createService,
-  MetadataStoreStandin,
-  OrdersStandin,
+  FakeMetadataStore,
+  FakeOrderService,
   SharedStore,
-  StoreTrouble,
-  type TakenOrder,
+  StoreFault,
+  type ReceivedOrder,
 } from "@gladewall/standins";
 
 const turnMs = 3_000;
@@ -28,11 +28,11 @@
 const reviewEveryMs = 250;
 
 /** Instances that compete for the duties of one store; time is virtual. */
-class DutyBench {
+class DutyTestBench {
   readonly clock = VirtualClock.create();
   readonly shared = SharedStore.create(this.clock);
-  readonly orders = OrdersStandin.create();
-  readonly times: { readonly at: number; readonly order: TakenOrder }[] = [];
+  readonly orders = FakeOrderService.create();
+  readonly times: { readonly at: number; readonly order: ReceivedOrder }[] = [];
 
   constructor() {
     const { taken } = this.orders;
@@ -52,11 +52,18 @@
   ) {
     const { clock, shared } = this;
     const orders = FencedOrders.create(this.orders, Logger.createSilent());
-    const store = MetadataStoreStandin.create(shared, clock);
+    const store = FakeMetadataStore.create(shared, clock);
     const logger = Logger.createSilent();
     const getTimeOfDay = (): number => clock.getWallTime();
-    const own = OwnItems.create({ store, clock, logger, isFirstStart, isWriter: () => true, getTimeOfDay });
-    const { fixed, leases, settling } = own;
+    const own = GatewayItems.create({
+      store,
+      clock,
+      logger,
+      isFirstStart,
+      isWriter: () => true,
+      getTimeOfDay,
+    });
+    const { committedWindows: fixed, leases, settling } = own;
     const follower = PrefixFollower.create({
       store,
       prefix: "gladewall/",
@@ -67,7 +74,7 @@
         handleRemoved: (key, removal) => own.takeItem(key, undefined, removal),
       },
     });
-    store.eras.onRise(() => follower.restart());
+    store.eras.onEraChange(() => follower.restart());
     follower.start();
     const review = (): void => {
       own.review();
@@ -83,12 +90,12 @@
       prefix,
       windowMs,
       getTimeOfDay,
-      draftKey: "draft",
+      checkpointKey: "draft",
       usage: counts,
       life: `${name}/1`,
       getItem,
-      fixed,
-      getKeptSince: () => settling.getKeptSince(),
+      committed: fixed,
+      getDurableSince: () => settling.getDurableSince(),
     });
     const capacity = CapacityOrders.create({
       orders,
@@ -98,7 +105,7 @@
       getNeeded: () => 0,
       isLoadAwaited: () => false,
     });
-    const duties = Duties.create({
+    const duties = LeaderTasks.create({
       store,
       leases,
       isFirstStart,
@@ -106,13 +113,13 @@
       logger,
       name,
       leaseKey,
-      markKey: "gladewall/duties-begun",
-      turnMs,
+      markerKey: "gladewall/duties-begun",
+      alternationWindowMs: turnMs,
       usage,
       capacity,
       isEligible,
-      isRefused: (fence) => orders.isRefused(fence),
-      isFree: () => follower.isListed && getItem(leaseKey) === undefined,
+      isFenceRefused: (fence) => orders.isRefused(fence),
+      isLeaseFree: () => follower.isListed && getItem(leaseKey) === undefined,
       getServices: () => [],
     });
     duties.start();
@@ -121,7 +128,7 @@
 }
 
 /** Counts of an instance in the windows of the next seconds. */
-function createCounts(bench: DutyBench, amount: number): UsageCounts {
+function createCounts(bench: DutyTestBench, amount: number): UsageCounts {
   const counts = UsageCounts.create();
   const first = Math.floor(bench.clock.getWallTime() / windowMs);
   for (let window = first; window < first + 8; window++) {
@@ -131,11 +138,11 @@
 }
 
 t.test("what was counted when all instances were killed is reported by the next holder", async (t) => {
-  const bench = new DutyBench();
+  const bench = new DutyTestBench();
   const first = Math.floor(bench.clock.getWallTime() / windowMs);
   const one = bench.start("one", createCounts(bench, 3));
   await bench.clock.advance(4_000);
-  one.store.trouble = StoreTrouble.Down;
+  one.store.fault = StoreFault.Down;
   const counts = UsageCounts.create();
   counts.add(first, "a");
   bench.start("two", counts);
@@ -147,16 +154,16 @@
 t.test(
   "a window is reported with the same counts by whoever reports it, also after a lost answer",
   async (t) => {
-    const bench = new DutyBench();
+    const bench = new DutyTestBench();
     const one = bench.start("one", createCounts(bench, 1));
     await bench.clock.advance(6_000);
     const two = bench.start("two", createCounts(bench, 2));
     await bench.clock.advance(6_000);
     t.ok(one.duties.isActing());
-    one.store.trouble = StoreTrouble.LosesAnswers;
+    one.store.fault = StoreFault.LosesResponses;
     await bench.clock.advance(6_000);
     // The first holder is gone without a word.
-    one.store.trouble = StoreTrouble.Down;
+    one.store.fault = StoreFault.Down;
     await bench.clock.advance(30_000);
     t.ok(two.duties.isActing());
     const counts = new Map<number, Set<string>>();
@@ -173,11 +180,11 @@
 t.test(
   "fences rise with each holder, and no two act by turns in time, even where leases lapse early",
   async (t) => {
-    const bench = new DutyBench();
+    const bench = new DutyTestBench();
     for (const name of ["one", "two", "three"]) bench.start(name);
     for (let round = 0; round < 40; round++) {
       await bench.clock.advance(700 + ((round * 977) % 3_100));
-      bench.shared.lapse();
+      bench.shared.endAllLeases();
     }
     const acts = bench.times.map(({ at, order }) => ({ at, ...order.sender }));
     const holders = new Set(acts.map(({ holder }) => holder));
@@ -196,11 +203,11 @@
 );
 
 t.test("the first holder ever acts at once; a later one waits", async (t) => {
-  const bench = new DutyBench();
+  const bench = new DutyTestBench();
   const one = bench.start("one");
   await bench.clock.advance(1_600);
   t.ok(one.duties.isActing());
-  one.store.trouble = StoreTrouble.Down;
+  one.store.fault = StoreFault.Down;
   const two = bench.start("two");
   await bench.clock.advance(2_300);
   t.notOk(two.duties.isActing());
@@ -209,12 +216,12 @@
 });
 
 /** Returns the acts of a bench as a platform judges them. */
-function getActs(bench: DutyBench) {
+function getActs(bench: DutyTestBench) {
   return bench.times.map(({ at, order }) => ({ at, ...order.sender, usage: order.usage }));
 }
 
 /** Checks that fences rise, that no two holders act by turns in time, and that no window is reported with two figures. */
-function checkActs(t: Pick<Test, "ok" | "notOk" | "equal">, bench: DutyBench): void {
+function checkActs(t: Pick<Test, "ok" | "notOk" | "equal">, bench: DutyTestBench): void {
   const acts = getActs(bench);
   let highest = 0;
   const figures = new Map<number, Set<string>>();
@@ -235,22 +242,22 @@
   "after the store went back, one holder acts at a time, fences rise, and windows keep their figures",
   async (t) => {
     for (const [round, tellsEra] of [true, true, false, true].entries()) {
-      const bench = new DutyBench();
-      bench.shared.tellsEra = tellsEra;
+      const bench = new DutyTestBench();
+      bench.shared.reportsEra = tellsEra;
       const one = bench.start("one", createCounts(bench, 1));
       bench.start("two", createCounts(bench, 2));
       await bench.clock.advance(4_000);
       for (let drill = 0; drill < 6; drill++) {
-        const copy = bench.shared.copy();
+        const copy = bench.shared.takeSnapshot();
         for (let count = 0; count < 30; count++) bench.shared.put("other", "x");
         await bench.clock.advance(1_500 + ((drill * 1_777 + round * 977) % 6_000));
         // The holder loses its lease while what it wrote is lost.
-        if (drill % 3 === 1) bench.shared.lapse();
-        if (drill % 2 === 0) one.store.heldBackMs = 400;
+        if (drill % 3 === 1) bench.shared.endAllLeases();
+        if (drill % 2 === 0) one.store.responseDelayMs = 400;
         await bench.clock.advance(drill * 300);
-        bench.shared.goBack(copy);
+        bench.shared.restore(copy);
         await bench.clock.advance(100);
-        one.store.heldBackMs = 0;
+        one.store.responseDelayMs = 0;
       }
       await bench.clock.advance(20_000);
       checkActs(t, bench);
@@ -263,17 +270,17 @@
 t.test(
   "a window that was reported and lost is not reported with other figures by a life that never heard of it",
   async (t) => {
-    const bench = new DutyBench();
+    const bench = new DutyTestBench();
     const counts = createCounts(bench, 1);
     const one = bench.start("one", counts);
     await bench.clock.advance(12_000);
-    const copy = bench.shared.copy();
+    const copy = bench.shared.takeSnapshot();
     const window = Math.floor(bench.clock.getWallTime() / windowMs);
     counts.add(window, "a");
     await bench.clock.advance(6_000);
     t.ok(bench.orders.taken.some(({ usage }) => usage?.window === window));
-    one.store.trouble = StoreTrouble.Down;
-    bench.shared.goBack(copy);
+    one.store.fault = StoreFault.Down;
+    bench.shared.restore(copy);
     await bench.clock.advance(1_000);
     bench.start("two", UsageCounts.create(), () => true, false);
     await bench.clock.advance(30_000);
@@ -285,25 +292,25 @@
 
 // The first offset of a store that tells no era was taken for one from before it told any.
 t.test("fences rise after a return of a store that tells no era", async (t) => {
-  const bench = new DutyBench();
-  bench.shared.tellsEra = false;
+  const bench = new DutyTestBench();
+  bench.shared.reportsEra = false;
   bench.start("one", createCounts(bench, 1));
-  const copy = bench.shared.copy();
+  const copy = bench.shared.takeSnapshot();
   for (let count = 0; count < 200; count++) bench.shared.put("other", "x");
   await bench.clock.advance(12_000);
-  bench.shared.goBack(copy);
+  bench.shared.restore(copy);
   await bench.clock.advance(20_000);
   checkActs(t, bench);
 });
 
 t.test("a mark that was lost with the store's last seconds makes nobody the first holder ever", async (t) => {
-  const bench = new DutyBench();
-  const copy = bench.shared.copy();
+  const bench = new DutyTestBench();
+  const copy = bench.shared.takeSnapshot();
   const one = bench.start("one");
   await bench.clock.advance(2_000);
   t.ok(one.duties.isActing());
-  one.store.trouble = StoreTrouble.Down;
-  bench.shared.goBack(copy);
+  one.store.fault = StoreFault.Down;
+  bench.shared.restore(copy);
   const two = bench.start("two", UsageCounts.create(), () => true, false);
   await bench.clock.advance(1_200);
   t.notOk(two.duties.isActing());
@@ -312,12 +319,12 @@
 });
 
 t.test("a lease whose number another instance was granted is not held on to", async (t) => {
-  const bench = new DutyBench();
-  const copy = bench.shared.copy();
+  const bench = new DutyTestBench();
+  const copy = bench.shared.takeSnapshot();
   const one = bench.start("one");
   await bench.clock.advance(6_000);
   t.ok(one.duties.isActing());
-  bench.shared.goBack(copy);
+  bench.shared.restore(copy);
   const two = bench.start("two", UsageCounts.create(), () => true, false);
   await bench.clock.advance(300);
   for (let time = 0; time < 10_000; time += 100) {
@@ -330,9 +337,9 @@
 
 t.test("an order is given once, and a data hall that has none is left alone for a while", async (t) => {
   const clock = VirtualClock.create();
-  const orders = OrdersStandin.create();
+  const orders = FakeOrderService.create();
   const isDry = (order: CapacityOrder): boolean => order.isReclaimable && order.hall === "a";
-  orders.getCapacityWord = (order) => (isDry(order) ? OrderWord.NoneAvailable : OrderWord.Taken);
+  orders.getCapacityOutcome = (order) => (isDry(order) ? OrderOutcome.NoneAvailable : OrderOutcome.Taken);
   const capacity = CapacityOrders.create({
     orders,
     clock,
@@ -370,7 +377,7 @@
 t.test(
   "a holder that no longer hears the whole fleet stops at once, and another follows in time",
   async (t) => {
-    const bench = new DutyBench();
+    const bench = new DutyTestBench();
     let isEligible = true;
     const one = bench.start("one", UsageCounts.create(), () => isEligible);
     await bench.clock.advance(7_000);
@@ -391,15 +398,15 @@
 t.test(
   "a holder whose fence is refused sends nothing more with it and comes back with a higher one",
   async (t) => {
-    const bench = new DutyBench();
+    const bench = new DutyTestBench();
     const one = bench.start("one", createCounts(bench, 3));
     await bench.clock.advance(12_000);
     const before = bench.orders.taken.length;
     t.ok(before > 0);
     const outdated = bench.orders.taken.at(-1)!.sender.fence;
-    bench.orders.leastFence = outdated + 1;
+    bench.orders.minFence = outdated + 1;
     await bench.clock.advance(40_000);
-    t.equal(bench.orders.refused, 1, "one call learns of it");
+    t.equal(bench.orders.refusedCount, 1, "one call learns of it");
     const later = bench.orders.taken.slice(before);
     t.ok(later.length > 3, "windows are reported again");
     t.ok(later.every(({ sender }) => sender.fence > outdated));
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -4,10 +4,10 @@
 import { RouteKind } from "@gladewall/gateway";
 import { Logger, LogLevel } from "@gladewall/kernel";
 import {
-  answerGood,
-  beginEvents,
+  respondSuccess,
+  startEventStream,
   createRoute,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
   waitUntil,
 } from "@gladewall/standins";
@@ -17,46 +17,46 @@
 t.test(
   "an instance that leaves is unready at once and finishes what it has, closing connections with the answers",
   async (t) => {
-    const bench = GatewayBench.create();
+    const bench = GatewayTestBench.create();
     bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
     const endpoint = await ScriptedEndpoint.create("b", () => undefined);
-    bench.platform.list({ id: "b", address: endpoint.address });
+    bench.platform.putEndpoint({ id: "b", address: endpoint.address });
     const instance = await bench.startReady(1);
     t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
     const answer = bench.call(instance, { id: "r", method: "POST", body: "x" });
-    await endpoint.waitForCalls(1);
+    await endpoint.waitForRequests(1);
     const left = instance.gateway.leave();
     t.notOk(instance.gateway.isReady());
-    answerGood(endpoint.calls[0]!);
+    respondSuccess(endpoint.requests[0]!);
     t.match(await answer, { status: 200, body: "answer to r", headers: { connection: "close" } });
     await left;
   },
 );
 
 t.test("what has no answer when the grace ends is answered, not cut", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
   const endpoint = await ScriptedEndpoint.create("b", () => undefined);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   const instance = await bench.startReady(1, "web", overrides);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   const answer = bench.call(instance, { method: "POST", body: "x" });
-  await endpoint.waitForCalls(1);
+  await endpoint.waitForRequests(1);
   await instance.gateway.leave();
   t.match(await answer, { status: 504, isComplete: true });
 });
 
 t.test("a stream that is under way when the instance leaves is passed on to its end", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Stream, attempts: 1 })] });
-  const endpoint = await ScriptedEndpoint.create("b", beginEvents);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("b", startEventStream);
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   let seen = "";
   const answer = bench.call(instance, { method: "POST", body: "x", onData: (text) => (seen += text) });
-  await endpoint.waitForCalls(1);
-  const { response } = endpoint.calls[0]!;
+  await endpoint.waitForRequests(1);
+  const { response } = endpoint.requests[0]!;
   response.write("id: 1\ndata: a\n\n");
   await waitUntil(() => seen !== "");
   const left = instance.gateway.leave();
@@ -76,10 +76,10 @@
   const logger = Logger.create(LogLevel.Info, {}, (line) => {
     if (line.includes("event=instance.stopping")) send();
   });
-  const bench = GatewayBench.create(undefined, logger);
+  const bench = GatewayTestBench.create(undefined, logger);
   bench.platform.configure({ routes: [createRoute({ kind: RouteKind.Unsafe, attempts: 1 })] });
   const endpoint = await ScriptedEndpoint.create("b", () => undefined);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   const instance = await bench.startReady(1, "web", overrides);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   const { callers } = instance.settings.listen;
@@ -93,6 +93,6 @@
   const [answer] = await first;
   t.match(answer.toString(), /^HTTP\/1\.1 503 /);
   await left;
-  t.equal(endpoint.calls.length, 0);
+  t.equal(endpoint.requests.length, 0);
   socket.destroy();
 });
--- a/packages/gateway/test/leavingEndpoints.test.ts
+++ b/packages/gateway/test/leavingEndpoints.test.ts
@@ -2,10 +2,10 @@
 import * as fc from "fast-check";
 import t from "tap";
 import { EndpointDirectory, type MetadataStore } from "@gladewall/gateway";
-import { Logger, LogLevel, settlePromises, VirtualClock } from "@gladewall/kernel";
-import { StandinPlatform } from "@gladewall/standins";
+import { Logger, LogLevel, flushPromises, VirtualClock } from "@gladewall/kernel";
+import { FakePlatform } from "@gladewall/standins";
 import { type FollowedPrefix, followPrefix } from "./followers.js";
-import { type Departure, drainMs, playDeparture, stepMs } from "./toldFleet.js";
+import { type Departure, drainMs, runDepartureScenario, stepMs } from "./fedFleet.js";
 
 /** What the way of a request to its endpoint may take. */
 const sendingMs = 150;
@@ -52,7 +52,7 @@
   "whichever readers the store turns away, work stops going to an endpoint that leaves in time",
   async (t) => {
     const property = fc.asyncProperty(departure, async (drawn) => {
-      const usedFor = await playDeparture(drawn);
+      const usedFor = await runDepartureScenario(drawn);
       return usedFor.told + sendingMs <= drainMs;
     });
     const report = await fc.check(property, {
@@ -72,7 +72,7 @@
     isStated: fc.boolean(),
   });
   const property = fc.asyncProperty(one, async (drawn) => {
-    const usedFor = await playDeparture(drawn);
+    const usedFor = await runDepartureScenario(drawn);
     return usedFor.readers + sendingMs <= drainMs;
   });
   const report = await fc.check(property, { seed: 31, numRuns: 12, endOnFailure: true });
@@ -99,7 +99,7 @@
     together: fc.constant(["b", "c"]),
   });
   const property = fc.asyncProperty(half, async (drawn) => {
-    const usedFor = await playDeparture(drawn);
+    const usedFor = await runDepartureScenario(drawn);
     return Math.max(usedFor.told, usedFor.readers) + sendingMs <= drainMs;
   });
   const report = await fc.check(property, {
@@ -119,7 +119,7 @@
     isStated: fc.boolean(),
   });
   const property = fc.asyncProperty(silent, async (drawn) => {
-    const usedFor = await playDeparture(drawn);
+    const usedFor = await runDepartureScenario(drawn);
     return Math.max(usedFor.told, usedFor.readers) + sendingMs <= drainMs;
   });
   const report = await fc.check(property, { seed: 31, numRuns: 8, endOnFailure: true });
@@ -141,8 +141,8 @@
 
 t.test("a listing that was under way when a removal came in does not bring back what went", async (t) => {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
-  platform.list({ id: "a", address: "127.0.0.1:1" });
+  const platform = FakePlatform.create(clock);
+  platform.putEndpoint({ id: "a", address: "127.0.0.1:1" });
   const { store, endpointPrefix } = platform.createAdapter();
   let deliver: () => void = () => undefined;
   const slowStore: MetadataStore = Object.assign(Object.create(store) as MetadataStore, {
@@ -153,9 +153,9 @@
     },
   });
   const { follower, present } = follow(slowStore, endpointPrefix, clock);
-  await settlePromises();
+  await flushPromises();
   deliver();
-  await settlePromises();
+  await flushPromises();
   t.equal(present.size, 1);
   follower.restart();
   await clock.advance(200);
@@ -163,28 +163,28 @@
   const revision = platform.shared.revision + 1;
   const { era } = platform.shared;
   const changes = { era, revision, items: [], removed: [{ key, revision }], isListing: false };
-  follower.takeChanges(changes, Infinity);
+  follower.applyChanges(changes, Infinity);
   t.equal(present.size, 0);
   deliver();
-  await settlePromises();
+  await flushPromises();
   t.equal(present.size, 0);
   await close(follower.close(), clock);
 });
 
 t.test("a watch that was deaf while something changed does not hide the change", async (t) => {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock, stepMs);
-  platform.list({ id: "a", address: "127.0.0.1:1" });
+  const platform = FakePlatform.create(clock, stepMs);
+  platform.putEndpoint({ id: "a", address: "127.0.0.1:1" });
   const { store, endpointPrefix } = platform.createAdapter();
   const { follower, present } = follow(store, endpointPrefix, clock);
   await clock.advance(100);
   t.equal(present.size, 1);
-  platform.shared.isDeaf = true;
-  platform.unlist("a");
+  platform.shared.hidesChanges = true;
+  platform.removeEndpoint("a");
   // Long enough for a watch to end that has heard nothing, and for the next one to begin.
   await clock.advance(1_000);
-  platform.shared.forgetHistory();
-  platform.shared.isDeaf = false;
+  platform.shared.compactHistory();
+  platform.shared.hidesChanges = false;
   await clock.advance(1_500);
   t.equal(present.size, 0);
   await close(follower.close(), clock);
@@ -194,7 +194,7 @@
   "the log says how old a word may be that an endpoint leaves, and which trouble explains it",
   async (t) => {
     const clock = VirtualClock.create();
-    const platform = StandinPlatform.create(clock, stepMs);
+    const platform = FakePlatform.create(clock, stepMs);
     const lines: string[] = [];
     const adapter = platform.createAdapter();
     const directory = EndpointDirectory.create({
@@ -205,13 +205,13 @@
       watchWaitMs: 600,
       unlistedMs: 500,
     });
-    for (const id of ["a", "b", "c"]) platform.list({ id, address: "127.0.0.1:1" });
+    for (const id of ["a", "b", "c"]) platform.putEndpoint({ id, address: "127.0.0.1:1" });
     directory.start();
     await clock.advance(100);
-    platform.shared.isDeaf = true;
+    platform.shared.hidesChanges = true;
     await clock.advance(300);
-    platform.shared.isDeaf = false;
-    platform.unlist("a");
+    platform.shared.hidesChanges = false;
+    platform.removeEndpoint("a");
     await clock.advance(1_000);
     const states = lines.filter((line) => line.includes("event=endpoint.state"));
     t.match(states[0], /state=Unlisted cause="record gone in trouble" unheardMs=450 troubleAgeMs=400/);
--- a/packages/gateway/test/limitedFleet.ts
+++ b/packages/gateway/test/limitedFleet.ts
@@ -12,20 +12,20 @@
   type CounterTotals,
   GatewayMetrics,
   type ConfigurationFollower,
-  type QuotaAnswer,
-  type QuotaAsk,
+  type QuotaReply,
+  type QuotaCall,
   QuotaCharges,
   RouteTable,
   SharedCounters,
   type Workspace,
 } from "@gladewall/gateway";
 import { Failure, FailureCode, Logger } from "@gladewall/kernel";
-import { createWorkspace, RunWindows } from "@gladewall/standins";
+import { createWorkspace, RunUnitLog } from "@gladewall/standins";
 import { Err, Ok, type Result } from "ts-results-es";
-import { createSpreadDraws, StepClock } from "./stepClock.js";
+import { createSpreadRandom, StepClock } from "./stepClock.js";
 
 /** What is played; times are milliseconds from the start. */
-export interface LimitPlay {
+export interface LimitScenario {
   readonly seed: number;
   readonly instances: number;
   readonly ratePerSecond: number;
@@ -42,8 +42,8 @@
   /** Whether arbiters are asked; without, each instance decides by what it knows. */
   readonly hasArbiters: boolean;
   /** Load before and after the surge begins, as shares of the limit's rate. */
-  readonly calmShare: number;
-  readonly surgeShare: number;
+  readonly baseLoadShare: number;
+  readonly surgeLoadShare: number;
   /** Units of requests, which come by turns. */
   readonly sizes: readonly number[];
 }
@@ -51,22 +51,22 @@
 /** What came of a play. */
 export interface LimitResult {
   /** Most of what is allowed that ran in any window, 1 being all of it. */
-  readonly worst: number;
+  readonly maxShare: number;
   /** Share of the rate that ran after the first window of the surge. */
-  readonly givenOut: number;
+  readonly admittedShare: number;
   /** Share of the rate that ran in each second. */
   readonly perSecond: readonly number[];
   /** Requests refused before the surge. */
-  readonly refusedInCalm: number;
+  readonly refusedBeforeSurge: number;
   /** Share of the requests of each size that were let in during the surge. */
-  readonly letIn: readonly number[];
+  readonly admittedBySize: readonly number[];
 }
 
 const windows = {
   [CounterKind.Quota]: 8_000,
   [CounterKind.Requests]: 10_000,
-  [CounterKind.Repeats]: 10_000,
-  [CounterKind.Work]: 4_000,
+  [CounterKind.Retries]: 10_000,
+  [CounterKind.PromptTokens]: 4_000,
 };
 const windowMs = windows[CounterKind.Quota];
 const slack = 140_000;
@@ -134,7 +134,7 @@
         own: name,
         getReaders: () => (play.hasArbiters ? fleet.readers : []),
         isLinked: (peer) => fleet.isAlive(peer),
-        call: (peer, ask, timeoutMs) => this.call(peer, ask as QuotaAsk, timeoutMs),
+        call: (peer, ask, timeoutMs) => this.call(peer, ask as QuotaCall, timeoutMs),
       }),
       getViewAge: () => undefined,
     });
@@ -158,7 +158,7 @@
   report(): void {
     const { fleet } = this;
     this.handover.setRole(this.isReader, fleet.clock.getTime());
-    this.admission.refreshLimits();
+    this.admission.updateDrainRates();
     const report = structuredClone(this.counters.createReport(this.isReader));
     const sequence = ++this.sequence;
     this.told.set(sequence, report.totals);
@@ -166,7 +166,7 @@
     const asked = readers[sequence % readers.length];
     for (const reader of readers) {
       fleet.send(reader, (member) => {
-        member.counters.takeReport(this.name, this.life, report);
+        member.counters.applyReport(this.name, this.life, report);
         member.heardAt.set(this.name, fleet.clock.getTime());
         if (reader === asked) member.answer(this, sequence);
       });
@@ -183,19 +183,19 @@
       const told = peer.told.get(sequence);
       if (!told || peer.isReader !== wantsCounts) return;
       if (wantsCounts && !peer.handover.isAsking(this.fleet.clock.getTime())) return;
-      peer.counters.takeView(view, told);
-      peer.handover.noteTaken();
+      peer.counters.applyView(view, told);
+      peer.handover.complete();
       peer.view = { share, at: this.fleet.clock.getTime() };
     });
   }
 
-  private call(peer: string, ask: QuotaAsk, timeoutMs: number): Promise<Result<unknown, Failure>> {
+  private call(peer: string, ask: QuotaCall, timeoutMs: number): Promise<Result<unknown, Failure>> {
     const { fleet } = this;
     return new Promise((resolve) => {
       const fail = (): void => resolve(Err(Failure.create(FailureCode.PeerUnreachable, { peer })));
       const timer = fleet.clock.startTimer(timeoutMs, fail);
       fleet.send(peer, (member) => {
-        const answer: QuotaAnswer = member.admission.answerAsk(
+        const answer: QuotaReply = member.admission.decideForPeer(
           { name: this.name, incarnation: this.startedAt },
           ask,
         );
@@ -210,7 +210,7 @@
 
 /** All instances, and the clock that they share. */
 class LimitedFleet {
-  readonly runs = RunWindows.create();
+  readonly runs = RunUnitLog.create();
   readonly draw: () => number;
   readonly clock = new StepClock();
   readonly follower: ConfigurationFollower;
@@ -223,9 +223,9 @@
   private readonly asked: number[] = [];
   private readonly served: number[] = [];
 
-  constructor(readonly play: LimitPlay) {
+  constructor(readonly play: LimitScenario) {
     const { seed, instances, ratePerSecond } = play;
-    this.draw = createSpreadDraws(seed);
+    this.draw = createSpreadRandom(seed);
     this.workspace = createWorkspace({ ratePerSecond, burst: ratePerSecond });
     const configuration = { version: 1, routes: [], services: new Map(), limits };
     const table = RouteTable.create({ ...configuration, workspaces: [this.workspace] });
@@ -260,21 +260,21 @@
     let due = 0;
     while (clock.getTime() < endsAt) {
       await clock.advance(stepMs);
-      due += perStep * (clock.getTime() < surgeAt ? play.calmShare : play.surgeShare);
+      due += perStep * (clock.getTime() < surgeAt ? play.baseLoadShare : play.surgeLoadShare);
       for (; due >= 1; due--) this.request();
     }
     const from = surgeAt + windowMs;
     const { ratePerSecond, burst } = this.workspace;
     const allowed = ((ratePerSecond * windowMs) / 1_000 + burst) * (1 + overshoot) + slack;
     return {
-      worst: this.runs.getWorst("w", windowMs).units / allowed,
-      givenOut: (this.runs.getSum("w", from, endsAt) * 1_000) / (endsAt - from) / ratePerSecond,
+      maxShare: this.runs.getMax("w", windowMs).units / allowed,
+      admittedShare: (this.runs.getSum("w", from, endsAt) * 1_000) / (endsAt - from) / ratePerSecond,
       perSecond: Array.from(
         { length: endsAt / 1_000 },
         (_, second) => this.runs.getSum("w", second * 1_000, (second + 1) * 1_000) / ratePerSecond,
       ),
-      refusedInCalm: this.refusedInCalm,
-      letIn: this.asked.map((count, size) => (this.served[size] ?? 0) / count),
+      refusedBeforeSurge: this.refusedInCalm,
+      admittedBySize: this.asked.map((count, size) => (this.served[size] ?? 0) / count),
     };
   }
 
@@ -345,17 +345,17 @@
     if (!isCalm) this.served[size] = (this.served[size] ?? 0) + 1;
     this.noteRun(member, units);
     if (this.draw() >= repeatShare) return;
-    if ((await member.charges.takeRepeat(charge.value, leftMs)).isOk()) this.noteRun(member, units);
+    if ((await member.charges.takeRetry(charge.value, leftMs)).isOk()) this.noteRun(member, units);
   }
 
   /** What a paused instance had let in runs when it goes on. */
   private noteRun(member: Member, units: number): void {
-    this.runs.note("w", Math.max(this.clock.getTime(), member.pausedUntil), units);
+    this.runs.record("w", Math.max(this.clock.getTime(), member.pausedUntil), units);
   }
 }
 
 /** A surge to eight times a limit, and no troubles. */
-export const plainSurge: LimitPlay = {
+export const baselineSurge: LimitScenario = {
   seed: 1,
   instances: 24,
   ratePerSecond: 200_000,
@@ -365,18 +365,18 @@
   readerKills: [],
   fleetKills: [],
   hasArbiters: true,
-  calmShare: 0.5,
-  surgeShare: 8,
+  baseLoadShare: 0.5,
+  surgeLoadShare: 8,
   sizes: [12_000],
 };
 
 /** Draws the troubles of a seed. */
-export function drawPlay(seed: number): LimitPlay {
-  const draw = createSpreadDraws(seed * 31);
+export function createRandomScenario(seed: number): LimitScenario {
+  const draw = createSpreadRandom(seed * 31);
   const choose = <Item>(items: readonly Item[]): Item => items[Math.floor(draw() * items.length)]!;
   const drawTimes = (count: number): number[] => Array.from({ length: count }, () => 3_000 + draw() * 14_000);
   return {
-    ...plainSurge,
+    ...baselineSurge,
     seed,
     instances: choose([8, 24, 77]),
     ratePerSecond: choose([36_000, 200_000, 900_000]),
@@ -389,6 +389,6 @@
 }
 
 /** Plays a surge on one workspace's limit. */
-export function playLimitedFleet(play: LimitPlay): Promise<LimitResult> {
+export function runLimitScenario(play: LimitScenario): Promise<LimitResult> {
   return new LimitedFleet(play).run();
 }
--- a/packages/gateway/test/overrunLimit.test.ts
+++ b/packages/gateway/test/overrunLimit.test.ts
@@ -5,20 +5,20 @@
  */
 import t from "tap";
 import { getAllowances, restartsPerWindow } from "@gladewall/gateway";
-import { createRoute, createWorkspace, GatewayBench, ScriptedEndpoint } from "@gladewall/standins";
-import { plainSurge, playLimitedFleet } from "./limitedFleet.js";
+import { createRoute, createWorkspace, GatewayTestBench, ScriptedEndpoint } from "@gladewall/standins";
+import { baselineSurge, runLimitScenario } from "./limitedFleet.js";
 
 t.test("each run of a request is charged to its workspace's limit", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   const workspace = createWorkspace({ ratePerSecond: 0.001, burst: 4 });
   bench.platform.configure({ routes: [createRoute({ attempts: 3 })], workspaces: [workspace] });
   const lose = await ScriptedEndpoint.create("lose", ({ socket }) => socket.destroy());
-  for (const id of ["a", "b", "c"]) bench.platform.list({ id, address: lose.address });
+  for (const id of ["a", "b", "c"]) bench.platform.putEndpoint({ id, address: lose.address });
   const instance = await bench.startReady(3, "web", ["retries.slack=100"]);
   t.teardown(() => Promise.all([bench.close(), lose.close()]));
   const statuses: number[] = [];
   for (let index = 0; index < 6; index++) statuses.push((await bench.call(instance, { key: "key" })).status);
-  t.equal(lose.calls.length, 4, `runs; callers saw ${statuses.join()}`);
+  t.equal(lose.requests.length, 4, `runs; callers saw ${statuses.join()}`);
   t.equal(statuses.at(-1), 429);
 });
 
@@ -35,8 +35,8 @@
     [77, 400_000, 400],
     [320, 900_000, 15],
   ] as const) {
-    const play = { ...plainSurge, instances, ratePerSecond, delayMs };
-    const { worst, givenOut } = await playLimitedFleet(play);
+    const play = { ...baselineSurge, instances, ratePerSecond, delayMs };
+    const { maxShare: worst, admittedShare: givenOut } = await runLimitScenario(play);
     const told = `${instances} instances, ${ratePerSecond}/s, ${delayMs} ms: ${worst.toFixed(3)}, given out ${givenOut.toFixed(2)}`;
     t.ok(worst <= 1, told);
     t.ok(delayMs > 150 || givenOut >= 0.95, told);
@@ -44,15 +44,15 @@
 });
 
 t.test("the same surge overruns the limit where instances decide each for itself", async (t) => {
-  const play = { ...plainSurge, instances: 77, ratePerSecond: 900_000, delayMs: 150, hasArbiters: false };
-  const { worst } = await playLimitedFleet(play);
+  const play = { ...baselineSurge, instances: 77, ratePerSecond: 900_000, delayMs: 150, hasArbiters: false };
+  const { maxShare: worst } = await runLimitScenario(play);
   t.ok(worst > 1, String(worst));
 });
 
 t.test("nothing is refused to a workspace that stays within its limit", async (t) => {
   for (const ratePerSecond of [36_000, 900_000]) {
-    const play = { ...plainSurge, instances: 77, ratePerSecond, calmShare: 0.7, surgeShare: 0.7 };
-    const { refusedInCalm, givenOut } = await playLimitedFleet(play);
+    const play = { ...baselineSurge, instances: 77, ratePerSecond, baseLoadShare: 0.7, surgeLoadShare: 0.7 };
+    const { refusedBeforeSurge: refusedInCalm, admittedShare: givenOut } = await runLimitScenario(play);
     t.equal(refusedInCalm, 0);
     t.ok(givenOut >= 0.6, String(givenOut));
   }
@@ -60,8 +60,8 @@
 
 t.test("a surge refuses long requests no more than short ones", async (t) => {
   for (const ratePerSecond of [36_000, 200_000, 900_000]) {
-    const play = { ...plainSurge, instances: 77, ratePerSecond, sizes: [12_000, 826, 2_368] };
-    const { letIn, worst, givenOut } = await playLimitedFleet(play);
+    const play = { ...baselineSurge, instances: 77, ratePerSecond, sizes: [12_000, 826, 2_368] };
+    const { admittedBySize: letIn, maxShare: worst, admittedShare: givenOut } = await runLimitScenario(play);
     const [long = 0, short = 0, middle = 0] = letIn;
     const told = `${ratePerSecond}/s: let in ${letIn.map((share) => share.toFixed(3)).join()}, worst ${worst.toFixed(3)}`;
     t.ok(long >= 0.5 * Math.max(short, middle), told);
@@ -74,7 +74,13 @@
     for (const overshoot of [0, 0.1]) {
       const workspace = { ratePerSecond, burst: ratePerSecond };
       const tolerance = { slack: 140_000, overshoot, windowMs: 8_000 };
-      const { given, restart, repeats, untold, late } = getAllowances(workspace, tolerance);
+      const {
+        extraBurst: given,
+        restart,
+        retries: repeats,
+        unreported: untold,
+        arbiterOverlap: late,
+      } = getAllowances(workspace, tolerance);
       const sum = given + restart * restartsPerWindow + repeats + untold + late;
       const borne = tolerance.slack + overshoot * (ratePerSecond * 8 + ratePerSecond);
       t.ok(sum <= borne * 1.000_001, `${sum} of ${borne}`);
--- a/packages/gateway/test/peerWords.test.ts
+++ b/packages/gateway/test/peerMessages.test.ts
@@ -1,13 +1,13 @@
 import t from "tap";
-import { PrefixMemory } from "@gladewall/gateway";
-import { answerGood, waitUntil } from "@gladewall/standins";
-import { createEngineBench } from "./engineBench.js";
+import { PrefixIndex } from "@gladewall/gateway";
+import { respondSuccess, waitUntil } from "@gladewall/standins";
+import { createEngineTestBench } from "./engineTestBench.js";
 
 /** Longer than the test lasts: whatever is known before has been told at once. */
 const seldom = "peers.report_interval=10000";
 
 t.test("a long prompt is told at once, a short one waits for the next report", async (t) => {
-  const { bench, held } = await createEngineBench(t);
+  const { bench, held } = await createEngineTestBench(t);
   const one = await bench.startReady(1, "web", [seldom]);
   const two = await bench.startReady(1, "web", [seldom]);
   await waitUntil(() => one.gateway.linkedPeers === 1 && two.gateway.linkedPeers === 1);
@@ -18,31 +18,31 @@
   t.equal(one.gateway.getPeerTokens("b"), 12_000);
   t.equal(two.gateway.getPeerTokens("b"), 0, "nobody is told of its own");
   await waitUntil(() => held.length === 2);
-  for (const call of held) answerGood(call);
+  for (const call of held) respondSuccess(call);
   t.same([(await short).status, (await long).status], [200, 200]);
 });
 
 t.test("peers are told once which endpoints read which shared parts, and go by it", async (t) => {
-  const own = PrefixMemory.create();
-  const peer = PrefixMemory.create();
+  const own = PrefixIndex.create();
+  const peer = PrefixIndex.create();
   const parts = [
     { id: "shared", tokens: 500 },
     { id: "small", tokens: 100 },
     { id: "session", tokens: 4_000 },
     { id: "rest", tokens: 6_000 },
   ];
-  own.note(parts, "b");
-  own.note(parts, "b");
-  const told = own.takeUntold();
+  own.noteSent(parts, "b");
+  own.noteSent(parts, "b");
+  const told = own.takeUnreported();
   t.same(told, { b: ["shared", "session"] }, "not what is small or the request's own");
-  t.same(own.takeUntold(), {}, "told once");
-  peer.takePeer(told);
+  t.same(own.takeUnreported(), {}, "told once");
+  peer.mergePeer(told);
   t.ok(peer.holds("session", "b"));
   t.notOk(peer.holds("rest", "b"));
-  t.same(peer.takeUntold(), {}, "and not passed on");
+  t.same(peer.takeUnreported(), {}, "and not passed on");
   peer.removeEndpoint("b");
-  peer.takePeer(told);
+  peer.mergePeer(told);
   t.notOk(peer.holds("session", "b"), "a late word does not bring back an endpoint that has ended");
-  for (let index = 0; index < 200; index++) own.note([{ id: `p${index}`, tokens: 900 }, ...parts], "b");
-  t.equal(own.takeUntold().b?.length, 64, "bounded");
+  for (let index = 0; index < 200; index++) own.noteSent([{ id: `p${index}`, tokens: 900 }, ...parts], "b");
+  t.equal(own.takeUnreported().b?.length, 64, "bounded");
 });
--- a/packages/gateway/test/permitFleet.ts
+++ b/packages/gateway/test/permitFleet.ts
@@ -9,43 +9,43 @@
   Endpoint,
   type EndpointDirectory,
   EndpointLimits,
-  LimitIssuer,
-  LimitLinks,
+  PermitIssuer,
+  LimitGossip,
   LimitMessageKind,
-  LimitPermits,
+  PermitClient,
   type PermitRequest,
-  WordMemory,
+  AvailabilityCache,
 } from "@gladewall/gateway";
 import type { PeerIdentity, PeerLinks, PeerMessage } from "@gladewall/coordination";
 import { Failure, FailureCode, Logger } from "@gladewall/kernel";
-import { getBorneArrivals, getWorstArrivals } from "@gladewall/standins";
+import { getAllowedArrivals, getMaxArrivals } from "@gladewall/standins";
 import { Err, Ok, type Result } from "ts-results-es";
 import { createKnownEndpoint } from "./knownEndpoints.js";
-import { createSpreadDraws, StepClock } from "./stepClock.js";
+import { createSpreadRandom, StepClock } from "./stepClock.js";
 
 /** Trouble of some instances; times are milliseconds from the start. */
-export interface PlayTrouble {
+export interface FaultPeriod {
   readonly at: number;
   readonly forMs: number;
 }
 
 /** What is played. */
-export interface PermitPlay {
+export interface PermitScenario {
   readonly seed: number;
   readonly instances: number;
   /** What the endpoint names from a time on; undefined: nothing. */
   readonly named: readonly { readonly from: number; readonly perSecond: number | undefined }[];
   /** Requests a second that would go to the endpoint, over the whole fleet. */
-  readonly wishedPerSecond: number;
+  readonly offeredPerSecond: number;
   readonly endsAt: number;
   /** When the issuer is killed; it starts again after `restartMs`. */
   readonly issuerKills?: readonly number[];
   /** When the issuer stands still. */
-  readonly issuerPauses?: readonly PlayTrouble[];
+  readonly issuerPauses?: readonly FaultPeriod[];
   /** When half of the others can't reach the issuer. */
-  readonly issuerCuts?: readonly PlayTrouble[];
+  readonly issuerCuts?: readonly FaultPeriod[];
   /** When the issuer's messages take `slowMs`. */
-  readonly issuerSlow?: readonly PlayTrouble[];
+  readonly issuerSlow?: readonly FaultPeriod[];
   /** Instances of a build that knows nothing of limits. */
   readonly oldBuilds?: number;
   /** Share of requests that are more urgent than the others. */
@@ -55,11 +55,11 @@
 /** What came of a play. */
 export interface PermitResult {
   /** Most that arrived in a window, as a share of what is borne. */
-  readonly worst: number;
+  readonly maxShare: number;
   /** Arrivals of the last naming of the play, as a share of the limit. */
-  readonly givenOut: number;
+  readonly admittedShare: number;
   /** The same of the more urgent requests. */
-  readonly urgentGivenOut: number;
+  readonly urgentAdmittedShare: number;
   /** Questions and words a second of the busiest instance. */
   readonly messagesPerSecond: number;
   /** Time from the end of the last word until every instance knew it; undefined where some do not. */
@@ -67,7 +67,7 @@
 }
 
 /** Time after a word from which arrivals are judged. */
-const judgedAfterMs = 1_000;
+const checkedAfterMs = 1_000;
 const delayMs = 3;
 const slowMs = 120;
 const workMs = 40;
@@ -96,7 +96,7 @@
   readonly endpoint: Endpoint = createKnownEndpoint({ id: "e" });
   readonly handlers = new Map<number, Handler>();
   readonly limits: EndpointLimits;
-  readonly permits: LimitPermits;
+  readonly permits: PermitClient;
   readonly identity: PeerIdentity;
   pausedUntil = 0;
   slowUntil = 0;
@@ -111,9 +111,9 @@
     const { clock, draw } = fleet;
     const logger = Logger.createSilent();
     this.identity = { name, incarnation: clock.getTime() + 1 };
-    const memory = WordMemory.create(clock);
-    memory.keep(this.endpoint.life, this.endpoint.words);
-    const directory = { words: memory, getWords: () => this.endpoint.words };
+    const memory = AvailabilityCache.create(clock);
+    memory.touch(this.endpoint.incarnation, this.endpoint.availability);
+    const directory = { availabilities: memory, getAvailability: () => this.endpoint.availability };
     const known = directory as Partial<EndpointDirectory> as EndpointDirectory;
     this.limits = EndpointLimits.create({ clock, logger, directory: known });
     const arbiters = Arbiters.create({
@@ -124,18 +124,18 @@
       isLinked: (peer) => fleet.isLinked(name, peer),
       call: (peer, message, timeoutMs) => this.call(peer, message, timeoutMs),
     });
-    this.permits = LimitPermits.create({
+    this.permits = PermitClient.create({
       own: name,
       clock,
       logger,
       metrics: { countPermit: () => undefined },
       limits: this.limits,
-      issuer: LimitIssuer.create({ clock, logger, getRandom: draw }),
+      issuer: PermitIssuer.create({ clock, logger, getRandom: draw }),
       arbiters,
       isAble: (peer) => links.isAble(peer),
       getFleetSize: () => fleet.play.instances,
     });
-    const links = LimitLinks.create({
+    const links = LimitGossip.create({
       fleet: this.createFleet(),
       directory: known,
       limits: this.limits,
@@ -149,7 +149,7 @@
     const { fleet, name } = this;
     const links = {
       setHandler: (kind: number, handler: Handler) => void this.handlers.set(kind, handler),
-      onUp: (listener: (peer: PeerIdentity) => void) => void this.upListeners.push(listener),
+      onLinkUp: (listener: (peer: PeerIdentity) => void) => void this.upListeners.push(listener),
       send: (peer: string, message: PeerMessage) => this.send(peer, message),
       broadcast: (message: PeerMessage, except?: string) => {
         for (const peer of fleet.getLinked(name)) if (peer !== except) this.send(peer, message);
@@ -210,8 +210,8 @@
   private readonly cutUntil = new Map<string, number>();
   private requests = 0;
 
-  constructor(readonly play: PermitPlay) {
-    this.draw = createSpreadDraws(play.seed);
+  constructor(readonly play: PermitScenario) {
+    this.draw = createSpreadRandom(play.seed);
     this.names = Array.from({ length: play.instances }, (_, index) => `i${index}`);
     for (const name of this.names) this.start(name);
     for (const name of this.names) this.link(name);
@@ -272,49 +272,49 @@
     for (
       let due = 0;
       clock.getTime() < play.endsAt;
-      due += (play.wishedPerSecond * stepMs) / millisecondsPerSecond
+      due += (play.offeredPerSecond * stepMs) / millisecondsPerSecond
     ) {
       await clock.advance(stepMs);
       for (; due >= 1; due--) this.request();
       const isFree = ({ endpoint, knowsLimits }: Member): boolean =>
-        !knowsLimits || endpoint.words.limit.perSecond === undefined;
+        !knowsLimits || endpoint.availability.limit.perSecond === undefined;
       if (freedFrom === undefined || clock.getTime() < freedFrom.from) continue;
       if ([...this.members.values()].every(isFree)) freedAt ??= clock.getTime();
     }
     const messages = Math.max(...[...this.members.values()].map((member) => member.messages));
     const until = freedFrom?.from ?? play.endsAt;
     return {
-      worst: this.getWorst(),
-      givenOut: this.getGivenOut(lastNamed, until, () => true),
-      urgentGivenOut: this.getGivenOut(lastNamed, until, ({ isUrgent }) => isUrgent),
+      maxShare: this.getWorst(),
+      admittedShare: this.getGivenOut(lastNamed, until, () => true),
+      urgentAdmittedShare: this.getGivenOut(lastNamed, until, ({ isUrgent }) => isUrgent),
       messagesPerSecond: (messages / play.endsAt) * millisecondsPerSecond,
       freedAfterMs: freedAt === undefined ? undefined : freedAt - freedFrom!.from,
     };
   }
 
   private getGivenOut(
-    { from, perSecond }: PermitPlay["named"][number],
+    { from, perSecond }: PermitScenario["named"][number],
     until: number,
     isMeant: (arrival: Arrival) => boolean,
   ): number {
     const judged = this.arrivals.filter(
-      (one) => one.at >= from + judgedAfterMs && one.at < until && isMeant(one),
+      (one) => one.at >= from + checkedAfterMs && one.at < until && isMeant(one),
     );
-    return judged.length / ((perSecond! * (until - from - judgedAfterMs)) / millisecondsPerSecond);
+    return judged.length / ((perSecond! * (until - from - checkedAfterMs)) / millisecondsPerSecond);
   }
 
   private getWorst(): number {
     const { named, endsAt } = this.play;
     const worst = named.map(({ from, perSecond }, index) => {
       const until = named[index + 1]?.from ?? endsAt;
-      return perSecond === undefined ? 0 : this.getWorstWindow(perSecond, from + judgedAfterMs, until);
+      return perSecond === undefined ? 0 : this.getWorstWindow(perSecond, from + checkedAfterMs, until);
     });
     return Math.max(...worst);
   }
 
   private getWorstWindow(perSecond: number, from: number, until: number): number {
     const times = this.arrivals.map(({ at }) => at).filter((at) => at >= from && at < until);
-    return getWorstArrivals(times) / getBorneArrivals(perSecond);
+    return getMaxArrivals(times) / getAllowedArrivals(perSecond);
   }
 
   private start(name: string): void {
@@ -333,7 +333,7 @@
   private findIssuer(): Member {
     const told = [...this.members.values()].find(({ knowsLimits }) => knowsLimits)!;
     const known = this.getReaders().flatMap((name) => this.members.get(name) ?? []);
-    const asked = known.filter(({ handlers }) => handlers.has(LimitMessageKind.Ask));
+    const asked = known.filter(({ handlers }) => handlers.has(LimitMessageKind.PermitCall));
     return asked.reduce((best, one) => (one.messages > best.messages ? one : best), asked[0] ?? told);
   }
 
@@ -382,26 +382,26 @@
     const isUrgent = this.draw() < (this.play.urgentShare ?? 0);
     const rank = isUrgent ? urgentRank : usualRank;
     if (!member.knowsLimits) return;
-    if (!member.endpoint.takesWork(this.clock.getTime(), rank)) return;
+    if (!member.endpoint.acceptsRequest(this.clock.getTime(), rank)) return;
     void this.sendOne(member, { id: `r${(this.requests += 1)}`, rank, leftMs }, isUrgent);
   }
 
   private async sendOne(member: Member, request: PermitRequest, isUrgent: boolean): Promise<void> {
     const { clock } = this;
     const { endpoint, permits } = member;
-    const isPermitted = permits.isFree(endpoint) || (await permits.take(endpoint, request));
-    if (!isPermitted || !endpoint.isOpen(clock.getTime())) return;
+    const isPermitted = permits.isUnlimited(endpoint) || (await permits.acquire(endpoint, request));
+    if (!isPermitted || !endpoint.acceptsPermitted(clock.getTime())) return;
     const sentAt = clock.getTime();
-    const round = endpoint.words.beginTry();
+    const round = endpoint.availability.beginAttempt();
     const connectMs = this.draw() < slowConnects ? this.draw() * slowConnectMs : 0;
     clock.startTimer(delayMs + connectMs, () => {
       this.arrivals.push({ at: clock.getTime(), isUrgent });
       const perSecond = this.getNamed();
       clock.startTimer(workMs + delayMs, () => {
         if (this.members.get(member.name) !== member) return;
-        endpoint.words.endTry(round, true);
+        endpoint.availability.endAttempt(round, true);
         const limit = perSecond === undefined ? undefined : { perSecond };
-        member.limits.takeAnswer(endpoint, limit, { requestId: request.id, status: 200, sentAt });
+        member.limits.handleAnswer(endpoint, limit, { requestId: request.id, status: 200, sentAt });
       });
     });
   }
@@ -413,6 +413,6 @@
 }
 
 /** Plays a fleet. */
-export function playPermitFleet(play: PermitPlay): Promise<PermitResult> {
+export function runPermitScenario(play: PermitScenario): Promise<PermitResult> {
   return new PermitFleet(play).run();
 }
--- a/packages/gateway/test/placement.test.ts
+++ b/packages/gateway/test/placement.test.ts
@@ -4,7 +4,7 @@
   EndpointState,
   CounterKind,
   Placer,
-  PrefixMemory,
+  PrefixIndex,
   RetryBudget,
   SharedCounters,
 } from "@gladewall/gateway";
@@ -22,7 +22,7 @@
 
 function createPlacer(endpoints: readonly Endpoint[], clock = VirtualClock.create()): Placer {
   return Placer.create({
-    memory: PrefixMemory.create(),
+    memory: PrefixIndex.create(),
     clock,
     getReadingRate: () => 50,
     getEndpoints: () => endpoints,
@@ -80,7 +80,7 @@
 t.test("an endpoint that fails part of its requests gets less, though it looks idle", async (t) => {
   const endpoints = createEndpoints(2);
   const placer = createPlacer(endpoints);
-  for (let count = 0; count < 6; count++) endpoints[0]!.noteEnd(count % 2 === 0, 0);
+  for (let count = 0; count < 6; count++) endpoints[0]!.noteOutcome(count % 2 === 0, 0);
   endpoints[1]!.active = 3;
   t.equal(placer.choose(request)?.endpoint.id, "b1");
 });
@@ -90,8 +90,8 @@
   const windows = {
     [CounterKind.Quota]: 10_000,
     [CounterKind.Requests]: 10_000,
-    [CounterKind.Repeats]: 10_000,
-    [CounterKind.Work]: 10_000,
+    [CounterKind.Retries]: 10_000,
+    [CounterKind.PromptTokens]: 10_000,
   };
   const counters = [SharedCounters.create({ clock, windows }), SharedCounters.create({ clock, windows })];
   const budgets = counters.map((own) =>
@@ -105,7 +105,7 @@
       requests += 1;
       if (budget.tryTake("s")) repeats += 1;
       const other = counters[1 - index]!;
-      other.takeReport(`n${index}`, `n${index}/1`, counters[index]!.createReport());
+      other.applyReport(`n${index}`, `n${index}/1`, counters[index]!.createReport());
     }
   }
   t.ok(repeats > 0);
--- a/packages/gateway/test/readingRates.test.ts
+++ b/packages/gateway/test/prefillRates.test.ts
@@ -1,17 +1,24 @@
 import t from "tap";
-import { Demand, CounterKind, Placer, PrefixMemory, ReadingRates, SharedCounters } from "@gladewall/gateway";
+import {
+  DemandEstimator,
+  CounterKind,
+  Placer,
+  PrefixIndex,
+  PrefillRates,
+  SharedCounters,
+} from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
 import { createService } from "@gladewall/standins";
 import { createKnownEndpoint } from "./knownEndpoints.js";
 
 const service = createService({ name: "model", engine: { slots: 24, tokenCapacity: 700_000 } });
 
-function createRates(clock = VirtualClock.create()): ReadingRates {
-  return ReadingRates.create({ clock, logger: Logger.createSilent(), startRate: 50 });
+function createRates(clock = VirtualClock.create()): PrefillRates {
+  return PrefillRates.create({ clock, logger: Logger.createSilent(), initialRate: 50 });
 }
 
 /** First events of an engine that reads at a rate: prompts of 100 to 12,000 tokens. */
-function teach(rates: ReadingRates, rate: number, count = 200): void {
+function teach(rates: PrefillRates, rate: number, count = 200): void {
   for (let index = 0; index < count; index++) {
     const tokens = 100 + ((index * 7_919) % 11_900);
     rates.note(service.name, { tokens, elapsedMs: 34 + tokens / rate + (index % 7) });
@@ -31,9 +38,9 @@
 t.test("a young instance goes by its peers, and one odd peer moves nobody", async (t) => {
   const clock = VirtualClock.create();
   const rates = createRates(clock);
-  rates.takePeer("one", { model: 150 });
-  rates.takePeer("two", { model: 160 });
-  rates.takePeer("three", { model: 4 });
+  rates.mergePeer("one", { model: 150 });
+  rates.mergePeer("two", { model: 160 });
+  rates.mergePeer("three", { model: 4 });
   t.equal(rates.get("model"), 150);
   t.same(rates.createReport(), {}, "peers are not told what they said");
   t.same(rates.createView(), { model: 150 });
@@ -48,21 +55,21 @@
   const windows = {
     [CounterKind.Quota]: 8_000,
     [CounterKind.Requests]: 10_000,
-    [CounterKind.Repeats]: 10_000,
-    [CounterKind.Work]: 4_000,
+    [CounterKind.Retries]: 10_000,
+    [CounterKind.PromptTokens]: 4_000,
   };
-  const demand = Demand.create({
+  const demand = DemandEstimator.create({
     clock,
     counters: SharedCounters.create({ clock, windows }),
     getReadingRate,
     isRateLearned: (name) => rates.isLearned(name),
     utilization: 0.4,
-    leastPerHall: 1,
+    minEndpointsPerHall: 1,
     windowMs: 4_000,
     getActive: () => 0,
   });
   const placer = Placer.create({
-    memory: PrefixMemory.create(),
+    memory: PrefixIndex.create(),
     clock,
     getReadingRate,
     getEndpoints: () => [createKnownEndpoint({ id: "b0", service: "model", slots: 24 })],
@@ -70,12 +77,12 @@
     getRandom: () => 0,
   });
   const asked = { service, promptTokens: 12_000, parts: [], excluded: new Set<string>() };
-  demand.count("model", 1_600_000);
-  t.equal(demand.getNeeded(service, 4, 9), 9, "an assumed rate orders nothing");
+  demand.countPromptTokens("model", 1_600_000);
+  t.equal(demand.getNeededEndpoints(service, 4, 9), 9, "an assumed rate orders nothing");
   t.equal(placer.choose(asked)?.expectedMs, 240);
   teach(rates, 157);
   await clock.advance(20_000);
-  demand.count("model", 1_600_000);
-  t.equal(demand.getNeeded(service, 4, 0), 7);
+  demand.countPromptTokens("model", 1_600_000);
+  t.equal(demand.getNeededEndpoints(service, 4, 0), 7);
   t.ok((placer.choose(asked)?.expectedMs ?? 0) < 90);
 });
--- a/packages/gateway/test/quotaCharges.test.ts
+++ b/packages/gateway/test/quotaCharges.test.ts
@@ -1,18 +1,18 @@
 import t from "tap";
 import {
-  answerGood,
-  answerNotRun,
+  respondSuccess,
+  respondNotRun,
   createWorkspace,
-  GatewayBench,
-  RunWindows,
+  GatewayTestBench,
+  RunUnitLog,
   ScriptedEndpoint,
 } from "@gladewall/standins";
 
 t.test("units of a limit are counted by workspace and by what became of them", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({ workspaces: [createWorkspace({ ratePerSecond: 0.001, burst: 2 })] });
-  const endpoint = await ScriptedEndpoint.create("b", answerGood);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   const statuses = [];
@@ -30,31 +30,31 @@
 });
 
 t.test("the endpoints' side judges a limit by the worst span, wherever it begins", async (t) => {
-  const windows = RunWindows.create();
+  const windows = RunUnitLog.create();
   for (const [at, units] of [
     [0, 5],
     [900, 7],
     [1_000, 1],
     [1_950, 6],
   ] as const) {
-    windows.note("w", at, units);
+    windows.record("w", at, units);
   }
-  t.same(windows.getWorst("w", 1_000), { units: 13, at: 1_000 });
-  t.same(windows.getWorst("none", 1_000), { units: 0, at: 0 });
+  t.same(windows.getMax("w", 1_000), { units: 13, at: 1_000 });
+  t.same(windows.getMax("none", 1_000), { units: 0, at: 0 });
   t.equal(windows.getSum("w", 900, 1_950), 8);
 });
 
 t.test("units of what endpoints turned away are given back", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({ workspaces: [createWorkspace({ ratePerSecond: 0.001, burst: 2 })] });
-  const endpoint = await ScriptedEndpoint.create("b", answerNotRun);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("b", respondNotRun);
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   const instance = await bench.startReady(1);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   const call = async (): Promise<number> => (await bench.call(instance, { key: "key" })).status;
   t.same([await call(), await call(), await call()], [503, 503, 503]);
   const returned = 'gladewall_quota_units_total{workspace="workspace",event="returned"} 3\n';
   while (!(await bench.readMetrics(instance)).includes(returned)) continue;
-  endpoint.script = answerGood;
+  endpoint.script = respondSuccess;
   t.same([await call(), await call(), await call()], [200, 200, 429]);
 });
--- a/packages/gateway/test/readerListing.test.ts
+++ b/packages/gateway/test/readerListing.test.ts
@@ -8,13 +8,13 @@
  */
 import t from "tap";
 import type { PrefixFollower } from "@gladewall/gateway";
-import { settlePromises, VirtualClock } from "@gladewall/kernel";
-import { StandinPlatform } from "@gladewall/standins";
+import { flushPromises, VirtualClock } from "@gladewall/kernel";
+import { FakePlatform } from "@gladewall/standins";
 import { type FollowedPrefix, followPrefix } from "./followers.js";
 
-function createBench() {
+function createTestBench() {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   const { store, endpointPrefix: prefix } = platform.createAdapter();
   const follow = (): FollowedPrefix => followPrefix(store, prefix, clock);
   const close = async (followers: readonly PrefixFollower[]): Promise<void> => {
@@ -26,45 +26,45 @@
 }
 
 t.test("a reader that listed after a removal tells of it all the same", async (t) => {
-  const { clock, platform, prefix, follow, close } = createBench();
-  for (const id of ["gone", "stays"]) platform.list({ id, address: "127.0.0.1:1" });
+  const { clock, platform, prefix, follow, close } = createTestBench();
+  for (const id of ["gone", "stays"]) platform.putEndpoint({ id, address: "127.0.0.1:1" });
   const told = follow();
   told.follower.start();
   await clock.advance(100);
   t.equal(told.present.size, 2);
   told.follower.setPassive(true);
-  platform.unlist("gone");
-  platform.list({ id: "new", address: "127.0.0.1:2" });
+  platform.removeEndpoint("gone");
+  platform.putEndpoint({ id: "new", address: "127.0.0.1:2" });
   const reader = follow();
   reader.follower.start();
   await clock.advance(100);
   const changes = reader.follower.getChanges(told.follower.getPosition());
-  told.follower.takeChanges(changes!, Infinity);
+  told.follower.applyChanges(changes!, Infinity);
   t.same([...told.present].sort(), [`${prefix}new`, `${prefix}stays`]);
   await close([told.follower, reader.follower]);
 });
 
 t.test("so does one that lists anew and never saw what came and went between", async (t) => {
-  const { clock, platform, prefix, follow, close } = createBench();
-  platform.list({ id: "stays", address: "127.0.0.1:1" });
+  const { clock, platform, prefix, follow, close } = createTestBench();
+  platform.putEndpoint({ id: "stays", address: "127.0.0.1:1" });
   const reader = follow();
   reader.follower.start();
   await clock.advance(100);
   reader.follower.setPassive(true);
   await clock.advance(100);
-  platform.list({ id: "brief", address: "127.0.0.1:2" });
+  platform.putEndpoint({ id: "brief", address: "127.0.0.1:2" });
   const told = follow();
   told.follower.start();
   await clock.advance(100);
   told.follower.setPassive(true);
   t.equal(told.present.size, 2);
-  platform.unlist("brief");
-  platform.shared.forgetHistory();
+  platform.removeEndpoint("brief");
+  platform.shared.compactHistory();
   reader.follower.setPassive(false);
-  await settlePromises();
+  await flushPromises();
   await clock.advance(3_000);
   const changes = reader.follower.getChanges(told.follower.getPosition());
-  told.follower.takeChanges(changes!, Infinity);
+  told.follower.applyChanges(changes!, Infinity);
   t.same([...told.present], [`${prefix}stays`]);
   await close([told.follower, reader.follower]);
 });
--- a/packages/gateway/test/readers.test.ts
+++ b/packages/gateway/test/readers.test.ts
@@ -1,7 +1,7 @@
 import t, { type Test } from "tap";
-import { AskedReader, createFeedTimes, PrefixFollower, StoreRole } from "@gladewall/gateway";
+import { ReaderSelection, createFeedTimings, PrefixFollower, StoreRole } from "@gladewall/gateway";
 import { Logger, SystemClock, VirtualClock } from "@gladewall/kernel";
-import { createWorkspace, StandinPlatform, StoreTrouble, waitUntil } from "@gladewall/standins";
+import { createWorkspace, FakePlatform, StoreFault, waitUntil } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 import { startFleet } from "./startedFleet.js";
 
@@ -21,7 +21,7 @@
   await waitUntil(() => instances.every(({ gateway }) => gateway.linkedPeers === size - 1));
   // Each instance begins as a reader, while it knows of no other.
   await waitUntil(() => instances.every(({ gateway }, index) => gateway.isReader === index >= size - 3));
-  await waitUntil(() => instances.every(({ gateway }) => gateway.isReader || gateway.isFed));
+  await waitUntil(() => instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
   return { bench, endpoint, instances };
 }
 
@@ -39,14 +39,14 @@
     "each hears all, those that can carry most read",
   );
   const told = bench.platform.stores.slice(0, 2);
-  for (const store of told) store.trouble = StoreTrouble.Down;
+  for (const store of told) store.fault = StoreFault.Down;
   const since = SystemClock.create().getTime();
-  bench.platform.list({ id: "c", address: endpoint.address });
+  bench.platform.putEndpoint({ id: "c", address: endpoint.address });
   bench.platform.configure({ workspaces: [createWorkspace({ keys: ["two"] })] });
   await waitUntil(() =>
     instances.every(({ gateway }) => gateway.version === 2 && gateway.countEndpoints("web") === 2),
   );
-  await waitUntil(() => instances.every(({ gateway }) => gateway.provenAt > since));
+  await waitUntil(() => instances.every(({ gateway }) => gateway.proofSentAt > since));
   t.equal((await bench.call(instances[0]!, { key: "two" })).status, 200);
   t.equal((await bench.call(instances[0]!, { key: "one" })).status, 401);
 });
@@ -55,7 +55,7 @@
   const { bench, endpoint, instances } = await createSmallFleet(t, 6);
   const { stores } = bench.platform;
   const list = async (count: number): Promise<void> => {
-    bench.platform.list({ id: `more-${count}`, address: endpoint.address });
+    bench.platform.putEndpoint({ id: `more-${count}`, address: endpoint.address });
     await waitUntil(() => instances.every(({ gateway }) => gateway.countEndpoints("web") === count));
   };
   // With the first change, those that are told give up the watch that they began with.
@@ -72,18 +72,23 @@
   "once the store turns all readers away, the others ask it themselves, and readers have their word",
   async (t) => {
     const { bench, instances } = await createSmallFleet(t, 5);
-    for (const store of bench.platform.stores.slice(2)) store.trouble = StoreTrouble.Down;
-    bench.platform.unlist("b");
+    for (const store of bench.platform.stores.slice(2)) store.fault = StoreFault.Down;
+    bench.platform.removeEndpoint("b");
     await waitUntil(() => instances.slice(0, 2).every(({ gateway }) => gateway.countEndpoints("web") === 0));
-    await waitUntil(() => instances.slice(0, 2).every(({ gateway }) => !gateway.isFed));
+    await waitUntil(() => instances.slice(0, 2).every(({ gateway }) => !gateway.isFeedActive));
     const since = SystemClock.create().getTime();
-    await waitUntil(() => instances.every(({ gateway }) => gateway.provenAt > since));
+    await waitUntil(() => instances.every(({ gateway }) => gateway.proofSentAt > since));
   },
 );
 
 t.test("whatever fails on the way, the store is asked well before a change must be taken in", async (t) => {
   for (const boundMs of [500, 2_000, 3_000, 4_000, 30_000]) {
-    const { proofIntervalMs, longestStoreAgeMs, lifetimeMs, patienceMs } = createFeedTimes(boundMs);
+    const {
+      proofIntervalMs,
+      maxStoreAgeMs: longestStoreAgeMs,
+      feedLifetimeMs: lifetimeMs,
+      patienceMs,
+    } = createFeedTimings(boundMs);
     t.ok(longestStoreAgeMs >= 2 * proofIntervalMs, "one read may be lost");
     t.ok(lifetimeMs > 2 * patienceMs, "two readers are asked in time");
     t.ok(Math.max(longestStoreAgeMs, lifetimeMs) <= 0.6 * boundMs, "the rest is for a listing and its retry");
@@ -92,14 +97,14 @@
 
 t.test("a reader that does not answer, or knows nothing new, is passed over for the next", async (t) => {
   const readers = ["r1", "r2", "r3"];
-  const asked = AskedReader.create("instance", 400);
-  asked.noteAnswered(1_000);
+  const asked = ReaderSelection.create("instance", 400);
+  asked.recordAnswer(1_000);
   const first = asked.choose(readers, 1_400);
   t.equal(asked.choose(readers, 1_100), first);
   const second = asked.choose(readers, 1_401);
   t.not(second, first);
   t.equal(asked.choose(readers, 1_700), second, "it has its time to answer as well");
-  asked.noteAnswered(1_700);
+  asked.recordAnswer(1_700);
   asked.passOver(1_700);
   t.equal(new Set([first, second, asked.choose(readers, 1_800)]).size, 3);
   t.equal(asked.choose([], 1_800), undefined);
@@ -107,7 +112,7 @@
 
 t.test("only who asks for others reads at the pace that others need", async (t) => {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   platform.configure({});
   const follower = createConfigurationFollower(platform.createAdapter(), clock);
   follower.start();
@@ -120,15 +125,15 @@
     return platform.shared.reads - before;
   };
   t.equal(await countReads(StoreRole.Reader), 10);
-  t.equal(await countReads(StoreRole.Alone), 4);
+  t.equal(await countReads(StoreRole.Direct), 4);
   // Nobody tells this one of a proof, so it reads once its own has grown old.
-  t.ok((await countReads(StoreRole.Fed)) > 0);
-  t.ok(follower.isProven());
+  t.ok((await countReads(StoreRole.ViaReader)) > 0);
+  t.ok(follower.hasFreshProof());
 });
 
 /** Follows the endpoints of a platform with two endpoints, one of which is listed later. */
 function followLate(clock: VirtualClock, firstWatchPauseMs: number) {
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   const { store, endpointPrefix } = platform.createAdapter();
   const listed: string[] = [];
   const follower = PrefixFollower.create({
@@ -139,7 +144,7 @@
     listener: { handlePut: ({ key }) => void listed.push(key), handleRemoved: () => undefined },
     firstWatchPauseMs,
   });
-  platform.list({ id: "a", address: "127.0.0.1:1" });
+  platform.putEndpoint({ id: "a", address: "127.0.0.1:1" });
   follower.start();
   return { platform, store: platform.stores[0]!, follower, listed };
 }
@@ -148,7 +153,7 @@
   const clock = VirtualClock.create();
   const [told, alone] = [followLate(clock, 800), followLate(clock, 800)];
   await clock.advance(300);
-  for (const { platform } of [told, alone]) platform.list({ id: "b", address: "127.0.0.1:1" });
+  for (const { platform } of [told, alone]) platform.putEndpoint({ id: "b", address: "127.0.0.1:1" });
   told.follower.setPassive(true);
   await clock.advance(300);
   t.same([told.listed.length, alone.listed.length], [1, 1]);
@@ -168,7 +173,7 @@
   "a configuration that was read for its proof is not listed besides, unless nobody tells it",
   async (t) => {
     const clock = VirtualClock.create();
-    const platform = StandinPlatform.create(clock);
+    const platform = FakePlatform.create(clock);
     platform.configure({});
     const follower = createConfigurationFollower(platform.createAdapter(), clock, { firstWatchPauseMs: 800 });
     follower.start();
--- a/packages/gateway/test/relay.test.ts
+++ b/packages/gateway/test/relay.test.ts
@@ -1,12 +1,17 @@
 import t from "tap";
-import { MemberMessageKind, PlacementRelay, RecentPlacements, type RelayedMessage } from "@gladewall/gateway";
+import {
+  MemberMessageKind,
+  PlacementRelay,
+  RecentPlacements,
+  type PlacementRelayMessage,
+} from "@gladewall/gateway";
 import { VirtualClock } from "@gladewall/kernel";
-import { answerGood, waitUntil } from "@gladewall/standins";
-import { createEngineBench } from "./engineBench.js";
+import { respondSuccess, waitUntil } from "@gladewall/standins";
+import { createEngineTestBench } from "./engineTestBench.js";
 
 function createRelay() {
   const clock = VirtualClock.create();
-  const sent: [string, RelayedMessage][] = [];
+  const sent: [string, PlacementRelayMessage][] = [];
   const relay = PlacementRelay.create({ clock, send: (name, message) => void sent.push([name, message]) });
   return { clock, relay, sent };
 }
@@ -15,14 +20,14 @@
   const { clock, relay, sent } = createRelay();
   relay.add("a", ["b0", 1]);
   t.equal(relay.lastNumber, 1, "counted although nobody is told");
-  relay.noteAsked("a");
-  relay.noteAsked("c");
-  relay.addRead({ b1: ["shared"] });
+  relay.noteSubscriber("a");
+  relay.noteSubscriber("c");
+  relay.addReadParts({ b1: ["shared"] });
   relay.add("a", ["b1", 10_000]);
   relay.add("reader", ["b2", 20_000]);
   t.equal(relay.lastNumber, 3);
   await clock.advance(20);
-  const message = { kind: MemberMessageKind.Relayed, first: 2, read: { b1: ["shared"] } };
+  const message = { kind: MemberMessageKind.PlacementRelay, first: 2, read: { b1: ["shared"] } };
   t.same(sent, [
     [
       "a",
@@ -53,7 +58,7 @@
 
 t.test("of many at once the latest are told, under their own numbers", async (t) => {
   const { clock, relay, sent } = createRelay();
-  relay.noteAsked("c");
+  relay.noteSubscriber("c");
   for (let index = 1; index <= 40; index++) relay.add("a", [`b${index}`, 1]);
   await clock.advance(20);
   t.equal(sent[0]?.[1].first, 25);
@@ -64,11 +69,11 @@
 
 t.test("parts that endpoints have read go along with placements, so many at once", async (t) => {
   const { clock, relay, sent } = createRelay();
-  relay.addRead({ b0: ["nobody asked"] });
-  relay.noteAsked("c");
+  relay.addReadParts({ b0: ["nobody asked"] });
+  relay.noteSubscriber("c");
   const parts = Array.from({ length: 50 }, (_, index) => `p${index}`);
-  relay.addRead({ b1: parts });
-  relay.addRead({ b2: parts });
+  relay.addReadParts({ b1: parts });
+  relay.addReadParts({ b2: parts });
   await clock.advance(100);
   t.equal(sent.length, 0, "they wait for a placement");
   relay.add("a", ["b1", 10_000]);
@@ -83,10 +88,10 @@
   "what a view includes is not counted beside it, and another reader's numbers mean nothing",
   async (t) => {
     const recent = RecentPlacements.create();
-    t.notOk(recent.take("r/1", 1, [["b", 100]]), "no view yet");
+    t.notOk(recent.takeRelayed("r/1", 1, [["b", 100]]), "no view yet");
     recent.noteView("r/1", 4);
     t.ok(
-      recent.take("r/1", 4, [
+      recent.takeRelayed("r/1", 4, [
         ["b", 100],
         ["b", 200],
         ["", 0],
@@ -96,20 +101,20 @@
     t.same(recent.getWork(), { b: [1, 200], c: [1, 50] });
     recent.noteView("r/1", 5);
     t.same(recent.getWork(), { c: [1, 50] });
-    t.notOk(recent.take("r/2", 9, [["b", 900]]));
+    t.notOk(recent.takeRelayed("r/2", 9, [["b", 900]]));
     recent.noteView("r/2", 0);
     t.same(recent.getWork(), {}, "the new reader's view knows them by itself");
   },
 );
 
 t.test("in a large fleet a long prompt is known to every instance, and counted once", async (t) => {
-  const { bench, held } = await createEngineBench(t);
+  const { bench, held } = await createEngineTestBench(t);
   const overrides = ["peers.large_fleet_interval=40", "peers.largest_mesh=2"];
   for (let index = 0; index < 6; index++) {
     await bench.startReady(1, "web", [...overrides, `peers.capacity=${index}`]);
   }
   const [sender, ...others] = bench.instances;
-  await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFed));
+  await waitUntil(() => bench.instances.every(({ gateway }) => gateway.isReader || gateway.isFeedActive));
   await waitUntil(() => others.slice(2).every(({ gateway }) => gateway.isReader));
   const answer = bench.call(sender!, { headers: { "x-tokens": "12000" } });
   const seen = new Set<number>();
@@ -131,6 +136,6 @@
     [0, 12_000],
   );
   t.equal(sender!.gateway.getPeerTokens("b"), 0, "nobody is told of its own");
-  answerGood(held[0]!);
+  respondSuccess(held[0]!);
   t.equal((await answer).status, 200);
 });
--- a/packages/gateway/test/restarts.test.ts
+++ b/packages/gateway/test/restarts.test.ts
@@ -7,33 +7,33 @@
 import { Admission, CounterKind, MemberRecords, SharedCounters } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
 import {
-  answerGood,
+  respondSuccess,
   createWorkspace,
-  GatewayBench,
+  GatewayTestBench,
   ScriptedEndpoint,
-  StandinPlatform,
-  StoreTrouble,
+  FakePlatform,
+  StoreFault,
 } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 
 t.test("a request that comes while an instance starts waits for it and is served", async (t) => {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   bench.platform.configure({});
-  const endpoint = await ScriptedEndpoint.create("b", answerGood);
-  bench.platform.list({ id: "b", address: endpoint.address });
-  bench.platform.shared.trouble = StoreTrouble.Down;
+  const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
+  bench.platform.shared.fault = StoreFault.Down;
   const instance = await bench.start(["configuration.proof_interval=50", "listen.start_hold=60000"]);
   t.teardown(() => Promise.all([bench.close(), endpoint.close()]));
   const answer = bench.call(instance);
   while (!(await bench.readMetrics(instance)).includes("gladewall_open_requests 1")) continue;
   t.equal(instance.gateway.isReady(), false);
-  bench.platform.shared.trouble = StoreTrouble.None;
+  bench.platform.shared.fault = StoreFault.None;
   t.equal((await answer).status, 200);
 });
 
 t.test("one that comes to an instance which has not known enough for longer is refused", async (t) => {
-  const bench = GatewayBench.create();
-  bench.platform.shared.trouble = StoreTrouble.Down;
+  const bench = GatewayTestBench.create();
+  bench.platform.shared.fault = StoreFault.Down;
   const instance = await bench.start(["listen.start_hold=0"]);
   t.teardown(() => bench.close());
   const refused = await bench.call(instance);
@@ -45,15 +45,15 @@
 const windows = {
   [CounterKind.Quota]: windowMs,
   [CounterKind.Requests]: 10_000,
-  [CounterKind.Repeats]: 10_000,
-  [CounterKind.Work]: 4_000,
+  [CounterKind.Retries]: 10_000,
+  [CounterKind.PromptTokens]: 4_000,
 };
 const limit = { ratePerSecond: 36_000, burst: 36_000 };
 const quotaSlack = 140_000;
 
 /** Takes as much of a limit as one life of the fleet gives out over some time; returns the units taken. */
 async function takeAll(clock: VirtualClock, isFirstStart: boolean, forMs: number): Promise<number> {
-  const follower = createConfigurationFollower(StandinPlatform.create(clock).createAdapter(), clock);
+  const follower = createConfigurationFollower(FakePlatform.create(clock).createAdapter(), clock);
   const admission = Admission.create({
     clock,
     follower,
@@ -93,7 +93,7 @@
 
 t.test("a fleet that is listed at once is told of once", async (t) => {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   for (let index = 0; index < 40; index++) {
     const record = { address: `127.0.0.1:${index + 1}`, incarnation: 1 };
     platform.shared.put(`gladewall/members/instance-${index}`, JSON.stringify(record));
--- a/packages/gateway/test/retryBudget.test.ts
+++ b/packages/gateway/test/retryBudget.test.ts
@@ -7,10 +7,10 @@
   Arbiters,
   CounterKind,
   RetryBudget,
-  type RetryAsk,
+  type RetryCallArguments,
   RetryLinks,
   SharedCounters,
-  type WordFleet,
+  type FleetTopology,
 } from "@gladewall/gateway";
 import type { PeerIdentity, PeerMessage } from "@gladewall/coordination";
 import { Failure, FailureCode, Logger } from "@gladewall/kernel";
@@ -21,8 +21,8 @@
 const windows = {
   [CounterKind.Quota]: windowMs,
   [CounterKind.Requests]: windowMs,
-  [CounterKind.Repeats]: windowMs,
-  [CounterKind.Work]: windowMs,
+  [CounterKind.Retries]: windowMs,
+  [CounterKind.PromptTokens]: windowMs,
 };
 const service = "s";
 const ratio = 0.2;
@@ -82,7 +82,7 @@
       const report = structuredClone(member.counters.createReport());
       this.clock.startTimer(delayMs, () => {
         for (const other of this.members) {
-          if (other !== member) other.counters.takeReport(member.name, `${member.name}/1`, report);
+          if (other !== member) other.counters.applyReport(member.name, `${member.name}/1`, report);
         }
       });
     }
@@ -134,7 +134,7 @@
       call: (peer, message, timeoutMs) => fleet.call(this, peer, message, timeoutMs),
     });
     const links = { setHandler: (kind: number, handler: Handler) => void this.handlers.set(kind, handler) };
-    const words = { links, isCollector: true } as Partial<WordFleet> as WordFleet;
+    const words = { links, isCollector: true } as Partial<FleetTopology> as FleetTopology;
     this.budget = RetryBudget.create({
       counters: this.counters,
       ratio,
@@ -142,9 +142,9 @@
       getKnownShare: () => 1,
       getFleetSize: () => instances,
       arbiters,
-      isAble: () => fleet.isAble,
+      supportsRetryCalls: () => fleet.isAble,
     });
-    RetryLinks.create(words, (peer, ask: RetryAsk) => this.budget.answerAsk(peer, ask));
+    RetryLinks.create(words, (peer, ask: RetryCallArguments) => this.budget.decideForPeer(peer, ask));
   }
 }
 
--- a/packages/gateway/test/returnCrowd.test.ts
+++ b/packages/gateway/test/returnCrowd.test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { MemberRecords } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
-import { StandinPlatform } from "@gladewall/standins";
+import { FakePlatform } from "@gladewall/standins";
 
 const fleetSize = 320;
 const startedWithinMs = 300;
@@ -12,7 +12,7 @@
 /** Records of a large fleet on a virtual clock; three of them ask the store, the others are told. */
 async function createFleet() {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock, 200);
+  const platform = FakePlatform.create(clock, 200);
   const start = (index: number): MemberRecords => {
     const records = MemberRecords.create({
       store: platform.createAdapter().store,
@@ -41,7 +41,7 @@
 t.test("a large fleet stays within the store's rates when the store has come back", async (t) => {
   const { clock, platform, fleet } = await createFleet();
   const { shared } = platform;
-  shared.goBack(shared.copy());
+  shared.restore(shared.takeSnapshot());
   let mostReads = 0;
   let mostWrites = 0;
   for (let second = 0; second < 6; second++) {
@@ -63,8 +63,8 @@
 
 t.test("instances whose records the copy lacks record themselves again", async (t) => {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock, 200);
-  const copy = platform.shared.copy();
+  const platform = FakePlatform.create(clock, 200);
+  const copy = platform.shared.takeSnapshot();
   const records = MemberRecords.create({
     store: platform.createAdapter().store,
     clock,
@@ -79,7 +79,7 @@
   records.start();
   await clock.advance(3_000);
   t.ok(platform.shared.entries.has("gladewall/members/one"));
-  platform.shared.goBack(copy);
+  platform.shared.restore(copy);
   await clock.advance(3_000);
   t.ok(platform.shared.entries.has("gladewall/members/one"));
   await clock.advance(10_000);
--- a/packages/gateway/test/silentPeers.test.ts
+++ b/packages/gateway/test/silentPeers.test.ts
@@ -5,35 +5,35 @@
   "a peer that is cut off keeps its part for as long as it may serve, from its last word on",
   async (t) => {
     const peers = SilentPeers.create(5_000);
-    peers.noteHeard("cut", 1_000);
-    t.notOk(peers.isSilent("cut", 1_900, true));
-    t.ok(peers.isSilent("cut", 2_100, true), "linked and silent");
-    peers.noteDown("cut", 3_500);
-    t.ok(peers.isSilent("cut", 6_900, false));
+    peers.recordReport("cut", 1_000);
+    t.notOk(peers.mayBeServing("cut", 1_900, true));
+    t.ok(peers.mayBeServing("cut", 2_100, true), "linked and silent");
+    peers.recordDisconnect("cut", 3_500);
+    t.ok(peers.mayBeServing("cut", 6_900, false));
     t.notOk(
-      peers.isSilent("cut", 7_000, false),
+      peers.mayBeServing("cut", 7_000, false),
       "the time in which the loss was noticed does not count twice",
     );
-    peers.noteHeard("cut", 7_500);
-    t.notOk(peers.isSilent("cut", 7_600, true));
+    peers.recordReport("cut", 7_500);
+    t.notOk(peers.mayBeServing("cut", 7_600, true));
   },
 );
 
 t.test("a peer whose connection was closed, or that never reported, keeps nothing", async (t) => {
   const peers = SilentPeers.create(5_000);
-  peers.noteHeard("ended", 1_000);
-  peers.noteDown("ended", 1_400);
-  t.notOk(peers.isSilent("ended", 1_500, false));
-  peers.noteDown("unheard", 9_000);
-  t.notOk(peers.isSilent("unheard", 9_100, true));
+  peers.recordReport("ended", 1_000);
+  peers.recordDisconnect("ended", 1_400);
+  t.notOk(peers.mayBeServing("ended", 1_500, false));
+  peers.recordDisconnect("unheard", 9_000);
+  t.notOk(peers.mayBeServing("unheard", 9_100, true));
 });
 
 t.test("how long a peer may serve unheard follows from the operators' bound on removed keys", async (t) => {
   for (const revokeWithinMs of [3_000, 8_000]) {
     const peers = SilentPeers.create(revokeWithinMs);
-    peers.noteHeard("cut", 0);
-    peers.noteDown("cut", 2_500);
-    t.ok(peers.isSilent("cut", revokeWithinMs + 900, false));
-    t.notOk(peers.isSilent("cut", revokeWithinMs + 1_000, false));
+    peers.recordReport("cut", 0);
+    peers.recordDisconnect("cut", 2_500);
+    t.ok(peers.mayBeServing("cut", revokeWithinMs + 900, false));
+    t.notOk(peers.mayBeServing("cut", revokeWithinMs + 1_000, false));
   }
 });
--- a/packages/gateway/test/startedFleet.ts
+++ b/packages/gateway/test/startedFleet.ts
@@ -4,19 +4,19 @@
  * @module
  */
 import type { Test } from "tap";
-import { answerGood, GatewayBench, ScriptedEndpoint } from "@gladewall/standins";
+import { respondSuccess, GatewayTestBench, ScriptedEndpoint } from "@gladewall/standins";
 
 /** Starts so many instances on a platform that `prepare` has configured; `overrides` are `section.key=value`. */
 export async function startFleet(
   t: Pick<Test, "teardown">,
   size: number,
-  prepare: (bench: GatewayBench) => void,
+  prepare: (bench: GatewayTestBench) => void,
   overrides: readonly string[],
 ) {
-  const bench = GatewayBench.create();
+  const bench = GatewayTestBench.create();
   prepare(bench);
-  const endpoint = await ScriptedEndpoint.create("b", answerGood);
-  bench.platform.list({ id: "b", address: endpoint.address });
+  const endpoint = await ScriptedEndpoint.create("b", respondSuccess);
+  bench.platform.putEndpoint({ id: "b", address: endpoint.address });
   for (let index = 0; index < size; index++) {
     await bench.startReady(1, "web", [...overrides, `peers.capacity=${index}`]);
   }
--- a/packages/gateway/test/stepClock.ts
+++ b/packages/gateway/test/stepClock.ts
@@ -3,11 +3,11 @@
  * @module
  */
 import type { Clock, Timer } from "@gladewall/kernel";
-import { createDraws } from "@gladewall/standins";
+import { createRandom } from "@gladewall/standins";
 
 /** Returns draws that differ from the first one on, also between seeds that are near each other. */
-export function createSpreadDraws(seed: number): () => number {
-  return createDraws((seed * 2_654_435_761) >>> 0);
+export function createSpreadRandom(seed: number): () => number {
+  return createRandom((seed * 2_654_435_761) >>> 0);
 }
 
 /** A clock that moves in milliseconds and lets promises settle once in each; cheap enough for hundreds of instances. */
--- a/packages/gateway/test/storeGoesBack.test.ts
+++ b/packages/gateway/test/storeRestore.test.ts
@@ -1,20 +1,15 @@
 import t, { type Test } from "tap";
-import { type ConfigurationFollower, type MetadataStore, StoreEras, untoldEra } from "@gladewall/gateway";
+import { type ConfigurationFollower, type MetadataStore, StoreEras, initialEra } from "@gladewall/gateway";
 import { VirtualClock } from "@gladewall/kernel";
-import {
-  createWorkspace,
-  type MetadataStoreStandin,
-  StandinPlatform,
-  StoreTrouble,
-} from "@gladewall/standins";
+import { createWorkspace, type FakeMetadataStore, FakePlatform, StoreFault } from "@gladewall/standins";
 import { createConfigurationFollower, createSettling } from "./followers.js";
 
 const both = ["kept", "removed"];
 
 /** A platform on a virtual clock, and followers of its configuration. */
-function createBench(t: Pick<Test, "teardown">) {
+function createTestBench(t: Pick<Test, "teardown">) {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock, 20);
+  const platform = FakePlatform.create(clock, 20);
   const followers: ConfigurationFollower[] = [];
   const configure = (keys: readonly string[]): number =>
     platform.configure({ workspaces: [createWorkspace({ keys })] });
@@ -50,177 +45,177 @@
 
 /** Whether a request with the key that was taken away would be let in. */
 function letsIn(follower: ConfigurationFollower): boolean {
-  return follower.isProven() && follower.getTable()?.findWorkspace("removed") !== undefined;
+  return follower.hasFreshProof() && follower.getTable()?.findWorkspaceByKey("removed") !== undefined;
 }
 
 // The store comes back from a copy and gives revisions out again: what is new then looks older than what was seen before.
 t.test("a key that was taken away after the store went back runs nothing, as nobody proves it", async (t) => {
-  const { clock, shared, configure, followProven } = createBench(t);
+  const { clock, shared, configure, followProven } = createTestBench(t);
   const { follower } = await followProven();
-  const copy = shared.copy();
+  const copy = shared.takeSnapshot();
   for (let count = 0; count < 20; count++) shared.put("written-since", "x");
   configure(both);
   await clock.advance(1_000);
   t.equal(follower.getTable()?.version, 2);
-  shared.goBack(copy);
+  shared.restore(copy);
   configure(both);
   await clock.advance(500);
   const removed = configure(["kept"]);
   await clock.advance(2_000);
   t.notOk(letsIn(follower), `version ${follower.getTable()?.version} in force, ${removed} acknowledged`);
   await clock.advance(8_000);
-  t.ok(follower.isProven(), "what is known again is proven again");
+  t.ok(follower.hasFreshProof(), "what is known again is proven again");
 });
 
 t.test("so it is where the store tells no era, by revisions below those that were known", async (t) => {
-  const { clock, shared, configure, followProven } = createBench(t);
-  shared.tellsEra = false;
+  const { clock, shared, configure, followProven } = createTestBench(t);
+  shared.reportsEra = false;
   const { follower, store } = await followProven();
-  const copy = shared.copy();
+  const copy = shared.takeSnapshot();
   for (let count = 0; count < 20; count++) shared.put("written-since", "x");
   configure(both);
   await clock.advance(2_000);
-  shared.goBack(copy);
+  shared.restore(copy);
   configure(both);
   await clock.advance(500);
   configure(["kept"]);
   await clock.advance(2_000);
   t.notOk(letsIn(follower));
-  t.ok(store.eras.current > untoldEra);
+  t.ok(store.eras.current > initialEra);
   t.equal(follower.getTable()?.version, 4);
 });
 
 t.test(
   "a version in force never falls, and the key that it took away does not come back with a copy",
   async (t) => {
-    const { clock, shared, configure, followProven } = createBench(t);
+    const { clock, shared, configure, followProven } = createTestBench(t);
     const { follower } = await followProven();
-    const copy = shared.copy();
+    const copy = shared.takeSnapshot();
     configure(["kept"]);
     await clock.advance(1_000);
-    shared.goBack(copy);
+    shared.restore(copy);
     for (let time = 0; time < 20_000; time += 250) {
       await clock.advance(250);
       t.notOk(letsIn(follower), `${time} ms`);
       t.equal(follower.getTable()?.version, 2);
     }
-    t.ok(follower.isProven(), "a version that nobody writes again is not waited for without an end");
+    t.ok(follower.hasFreshProof(), "a version that nobody writes again is not waited for without an end");
   },
 );
 
 t.test(
   "reads prove nothing while what was acknowledged last may not be written again, and no longer",
   async (t) => {
-    const { clock, shared, configure, followProven } = createBench(t);
+    const { clock, shared, configure, followProven } = createTestBench(t);
     const { follower } = await followProven();
-    const copy = shared.copy();
-    shared.trouble = StoreTrouble.Down;
+    const copy = shared.takeSnapshot();
+    shared.fault = StoreFault.Down;
     await clock.advance(4_000);
-    shared.trouble = StoreTrouble.None;
-    shared.goBack(copy);
+    shared.fault = StoreFault.None;
+    shared.restore(copy);
     await clock.advance(1_500);
-    t.notOk(follower.isProven(), "a removal may have been acknowledged right before");
+    t.notOk(follower.hasFreshProof(), "a removal may have been acknowledged right before");
     configure(["kept"]);
     await clock.advance(700);
     t.notOk(letsIn(follower));
     // One read may just have failed when the store came back.
     await clock.advance(1_500);
-    t.ok(follower.isProven());
+    t.ok(follower.hasFreshProof());
   },
 );
 
 t.test("while the store shows less than is in force, operators are still writing again", async (t) => {
-  const { clock, shared, configure, followProven } = createBench(t);
+  const { clock, shared, configure, followProven } = createTestBench(t);
   const { follower } = await followProven();
-  const copy = shared.copy();
+  const copy = shared.takeSnapshot();
   configure([...both, "more"]);
   await clock.advance(500);
   // Acknowledged and lost before anybody heard of it.
   configure(["kept", "more"]);
-  shared.goBack(copy);
-  shared.trouble = StoreTrouble.Down;
+  shared.restore(copy);
+  shared.fault = StoreFault.Down;
   await clock.advance(3_000);
-  shared.trouble = StoreTrouble.None;
+  shared.fault = StoreFault.None;
   await clock.advance(3_900);
   t.notOk(letsIn(follower));
   configure(["kept", "more"]);
   await clock.advance(2_000);
-  t.ok(follower.isProven());
+  t.ok(follower.hasFreshProof());
   t.notOk(letsIn(follower));
 });
 
 t.test(
   "a short absence costs callers nothing: the proof from before lasts until reads count again",
   async (t) => {
-    const { clock, shared, followProven } = createBench(t);
+    const { clock, shared, followProven } = createTestBench(t);
     const { follower } = await followProven();
     for (let round = 0; round < 3; round++) {
-      shared.goBack(shared.copy());
+      shared.restore(shared.takeSnapshot());
       for (let time = 0; time < 6_000; time += 100) {
         await clock.advance(100);
-        t.ok(follower.isProven(), `round ${round}, ${time} ms`);
+        t.ok(follower.hasFreshProof(), `round ${round}, ${time} ms`);
       }
     }
   },
 );
 
 t.test("a second return within the first one's recovery begins the wait anew", async (t) => {
-  const { clock, shared, configure, followProven } = createBench(t);
+  const { clock, shared, configure, followProven } = createTestBench(t);
   const { follower } = await followProven();
-  const copy = shared.copy();
+  const copy = shared.takeSnapshot();
   configure(["kept", "removed", "more"]);
   await clock.advance(500);
   for (const pauseMs of [1_000, 300, 2_000]) {
-    shared.goBack(copy);
+    shared.restore(copy);
     await clock.advance(pauseMs);
   }
   shared.era += 3;
   configure(["kept"]);
   await clock.advance(6_000);
   t.notOk(letsIn(follower));
-  t.ok(follower.isProven());
+  t.ok(follower.hasFreshProof());
   t.equal(follower.getTable()?.version, 3);
 });
 
 t.test(
   "a process that starts in such a moment waits, unless a mark or a peer's proof tells more",
   async (t) => {
-    const { clock, shared, configure, follow, followAgain } = createBench(t);
+    const { clock, shared, configure, follow, followAgain } = createTestBench(t);
     configure(both);
     const { follower: living } = follow();
     await clock.advance(2_000);
-    const copy = shared.copy();
+    const copy = shared.takeSnapshot();
     configure(["kept"]);
     await clock.advance(1_000);
-    shared.goBack(copy);
+    shared.restore(copy);
     await clock.advance(50);
     const { follower: fresh } = followAgain();
     await clock.advance(500);
-    t.notOk(fresh.isProven(), "it knows the copy only");
+    t.notOk(fresh.hasFreshProof(), "it knows the copy only");
     const askedAt = clock.getBootTime();
-    const vouch = living.vouch(fresh.getHeld());
+    const vouch = living.createProof(fresh.getHeld());
     t.ok(vouch?.value, "a peer has a newer one");
-    fresh.takeVouch(vouch!, askedAt);
-    t.ok(fresh.isProven());
+    fresh.applyProof(vouch!, askedAt);
+    t.ok(fresh.hasFreshProof());
     t.notOk(letsIn(fresh));
     const { follower: later, settling } = followAgain();
     await clock.advance(100);
-    t.notOk(later.isProven());
+    t.notOk(later.hasFreshProof());
     const value = Buffer.from(JSON.stringify({ era: shared.era, at: 0 }));
     settling.takeItem("gladewall/store-era", { key: "gladewall/store-era", value, revision: 9 });
     await clock.advance(50);
-    t.ok(later.isProven(), "the era was marked as settled");
+    t.ok(later.hasFreshProof(), "the era was marked as settled");
   },
 );
 
 t.test("an answer of an era that is over is dropped, whatever it brings", async (t) => {
-  const { clock, platform, shared, configure } = createBench(t);
+  const { clock, platform, shared, configure } = createTestBench(t);
   configure(both);
   const { store, endpointPrefix } = platform.createAdapter();
-  const standin: MetadataStoreStandin = platform.stores.at(-1)!;
+  const standin: FakeMetadataStore = platform.stores.at(-1)!;
   const lease = (await store.grantLease(60_000)).unwrap();
-  const copy = shared.copy();
-  standin.heldBackMs = 500;
+  const copy = shared.takeSnapshot();
+  standin.responseDelayMs = 500;
   const calls = [
     store.read(platform.createAdapter().configurationKey),
     store.list(endpointPrefix),
@@ -229,8 +224,8 @@
     store.transact({ expected: [], put: [{ key: "k", value: Buffer.from("v") }], remove: [] }),
   ];
   await clock.advance(100);
-  standin.heldBackMs = 0;
-  shared.goBack(copy);
+  standin.responseDelayMs = 0;
+  shared.restore(copy);
   t.ok((await store.read("other")).isOk());
   t.equal(standin.eras.current, 2);
   await clock.advance(1_000);
@@ -246,21 +241,21 @@
   async (t) => {
     const eras = StoreEras.create();
     const first = eras.startCall();
-    t.ok(eras.place(first, eras.takeWord(first, { era: 3 })!, 10));
+    t.ok(eras.acceptRevision(first, eras.acceptEra(first, { era: 3 })!, 10));
     const start = eras.startCall();
-    const era = eras.takeWord(start, { era: 3 })!;
-    eras.takePeer(4);
-    t.equal(eras.place(start, era, 11), undefined);
+    const era = eras.acceptEra(start, { era: 3 })!;
+    eras.advanceTo(4);
+    t.equal(eras.acceptRevision(start, era, 11), undefined);
     t.equal(eras.startCall().revision, 0, "and its revision is none of the new era");
   },
 );
 
 t.test("a watch does not go on from a number of an earlier era", async (t) => {
-  const { clock, platform, shared } = createBench(t);
+  const { clock, platform, shared } = createTestBench(t);
   const { store } = platform.createAdapter();
   const listing = (await store.list("p/")).unwrap();
-  const copy = shared.copy();
-  shared.goBack(copy);
+  const copy = shared.takeSnapshot();
+  shared.restore(copy);
   for (let count = 0; count < 30; count++) shared.put("p/x", "x");
   const watch = store.watch("p/", listing.position, 1_000, new AbortController().signal);
   await clock.advance(2_000);
@@ -271,19 +266,19 @@
 t.test(
   "who was cut off learns of the era from a peer, and does not use a number of the one before",
   async (t) => {
-    const { clock, shared, configure, follow } = createBench(t);
+    const { clock, shared, configure, follow } = createTestBench(t);
     configure(both);
     const { follower: living } = follow();
     const { follower: cutOff, store } = follow();
     await clock.advance(2_000);
-    const copy = shared.copy();
-    store.trouble = StoreTrouble.Down;
-    shared.goBack(copy);
+    const copy = shared.takeSnapshot();
+    store.fault = StoreFault.Down;
+    shared.restore(copy);
     configure(["kept"]);
     await clock.advance(3_500);
     t.equal(store.eras.current, 1);
     const askedAt = clock.getBootTime();
-    cutOff.takeVouch(living.vouch(cutOff.getHeld())!, askedAt);
+    cutOff.applyProof(living.createProof(cutOff.getHeld())!, askedAt);
     t.equal(store.eras.current, 2);
     t.equal(cutOff.getTable()?.version, 2);
     t.notOk(letsIn(cutOff));
@@ -291,27 +286,27 @@
 );
 
 t.test("the word of an earlier build, which names no era, proves nothing once one was seen", async (t) => {
-  const { clock, shared, configure, followProven } = createBench(t);
+  const { clock, shared, configure, followProven } = createTestBench(t);
   const { follower, store } = await followProven();
-  store.trouble = StoreTrouble.Down;
+  store.fault = StoreFault.Down;
   await clock.advance(6_000);
-  t.notOk(follower.isProven());
-  follower.takeVouch({ proofAgeMs: 0, revision: 1 }, clock.getBootTime());
-  t.notOk(follower.isProven(), "it may be blind");
+  t.notOk(follower.hasFreshProof());
+  follower.applyProof({ proofAgeMs: 0, revision: 1 }, clock.getBootTime());
+  t.notOk(follower.hasFreshProof(), "it may be blind");
   configure(["kept"]);
   const { value, revision } = [...shared.entries.values()].find(({ key }) => key.includes("configuration"))!;
-  follower.takeVouch({ proofAgeMs: 0, revision, value }, clock.getBootTime());
+  follower.applyProof({ proofAgeMs: 0, revision, value }, clock.getBootTime());
   t.equal(follower.getTable()?.version, 2, "a newer version is taken, whoever tells it");
-  t.notOk(follower.isProven());
+  t.notOk(follower.hasFreshProof());
 });
 
 t.test("once eras were told, an answer without one, or of a lower one, counts for nothing", async (t) => {
-  const { platform, shared } = createBench(t);
+  const { platform, shared } = createTestBench(t);
   const { store }: { store: MetadataStore } = platform.createAdapter();
   t.ok((await store.read("k")).isOk());
-  shared.tellsEra = false;
+  shared.reportsEra = false;
   t.ok((await store.read("k")).isErr());
-  shared.tellsEra = true;
+  shared.reportsEra = true;
   t.ok((await store.read("k")).isOk());
   shared.era -= 1;
   t.ok((await store.read("k")).isErr());
--- a/packages/gateway/test/storeGoesBackEndpoints.test.ts
+++ b/packages/gateway/test/storeRestoreEndpoints.test.ts
@@ -1,15 +1,15 @@
 import t, { type Test } from "tap";
 import { EndpointDirectory } from "@gladewall/gateway";
 import { Logger, VirtualClock } from "@gladewall/kernel";
-import { StandinPlatform, StoreTrouble } from "@gladewall/standins";
+import { FakePlatform, StoreFault } from "@gladewall/standins";
 import { followPrefix } from "./followers.js";
 
 const address = "127.0.0.1:1";
 
 /** A directory of endpoints on a virtual clock, before a store that can go back. */
-async function createBench(t: Pick<Test, "teardown">) {
+async function createTestBench(t: Pick<Test, "teardown">) {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock, 20);
+  const platform = FakePlatform.create(clock, 20);
   const adapter = platform.createAdapter();
   const directory = EndpointDirectory.create({
     platform: adapter,
@@ -19,8 +19,8 @@
     watchWaitMs: 600,
     unlistedMs: 400,
   });
-  adapter.store.eras.onRise(() => directory.restart());
-  for (const id of ["a", "b", "c", "d"]) platform.list({ id, address });
+  adapter.store.eras.onEraChange(() => directory.restart());
+  for (const id of ["a", "b", "c", "d"]) platform.putEndpoint({ id, address });
   directory.start();
   await clock.advance(500);
   t.teardown(async () => {
@@ -33,14 +33,14 @@
 }
 
 t.test("an endpoint that left stays out of use though a copy lists it as ready", async (t) => {
-  const { clock, platform, shared, uses } = await createBench(t);
-  const copy = shared.copy();
+  const { clock, platform, shared, uses } = await createTestBench(t);
+  const copy = shared.takeSnapshot();
   for (let count = 0; count < 20; count++) shared.put("other", "x");
-  platform.list({ id: "a", address, isLeaving: true });
-  platform.unlist("b");
+  platform.putEndpoint({ id: "a", address, isLeaving: true });
+  platform.removeEndpoint("b");
   await clock.advance(500);
   t.notOk(uses("a") || uses("b"));
-  shared.goBack(copy);
+  shared.restore(copy);
   for (let time = 0; time < 4_000; time += 100) {
     await clock.advance(100);
     t.notOk(uses("a") || uses("b"), `${time} ms`);
@@ -52,21 +52,21 @@
 });
 
 t.test("what happens after the return is heard of, at revisions below those that were known", async (t) => {
-  const { clock, platform, shared, uses } = await createBench(t);
-  const copy = shared.copy();
+  const { clock, platform, shared, uses } = await createTestBench(t);
+  const copy = shared.takeSnapshot();
   for (let count = 0; count < 20; count++) shared.put("other", "x");
-  platform.list({ id: "new", address });
+  platform.putEndpoint({ id: "new", address });
   await clock.advance(500);
-  shared.goBack(copy);
-  platform.list({ id: "new", address });
-  platform.list({ id: "a", address, isLeaving: true });
-  platform.unlist("b");
+  shared.restore(copy);
+  platform.putEndpoint({ id: "new", address });
+  platform.putEndpoint({ id: "a", address, isLeaving: true });
+  platform.removeEndpoint("b");
   await clock.advance(1_000);
   t.notOk(uses("a"), "it leaves");
   await clock.advance(2_500);
   t.notOk(uses("b"), "it is gone");
   t.ok(uses("new"));
-  platform.unlist("c");
+  platform.removeEndpoint("c");
   await clock.advance(1_000);
   t.notOk(uses("c"));
 });
@@ -74,14 +74,14 @@
 t.test(
   "an endpoint that the copy lacks is used on until it is written again, and not for long if never",
   async (t) => {
-    const { clock, platform, shared, uses } = await createBench(t);
-    const copy = shared.copy();
-    for (const id of ["again", "never"]) platform.list({ id, address });
+    const { clock, platform, shared, uses } = await createTestBench(t);
+    const copy = shared.takeSnapshot();
+    for (const id of ["again", "never"]) platform.putEndpoint({ id, address });
     await clock.advance(500);
-    shared.goBack(copy);
+    shared.restore(copy);
     await clock.advance(1_000);
     t.ok(uses("again") && uses("never"));
-    platform.list({ id: "again", address });
+    platform.putEndpoint({ id: "again", address });
     await clock.advance(5_000);
     t.ok(uses("again"));
     t.notOk(uses("never"));
@@ -91,20 +91,20 @@
 t.test(
   "a follower that was cut off meanwhile lists anew, also where the store names no lost history",
   async (t) => {
-    const { clock, platform, shared, store, uses } = await createBench(t);
-    const copy = shared.copy();
-    store.trouble = StoreTrouble.Down;
-    shared.goBack(copy);
-    platform.unlist("a");
+    const { clock, platform, shared, store, uses } = await createTestBench(t);
+    const copy = shared.takeSnapshot();
+    store.fault = StoreFault.Down;
+    shared.restore(copy);
+    platform.removeEndpoint("a");
     for (let count = 0; count < 40; count++) shared.put("other", "x");
-    store.trouble = StoreTrouble.None;
+    store.fault = StoreFault.None;
     await clock.advance(4_000);
     t.notOk(uses("a"));
   },
 );
 
 t.test("changes of another era are passed over, and a listing of the new one replaces all", async (t) => {
-  const { clock, platform, shared } = await createBench(t);
+  const { clock, platform, shared } = await createTestBench(t);
   const { store, endpointPrefix: prefix } = platform.createAdapter();
   const { follower, present, lost } = followPrefix(store, prefix, clock);
   follower.start();
@@ -112,14 +112,14 @@
   t.equal(present.size, 4);
   const key = `${prefix}a`;
   const removal = { revision: 90, items: [], removed: [{ key, revision: 90 }], isListing: false };
-  follower.takeChanges({ ...removal, era: shared.era + 1 }, Infinity);
-  follower.takeChanges(removal, Infinity);
+  follower.applyChanges({ ...removal, era: shared.era + 1 }, Infinity);
+  follower.applyChanges(removal, Infinity);
   t.equal(present.size, 4, "neither of an era that is not known, nor of none");
-  store.eras.takePeer(shared.era + 1);
+  store.eras.advanceTo(shared.era + 1);
   t.equal(follower.getPosition(), undefined);
   t.equal(follower.getChanges({ era: shared.era, revision: 1 }), undefined, "nor is an old number handed on");
   const items = [{ key, value: Buffer.from("x"), revision: 2 }];
-  follower.takeChanges({ era: shared.era + 1, revision: 3, items, removed: [], isListing: true }, Infinity);
+  follower.applyChanges({ era: shared.era + 1, revision: 3, items, removed: [], isListing: true }, Infinity);
   t.same([...present], [key]);
   t.equal(lost.length, 3);
   const closed = follower.close();
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -4,14 +4,14 @@
  * instance had taken over still counted as held. The time of day counts a suspension, but it may also be set.
  */
 import t from "tap";
-import { BootTime, VirtualClock } from "@gladewall/kernel";
-import { StandinPlatform } from "@gladewall/standins";
+import { BootClock, VirtualClock } from "@gladewall/kernel";
+import { FakePlatform } from "@gladewall/standins";
 import { createConfigurationFollower } from "./followers.js";
 
 /** A follower that has just proven its configuration, before a store that answers no more. */
 async function createProvenFollower(t: Pick<typeof import("tap").t, "teardown">) {
   const clock = VirtualClock.create();
-  const platform = StandinPlatform.create(clock);
+  const platform = FakePlatform.create(clock);
   platform.configure({});
   const follower = createConfigurationFollower(platform.createAdapter(), clock);
   t.teardown(() => follower.close());
@@ -22,44 +22,44 @@
 
 t.test("a proof is older by the time for which the machine was suspended", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
-  t.ok(follower.isProven());
-  clock.moveWallTime(5_000);
-  t.notOk(follower.isProven(), "at once, before any timer has run");
+  t.ok(follower.hasFreshProof());
+  clock.shiftWallTime(5_000);
+  t.notOk(follower.hasFreshProof(), "at once, before any timer has run");
   t.ok(follower.getProofAge() >= 5_000);
-  t.equal(follower.vouch({ revision: 0 }), undefined, "nor does it vouch for the configuration");
+  t.equal(follower.createProof({ revision: 0 }), undefined, "nor does it vouch for the configuration");
   await clock.advance(1_600);
-  t.ok(follower.isProven(), "the next read proves it again");
+  t.ok(follower.hasFreshProof(), "the next read proves it again");
 });
 
 t.test("a shorter suspension counts for as long as it was", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
-  clock.moveWallTime(3_000);
-  t.ok(follower.isProven());
-  t.ok((follower.vouch({ revision: 0 })?.proofAgeMs ?? 0) >= 3_000);
+  clock.shiftWallTime(3_000);
+  t.ok(follower.hasFreshProof());
+  t.ok((follower.createProof({ revision: 0 })?.proofAgeMs ?? 0) >= 3_000);
 });
 
 t.test("a peer's word that was asked for before a suspension is as old as the question", async (t) => {
   const { clock, follower } = await createProvenFollower(t);
   const askedAt = clock.getBootTime();
-  clock.moveWallTime(10_000);
-  follower.takeVouch({ proofAgeMs: 0, ...follower.getHeld() }, askedAt);
-  t.notOk(follower.isProven());
+  clock.shiftWallTime(10_000);
+  follower.applyProof({ proofAgeMs: 0, ...follower.getHeld() }, askedAt);
+  t.notOk(follower.hasFreshProof());
 });
 
 t.test("a time of day that is set back makes no proof younger", async (t) => {
   const { clock, platform, follower } = await createProvenFollower(t);
   platform.shared.put("unrelated", "");
   const age = follower.getProofAge();
-  clock.moveWallTime(-60_000);
+  clock.shiftWallTime(-60_000);
   t.equal(follower.getProofAge(), age);
-  clock.moveWallTime(60_000);
+  clock.shiftWallTime(60_000);
   t.ok(follower.getProofAge() >= 60_000, "set forward, it may have been a suspension");
 });
 
 t.test("small differences between the clocks add nothing up", (t) => {
   let time = 0;
   let wall = 1_000;
-  const bootTime = BootTime.create(
+  const bootTime = BootClock.create(
     () => time,
     () => wall,
   );
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -49,7 +49,7 @@
  * does, and where it was set forward instead, what is believed ends early. Without it a proof of 4.6 s still held after a
  * suspension of any length.
  */
-export class BootTime {
+export class BootClock {
   private gained = 0;
   private offset: number;
 
@@ -60,8 +60,8 @@
     this.offset = getWallTime() - getTime();
   }
 
-  static create(getTime: () => number, getWallTime: () => number): BootTime {
-    return new BootTime(getTime, getWallTime);
+  static create(getTime: () => number, getWallTime: () => number): BootClock {
+    return new BootClock(getTime, getWallTime);
   }
 
   get(): number {
@@ -76,7 +76,7 @@
 
 /** The machine's clock. */
 export class SystemClock implements Clock {
-  private readonly bootTime = BootTime.create(
+  private readonly bootTime = BootClock.create(
     () => this.getTime(),
     () => this.getWallTime(),
   );
@@ -116,7 +116,7 @@
   private time = 0;
   private order = 0;
   private timers: VirtualTimer[] = [];
-  private readonly bootTime = BootTime.create(
+  private readonly bootTime = BootClock.create(
     () => this.getTime(),
     () => this.getWallTime(),
   );
@@ -140,7 +140,7 @@
   }
 
   /** Moves the time of day alone: a machine that was suspended for so long, or whose time was set. */
-  moveWallTime(duration: number): void {
+  shiftWallTime(duration: number): void {
     this.wallStart += duration;
   }
 
@@ -153,15 +153,15 @@
   /** Moves time forward, letting promises settle between timers. */
   async advance(duration: number): Promise<void> {
     const end = this.time + duration;
-    await settlePromises();
+    await flushPromises();
     for (let next = this.getNext(end); next; next = this.getNext(end)) {
       this.time = next.due;
       this.timers = this.timers.filter((timer) => timer !== next);
       next.callback();
-      await settlePromises();
+      await flushPromises();
     }
     this.time = end;
-    await settlePromises();
+    await flushPromises();
   }
 
   private getNext(end: number): VirtualTimer | undefined {
@@ -178,7 +178,7 @@
 const settleRounds = 4;
 
 /** Lets every promise that can settle without time passing settle. */
-export async function settlePromises(): Promise<void> {
+export async function flushPromises(): Promise<void> {
   for (let round = 0; round < settleRounds; round++) {
     await new Promise((resolve) => setImmediate(resolve));
   }
--- a/packages/kernel/src/commandLine.ts
+++ b/packages/kernel/src/commandLine.ts
@@ -6,10 +6,10 @@
 
 /** Exit codes. */
 export enum ExitCode {
-  Good = 0,
+  Success = 0,
   Failed = 1,
   /** Settings or command line are wrong; nothing was opened. */
-  BadSettings = 2,
+  InvalidSettings = 2,
 }
 
 /** Parsed command line. */
@@ -48,7 +48,7 @@
     .strict()
     .fail((message, error) => {
       process.stderr.write(`gladewalld: ${message || error.message}\n`);
-      process.exit(ExitCode.BadSettings);
+      process.exit(ExitCode.InvalidSettings);
     })
     .version("0.1.0")
     .help()
--- a/packages/kernel/src/daemonLogs.ts
+++ b/packages/kernel/src/daemonLogs.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock, Timer } from "./clock.js";
 import { LineWriter } from "./lineWriter.js";
-import { LogGate } from "./logGate.js";
+import { LogRateLimiter } from "./logRateLimiter.js";
 import { type LogFields, Logger, type LogLevel } from "./logs.js";
 
 /** Lines of one event in a second. */
@@ -20,7 +20,7 @@
   private constructor(
     private readonly clock: Clock,
     private readonly writer: LineWriter,
-    private readonly gate: LogGate,
+    private readonly gate: LogRateLimiter,
     level: LogLevel,
     base: LogFields,
   ) {
@@ -34,7 +34,7 @@
     base: LogFields,
     writer: LineWriter = LineWriter.createStandardOutput(),
   ): DaemonLogs {
-    const gate = LogGate.create(clock, linesPerSecond);
+    const gate = LogRateLimiter.create(clock, linesPerSecond);
     return new DaemonLogs(clock, writer, gate, level, base);
   }
 
@@ -53,8 +53,9 @@
   }
 
   private sayDropped(): void {
-    for (const [what, lines] of this.gate.takeDropped()) this.logger.warn("logs.thinned", { what, lines });
-    const lines = this.writer.takeDropped();
+    for (const [what, lines] of this.gate.takeDroppedCounts())
+      this.logger.warn("logs.thinned", { what, lines });
+    const lines = this.writer.takeDroppedCount();
     if (lines > 0) this.logger.warn("logs.dropped", { lines });
   }
 }
--- a/packages/kernel/src/daemonSettings.ts
+++ b/packages/kernel/src/daemonSettings.ts
@@ -6,7 +6,7 @@
 import { LogLevel, logLevelNames } from "./logs.js";
 
 /** Returns the level of a name as settings give it; `Info` where there is none of that name. */
-export function findLogLevel(name: string): LogLevel {
+export function parseLogLevel(name: string): LogLevel {
   const found = Object.entries(logLevelNames).find(([, known]) => known === name);
   return found ? Number(found[0]) : LogLevel.Info;
 }
--- a/packages/kernel/src/failures.ts
+++ b/packages/kernel/src/failures.ts
@@ -82,7 +82,7 @@
 }
 
 /** One line of the table. `text` may hold `{name}` places. */
-export interface FailureRow {
+export interface FailureDefinition {
   readonly status: number;
   readonly outcome: Outcome;
   readonly text: string;
@@ -92,12 +92,12 @@
 const unknown = Outcome.Unknown;
 const ran = Outcome.Ran;
 
-function createRow(status: number, outcome: Outcome, text: string): FailureRow {
+function createRow(status: number, outcome: Outcome, text: string): FailureDefinition {
   return { status, outcome, text };
 }
 
 /** The table itself: every user-facing failure message stands here and nowhere else. */
-export const failureTable: Readonly<Record<FailureCode, FailureRow>> = {
+export const failureDefinitions: Readonly<Record<FailureCode, FailureDefinition>> = {
   [FailureCode.SettingsFileMissing]: createRow(500, notRun, "{file}: the settings file cannot be read"),
   [FailureCode.SettingsUnknownSection]: createRow(
     500,
@@ -298,7 +298,7 @@
 
   /** Creates a failure whose outcome is the table's. */
   static create(code: FailureCode, values: FailureArguments = {}, retryAfterMs?: number): Failure {
-    return new Failure(code, values, failureTable[code].outcome, retryAfterMs);
+    return new Failure(code, values, failureDefinitions[code].outcome, retryAfterMs);
   }
 
   /** Returns the same failure with another outcome, where more is known than the table can say. */
@@ -313,7 +313,7 @@
 
   /** HTTP status of the failure. */
   get status(): number {
-    return failureTable[this.code].status;
+    return failureDefinitions[this.code].status;
   }
 
   /** Stable name of the code, such as `RateExceeded`. */
@@ -323,7 +323,7 @@
 
   /** The text with its places filled in. */
   get text(): string {
-    return failureTable[this.code].text.replace(/\{(\w+)\}/g, (_, place: string) =>
+    return failureDefinitions[this.code].text.replace(/\{(\w+)\}/g, (_, place: string) =>
       String(this.values[place] ?? "?"),
     );
   }
--- a/packages/kernel/src/connectionHeaders.ts
+++ b/packages/kernel/src/hopByHopHeaders.ts
@@ -4,7 +4,7 @@
  */
 
 /** The headers' names. */
-export const connectionHeaders: ReadonlySet<string> = new Set([
+export const hopByHopHeaders: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
--- a/packages/kernel/src/latencyCodec.ts
+++ b/packages/kernel/src/latencyCodec.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import { decodeFromCompressedBase64, encodeIntoCompressedBase64 } from "hdr-histogram-js";
-import type { Latency } from "./metrics.js";
+import type { LatencyHistogram } from "./metrics.js";
 
 /** Returns latencies in HDR's compressed form. */
-export function encodeLatency({ histogram }: Latency): string {
+export function encodeLatency({ histogram }: LatencyHistogram): string {
   return encodeIntoCompressedBase64(histogram);
 }
 
 /** Adds latencies that `encodeLatency` wrote. */
-export function addEncodedLatency(latency: Latency, encoded: string): void {
+export function addEncodedLatency(latency: LatencyHistogram, encoded: string): void {
   latency.add(decodeFromCompressedBase64(encoded));
 }
--- a/packages/kernel/src/lineWriter.ts
+++ b/packages/kernel/src/lineWriter.ts
@@ -37,7 +37,7 @@
   }
 
   /** Returns the lines left out since the last call. */
-  takeDropped(): number {
+  takeDroppedCount(): number {
     const { dropped } = this;
     this.dropped = 0;
     return dropped;
--- a/packages/kernel/src/logGate.ts
+++ b/packages/kernel/src/logRateLimiter.ts
@@ -13,7 +13,7 @@
 }
 
 /** Admits lines. */
-export class LogGate {
+export class LogRateLimiter {
   private readonly events = new Map<string, EventLines>();
 
   private constructor(
@@ -22,17 +22,17 @@
   ) {}
 
   /** A gate that lets so many lines of each event through in a second. */
-  static create(clock: Clock, linesPerSecond: number): LogGate {
-    return new LogGate(clock, linesPerSecond);
+  static create(clock: Clock, linesPerSecond: number): LogRateLimiter {
+    return new LogRateLimiter(clock, linesPerSecond);
   }
 
   /** A gate that lets everything through. */
-  static createOpen(): LogGate {
-    return new LogGate(undefined, 0);
+  static createUnlimited(): LogRateLimiter {
+    return new LogRateLimiter(undefined, 0);
   }
 
   /** Whether one more line of an event is written; counts it where it is not. */
-  admit(event: string): boolean {
+  tryAcquire(event: string): boolean {
     if (!this.clock) return true;
     let lines = this.events.get(event);
     if (!lines) {
@@ -45,7 +45,7 @@
   }
 
   /** Returns the lines left out since the last call, by event. */
-  takeDropped(): readonly (readonly [event: string, count: number])[] {
+  takeDroppedCounts(): readonly (readonly [event: string, count: number])[] {
     const dropped: [string, number][] = [];
     for (const [event, lines] of this.events) {
       if (lines.dropped > 0) dropped.push([event, lines.dropped]);
--- a/packages/kernel/src/logs.ts
+++ b/packages/kernel/src/logs.ts
@@ -5,7 +5,7 @@
  * backslash; otherwise it is quoted as a JSON string, so a caller's control bytes never reach the terminal.
  * @module
  */
-import { LogGate } from "./logGate.js";
+import { LogRateLimiter } from "./logRateLimiter.js";
 import { createConsola, type ConsolaInstance, type LogObject } from "consola";
 
 /** Severity of an event. */
@@ -57,7 +57,7 @@
   private constructor(
     private readonly sink: ConsolaInstance,
     private readonly base: LogFields,
-    private readonly gate: LogGate,
+    private readonly gate: LogRateLimiter,
   ) {}
 
   /** Creates a logger that writes lines through `write`, stderr by default; the gate bounds how many. */
@@ -65,7 +65,7 @@
     level: LogLevel,
     base: LogFields = {},
     write: (line: string) => void = writeToStderr,
-    gate: LogGate = LogGate.createOpen(),
+    gate: LogRateLimiter = LogRateLimiter.createUnlimited(),
   ): Logger {
     const reporter = { log: (event: LogObject) => write(String(event.args[0])) };
     return new Logger(createConsola({ level, reporters: [reporter] }), base, gate);
@@ -82,7 +82,7 @@
   }
 
   error(event: string, fields: LogFields = {}): void {
-    if (this.gate.admit(event)) this.sink.error(this.format(LogLevel.Error, event, fields));
+    if (this.gate.tryAcquire(event)) this.sink.error(this.format(LogLevel.Error, event, fields));
   }
 
   warn(event: string, fields: LogFields = {}): void {
@@ -99,7 +99,7 @@
 
   /** Asked before a line is made: what is left out costs next to nothing. */
   private isWritten(level: LogLevel, event: string): boolean {
-    return this.sink.level >= Number(level) && this.gate.admit(event);
+    return this.sink.level >= Number(level) && this.gate.tryAcquire(event);
   }
 
   /** Changes the level from now on, for this logger and all made from it. */
--- a/packages/kernel/src/metrics.ts
+++ b/packages/kernel/src/metrics.ts
@@ -39,7 +39,7 @@
 }
 
 /** Latencies in milliseconds, kept in microseconds with three significant digits. */
-export class Latency {
+export class LatencyHistogram {
   /** Durations in microseconds. */
   readonly histogram: Histogram = createHistogram();
   private sum = 0;
@@ -92,7 +92,7 @@
 export class Metrics {
   private readonly counters = new Map<string, Family<Counter>>();
   private readonly gauges = new Map<string, Family<() => number>>();
-  private readonly latencies = new Map<string, Family<Latency>>();
+  private readonly latencies = new Map<string, Family<LatencyHistogram>>();
 
   private constructor() {}
 
@@ -106,12 +106,12 @@
   }
 
   /** Returns the latency histogram of a name and labels, made at first use. */
-  getLatency(name: string, help: string, labels: Labels = {}): Latency {
-    return getSeries(this.latencies, name, help, labels, () => new Latency());
+  getLatencyHistogram(name: string, help: string, labels: Labels = {}): LatencyHistogram {
+    return getSeries(this.latencies, name, help, labels, () => new LatencyHistogram());
   }
 
   /** Registers a value that is read when the page is. */
-  setGauge(name: string, help: string, read: () => number, labels: Labels = {}): void {
+  registerGauge(name: string, help: string, read: () => number, labels: Labels = {}): void {
     getSeries(this.gauges, name, help, labels, () => read);
   }
 
@@ -153,7 +153,7 @@
   lines.push(`# HELP ${name} ${help}`, `# TYPE ${name} ${type}`);
 }
 
-function pushSummary(lines: string[], name: string, labels: string, latency: Latency): void {
+function pushSummary(lines: string[], name: string, labels: string, latency: LatencyHistogram): void {
   for (const quantile of quantiles) {
     const inner = labels === "" ? "" : `${labels.slice(1, -1)},`;
     lines.push(`${name}{${inner}quantile="${quantile}"} ${latency.getQuantile(quantile)}`);
--- a/packages/kernel/src/settings.ts
+++ b/packages/kernel/src/settings.ts
@@ -300,7 +300,7 @@
 }
 
 /** Returns the reference of a schema as Markdown, one table a section. */
-export function formatReference(schema: SettingSchema): string {
+export function formatSettingsReference(schema: SettingSchema): string {
   const lines: string[] = [];
   for (const [section, keys] of Object.entries(schema)) {
     lines.push(
--- a/packages/kernel/src/settingsSchema.ts
+++ b/packages/kernel/src/settingsSchema.ts
@@ -126,6 +126,6 @@
 }
 
 /** Marks a key as one that a re-read puts in force. */
-export function createReloadable<Key extends SettingKey>(key: Key): Key {
+export function markReloadable<Key extends SettingKey>(key: Key): Key {
   return { ...key, isReloadable: true };
 }
--- a/packages/kernel/src/tokenBucket.ts
+++ b/packages/kernel/src/tokenBucket.ts
@@ -41,12 +41,12 @@
   }
 
   /** Gives back units that were taken but not used. */
-  giveBack(amount: number): void {
+  refund(amount: number): void {
     this.level = Math.min(this.burst, this.level + amount);
   }
 
   /** Milliseconds until `amount` can be taken; undefined where it never can. */
-  getWait(amount: number): number | undefined {
+  getWaitMs(amount: number): number | undefined {
     if (this.rate <= 0) return undefined;
     this.fill();
     const missing = Math.min(amount, this.burst) - this.level;
--- a/packages/kernel/test/daemonLogs.test.ts
+++ b/packages/kernel/test/daemonLogs.test.ts
@@ -1,6 +1,6 @@
 import { PassThrough, Writable } from "node:stream";
 import t from "tap";
-import { DaemonLogs, LineWriter, LogGate, LogLevel, VirtualClock } from "@gladewall/kernel";
+import { DaemonLogs, LineWriter, LogRateLimiter, LogLevel, VirtualClock } from "@gladewall/kernel";
 
 /** A stream whose reader takes nothing. */
 function createStalledStream(): Writable {
@@ -23,8 +23,8 @@
 
 t.test("an open gate thins nothing, and a line below the level costs no allowance", async (t) => {
   const clock = VirtualClock.create();
-  const open = LogGate.createOpen();
-  t.ok(Array.from({ length: 500 }, () => open.admit("e")).every(Boolean));
+  const open = LogRateLimiter.createUnlimited();
+  t.ok(Array.from({ length: 500 }, () => open.tryAcquire("e")).every(Boolean));
   const stream = new PassThrough();
   const logs = DaemonLogs.create(clock, LogLevel.Info, {}, LineWriter.create(stream));
   for (let count = 0; count < 500; count++) logs.logger.debug("e", {});
@@ -38,8 +38,8 @@
   const writer = LineWriter.create(stream, 1_000);
   for (let count = 0; count < 10_000; count++) writer.write("x".repeat(99));
   t.ok(stream.writableLength <= 1_100);
-  t.equal(writer.takeDropped(), 10_000 - 11);
-  t.equal(writer.takeDropped(), 0);
+  t.equal(writer.takeDroppedCount(), 10_000 - 11);
+  t.equal(writer.takeDroppedCount(), 0);
   await writer.flush(1);
 });
 
@@ -49,5 +49,5 @@
   writer.write("one");
   await new Promise((resolve) => setImmediate(resolve));
   writer.write("two");
-  t.equal(writer.takeDropped(), 1);
+  t.equal(writer.takeDroppedCount(), 1);
 });
--- a/packages/kernel/test/kernel.test.ts
+++ b/packages/kernel/test/kernel.test.ts
@@ -3,9 +3,9 @@
   createFromPlugin,
   Failure,
   FailureCode,
-  failureTable,
+  failureDefinitions,
   formatLine,
-  Latency,
+  LatencyHistogram,
   Logger,
   LogLevel,
   Metrics,
@@ -34,7 +34,7 @@
 
 t.test("every failure has a row, and its text has no place unfilled when its values are given", async (t) => {
   for (const code of Object.values(FailureCode).filter((value) => typeof value === "number")) {
-    t.ok(failureTable[code].status >= 400 && failureTable[code].status < 600, FailureCode[code]);
+    t.ok(failureDefinitions[code].status >= 400 && failureDefinitions[code].status < 600, FailureCode[code]);
   }
   const failure = Failure.create(FailureCode.RateExceeded, { row: "a/b/c", limit: 3 }, 1500);
   t.equal(failure.text, "row a/b/c allows 3 requests/s");
@@ -45,13 +45,13 @@
   const metrics = Metrics.create();
   metrics.getCounter("requests_total", "Requests.", { row: 'a"b' }).add(2);
   metrics.getCounter("requests_total", "Requests.", { row: 'a"b' }).add();
-  metrics.setGauge("open", "Open.", () => 7);
-  metrics.getLatency("first_milliseconds", "First.").record(10);
+  metrics.registerGauge("open", "Open.", () => 7);
+  metrics.getLatencyHistogram("first_milliseconds", "First.").record(10);
   t.matchSnapshot(metrics.format());
 });
 
 t.test("latencies of several entries add up", async (t) => {
-  const [left, right] = [new Latency(), new Latency()];
+  const [left, right] = [new LatencyHistogram(), new LatencyHistogram()];
   for (let value = 1; value <= 50; value++) left.record(value);
   for (let value = 51; value <= 100; value++) right.record(value);
   addEncodedLatency(left, encodeLatency(right));
--- a/packages/operator/src/bench/capacityBench.ts
+++ b/packages/operator/src/bench/capacityBench.ts
@@ -7,7 +7,7 @@
 import { configurationCodec, configurationKey } from "@gladewall/entry";
 import { Logger } from "@gladewall/kernel";
 import type { Configuration } from "@gladewall/policy";
-import { quickEngine } from "@gladewall/standins";
+import { fastEngineOptions } from "@gladewall/standins";
 import { LocalFleet } from "../local/localFleet.js";
 import { sampleConfiguration, sampleKeys } from "../local/sampleTable.js";
 import { Caller } from "../soak/caller.js";
@@ -111,7 +111,7 @@
     webEndpoints: 1,
     halls: ["zogno", "piazza", "lenna", "bergamo"],
     configuration: benchConfiguration,
-    engine: quickEngine,
+    engine: fastEngineOptions,
     logger: Logger.createSilent(),
     overrides: ["platform.list_interval=1000", ...overrides],
   });
@@ -189,7 +189,7 @@
   const key = `gladewall/${configurationKey}`;
   const before = readCounters(fleet);
   const started = performance.now();
-  fleet.keyValue.store.trySwap(
+  fleet.keyValue.store.tryCompareAndSwap(
     key,
     configurationCodec.encode(next),
     fleet.keyValue.store.get(key)?.revision ?? 0,
--- a/packages/operator/src/bench/claimsBench.ts
+++ b/packages/operator/src/bench/claimsBench.ts
@@ -3,10 +3,10 @@
  * ledger, as the usual writer of a shard gets everybody's.
  * @module
  */
-import { type Claim, ClaimLedger } from "@gladewall/coordination";
+import { type Claim, ClaimStore } from "@gladewall/coordination";
 import { createPlatformClients } from "@gladewall/entry";
-import { Latency, SystemClock } from "@gladewall/kernel";
-import { KeyValueStandin } from "@gladewall/standins";
+import { LatencyHistogram, SystemClock } from "@gladewall/kernel";
+import { FakeKeyValueServer } from "@gladewall/standins";
 
 /** One measured rate. */
 export interface ClaimsPoint {
@@ -37,7 +37,7 @@
 }
 
 async function measureRate(rate: number, window: number): Promise<ClaimsPoint> {
-  const standin = await KeyValueStandin.create();
+  const standin = await FakeKeyValueServer.create();
   const { address } = standin;
   const clients = createPlatformClients({
     key_value: "http-kv",
@@ -51,7 +51,7 @@
     prefix: "gladewall/",
     calls_per_second: 1_000,
   }).expect("the plug-ins are known");
-  const ledger = ClaimLedger.create({
+  const ledger = ClaimStore.create({
     service: clients.keyValue,
     clock: SystemClock.create(),
     prefix: "claims/",
@@ -59,9 +59,9 @@
     interval: 100,
     patience: 2_000,
     retention: 3_600_000,
-    headBytes: 131_072,
+    maxActiveBytes: 131_072,
   });
-  const latency = new Latency();
+  const latency = new LatencyHistogram();
   let won = 0;
   const claim = async (number: number): Promise<void> => {
     const started = performance.now();
--- a/packages/operator/src/bench/fleetBench.ts
+++ b/packages/operator/src/bench/fleetBench.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { SystemClock, waitFor } from "@gladewall/kernel";
-import { createWorkspace, GatewayBench, StandinPlatform, waitUntil } from "@gladewall/standins";
+import { createWorkspace, GatewayTestBench, FakePlatform, waitUntil } from "@gladewall/standins";
 
 /** One measured size of fleet. */
 export interface FleetPoint {
@@ -40,7 +40,7 @@
 }
 
 async function measureFleet(size: number, window: number): Promise<FleetPoint> {
-  const platform = StandinPlatform.create();
+  const platform = FakePlatform.create();
   const names = Array.from({ length: workspaces }, (_, index) => `workspace-${index}`);
   platform.configure({
     workspaces: names.map((name) =>
@@ -48,12 +48,12 @@
     ),
   });
   for (let index = 0; index < endpoints; index++)
-    platform.list({ id: `endpoint-${index}`, address: "127.0.0.1:1" });
-  const bench = GatewayBench.create(platform);
+    platform.putEndpoint({ id: `endpoint-${index}`, address: "127.0.0.1:1" });
+  const bench = GatewayTestBench.create(platform);
   for (let index = 0; index < size; index++) await bench.start();
   const gateways = bench.instances.map(({ gateway }) => gateway);
   await waitUntil(() => gateways.every((gateway) => gateway.fleetSize === size && gateway.isReady()));
-  await waitUntil(() => gateways.every((gateway) => gateway.isCollector || gateway.isFed));
+  await waitUntil(() => gateways.every((gateway) => gateway.isCollector || gateway.isFeedActive));
   const countCalls = (): number => platform.stores.reduce((sum, { calls }) => sum + calls, 0);
   const before = gateways.map((gateway) => ({ ...gateway.peerTraffic }));
   const callsBefore = countCalls();
--- a/packages/operator/src/bench/stalenessBench.ts
+++ b/packages/operator/src/bench/stalenessBench.ts
@@ -5,7 +5,7 @@
  * draws are seeded.
  * @module
  */
-import { Seeded } from "../soak/seeded.js";
+import { SeededRandom } from "../soak/seededRandom.js";
 
 /** How instances choose. */
 export interface ChoiceRule {
@@ -83,7 +83,7 @@
 
 /** Plays one case. */
 export function measureCase(fleet: Fleet, ageMs: number, rule: ChoiceRule): StalenessPoint {
-  const draws = Seeded.create(seed);
+  const draws = SeededRandom.create(seed);
   const getShare = (): number => draws.getInteger(0, resolution - 1) / resolution;
   const busyUntil = new Float64Array(fleet.engines);
   const waits: number[] = [];
--- a/packages/operator/src/commands/local.ts
+++ b/packages/operator/src/commands/local.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { Logger, LogLevel } from "@gladewall/kernel";
-import { quickEngine } from "@gladewall/standins";
+import { fastEngineOptions } from "@gladewall/standins";
 import { request } from "undici";
 import { LocalFleet, localOperatorKey } from "../local/localFleet.js";
 import { sampleConfiguration, sampleKeys } from "../local/sampleTable.js";
@@ -30,7 +30,7 @@
     webEndpoints: webCount,
     halls,
     configuration: sampleConfiguration,
-    engine: { ...quickEngine, tokenInterval: 5 },
+    engine: { ...fastEngineOptions, tokenIntervalMs: 5 },
     logger: Logger.create(options.verbose ? LogLevel.Info : LogLevel.Error),
     overrides: [],
   });
--- a/packages/operator/src/local/localFleet.ts
+++ b/packages/operator/src/local/localFleet.ts
@@ -16,14 +16,14 @@
 import { request } from "undici";
 import { sampleKeys } from "./sampleTable.js";
 import {
-  EngineStandin,
+  FakeEngine,
   type EngineOptions,
-  KeyValueStandin,
-  PlatformStandin,
+  FakeKeyValueServer,
+  FakeCloudServices,
   type RunRecord,
   type WebRecord,
-  WebStandin,
-  WeightStoreStandin,
+  FakeWebService,
+  FakeWeightStore,
 } from "@gladewall/standins";
 
 /** Sizes of a local fleet. */
@@ -61,8 +61,8 @@
 /** The running fleet. */
 export class LocalFleet {
   readonly entries: LocalEntry[] = [];
-  readonly engines = new Map<string, EngineStandin>();
-  readonly webs = new Map<string, WebStandin>();
+  readonly engines = new Map<string, FakeEngine>();
+  readonly webs = new Map<string, FakeWebService>();
   /** Instances that were killed. */
   private readonly dead = new Set<string>();
   /** Instances that have their notice. */
@@ -72,18 +72,18 @@
 
   private constructor(
     readonly options: LocalOptions,
-    readonly keyValue: KeyValueStandin,
-    readonly platform: PlatformStandin,
-    readonly weights: WeightStoreStandin,
+    readonly keyValue: FakeKeyValueServer,
+    readonly platform: FakeCloudServices,
+    readonly weights: FakeWeightStore,
   ) {}
 
   /** Starts everything and waits until each entry has the configuration. */
   static async create(options: LocalOptions): Promise<LocalFleet> {
-    const keyValue = await KeyValueStandin.create();
-    const platform = await PlatformStandin.create();
-    const weights = await WeightStoreStandin.create(new Map([["model", weightBytes]]));
+    const keyValue = await FakeKeyValueServer.create();
+    const platform = await FakeCloudServices.create();
+    const weights = await FakeWeightStore.create(new Map([["model", weightBytes]]));
     const fleet = new LocalFleet(options, keyValue, platform, weights);
-    keyValue.store.trySwap(
+    keyValue.store.tryCompareAndSwap(
       `gladewall/${configurationKey}`,
       configurationCodec.encode(options.configuration),
       0,
@@ -111,7 +111,7 @@
 
   /** Starts a model runner and puts it on the list. */
   async addEngine(index: number): Promise<InstanceRecord> {
-    const engine = await EngineStandin.create(this.options.engine);
+    const engine = await FakeEngine.create(this.options.engine);
     const record = this.createRecord(`runner-${index}`, "model", "openai-engine", engine.address, index);
     this.engines.set(record.id, engine);
     this.endpointRecords.set(record.id, record);
@@ -121,7 +121,7 @@
 
   /** Starts a web endpoint and puts it on the list. */
   async addWeb(index: number): Promise<InstanceRecord> {
-    const web = await WebStandin.create();
+    const web = await FakeWebService.create();
     const record = this.createRecord(`booking-${index}`, "booking", "http-service", web.address, index);
     this.webs.set(record.id, web);
     this.endpointRecords.set(record.id, record);
@@ -209,12 +209,12 @@
   }
 
   /** Engines that run. */
-  getLiveEngines(): readonly EngineStandin[] {
+  getLiveEngines(): readonly FakeEngine[] {
     return [...this.engines].filter(([id]) => !this.dead.has(id)).map(([, engine]) => engine);
   }
 
   /** Web endpoints that run. */
-  getLiveWebs(): readonly WebStandin[] {
+  getLiveWebs(): readonly FakeWebService[] {
     return [...this.webs].filter(([id]) => !this.dead.has(id)).map(([, web]) => web);
   }
 
--- a/packages/operator/src/local/sampleTable.ts
+++ b/packages/operator/src/local/sampleTable.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { ServiceKind } from "@gladewall/coordination";
-import { type Configuration, getKeyHash, RepeatRule, type TableRow, wildcard } from "@gladewall/policy";
+import { type Configuration, getKeyHash, RepeatRule, type PolicyRow, wildcard } from "@gladewall/policy";
 
 /** Keys of the sample workspaces; only for `local`. */
 export const sampleKeys = { dispatch: "local-dispatch-key", cab: "local-cab-key" } as const;
@@ -11,7 +11,7 @@
 const urgentPriority = 9;
 const standardPriority = 5;
 
-function createRow(changes: Partial<TableRow>): TableRow {
+function createRow(changes: Partial<PolicyRow>): PolicyRow {
   return {
     workspace: wildcard,
     service: wildcard,
--- a/packages/operator/src/soak/checker.ts
+++ b/packages/operator/src/soak/checker.ts
@@ -3,8 +3,8 @@
  * @module
  */
 import { Outcome } from "@gladewall/kernel";
-import { getWholeAnswer, type RunRecord, RunState, type WebRecord } from "@gladewall/standins";
-import { type Ask, AskKind, type BrokenPromises, type Told, Verdict } from "./types.js";
+import { getFullText, type RunRecord, RunState, type WebRecord } from "@gladewall/standins";
+import { type Ask, AskKind, type ViolationCounts, type Told, Verdict } from "./types.js";
 
 /** What the endpoints did. */
 export interface EndpointRecords {
@@ -14,14 +14,14 @@
 
 /** A broken promise in words, for finding its cause. */
 export interface Finding {
-  readonly promise: keyof BrokenPromises;
+  readonly promise: keyof ViolationCounts;
   readonly told: Told;
   readonly detail: string;
 }
 
 /** Result of a check. */
 export interface CheckResult {
-  readonly broken: BrokenPromises;
+  readonly violations: ViolationCounts;
   readonly findings: readonly Finding[];
   readonly whole: number;
   readonly problems: number;
@@ -33,7 +33,7 @@
 
 /** Checks every promise for every caller. */
 export function checkPromises(told: readonly Told[], records: EndpointRecords): CheckResult {
-  const broken: BrokenPromises = { lost: 0, doubled: 0, foreign: 0, cut: 0, notRunButRan: 0 };
+  const broken: ViolationCounts = { lost: 0, doubled: 0, foreign: 0, cut: 0, notRunButRan: 0 };
   const findings: Finding[] = [];
   const counts = countRuns(records);
   for (const each of told) {
@@ -44,7 +44,7 @@
   }
   const problems = told.filter((each) => each.verdict === Verdict.Problem);
   return {
-    broken,
+    violations: broken,
     findings,
     whole: told.filter((each) => each.verdict === Verdict.Whole).length,
     problems: problems.length,
@@ -53,7 +53,7 @@
 }
 
 /** Number of broken promises in all. */
-export function getBrokenCount(broken: BrokenPromises): number {
+export function countViolations(broken: ViolationCounts): number {
   return broken.lost + broken.doubled + broken.foreign + broken.cut + broken.notRunButRan;
 }
 
@@ -74,7 +74,7 @@
 
 function findBroken(told: Told, runs: number): readonly Finding[] {
   const findings: Finding[] = [];
-  const add = (promise: keyof BrokenPromises, detail: string): void =>
+  const add = (promise: keyof ViolationCounts, detail: string): void =>
     void findings.push({ promise, told, detail });
   if (told.verdict === Verdict.Nothing) add("lost", `no final answer after ${told.returns} returns`);
   if (onceKinds.has(told.ask.kind) && runs > 1) add("doubled", `ran ${runs} times`);
@@ -91,5 +91,5 @@
 function getExpected(ask: Ask): string {
   if (ask.kind === AskKind.Booking) return ask.mark;
   if (ask.kind === AskKind.Page) return `/pages/${ask.mark}`;
-  return getWholeAnswer(`user: ${ask.mark}`, ask.outputTokens);
+  return getFullText(`user: ${ask.mark}`, ask.outputTokens);
 }
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -4,7 +4,7 @@
  */
 import { EngineFault, KeyValueFault, WebFault } from "@gladewall/standins";
 import type { LocalFleet } from "../local/localFleet.js";
-import type { Seeded } from "./seeded.js";
+import type { SeededRandom } from "./seededRandom.js";
 
 /** Failures counted by kind. */
 export interface FaultCounts {
@@ -36,8 +36,8 @@
 const serviceFaults = [
   KeyValueFault.Down,
   KeyValueFault.Slow,
-  KeyValueFault.AnswerLost,
-  KeyValueFault.WatchGap,
+  KeyValueFault.ResponseLost,
+  KeyValueFault.MissedWatches,
 ];
 
 /** Provokes failures until told to stop. */
@@ -50,7 +50,7 @@
 
   private constructor(
     private readonly fleet: LocalFleet,
-    private readonly seeded: Seeded,
+    private readonly seeded: SeededRandom,
     private readonly log: (line: string) => void,
   ) {
     this.faults = [
@@ -71,7 +71,7 @@
     ];
   }
 
-  static create(fleet: LocalFleet, seeded: Seeded, log: (line: string) => void): FaultScript {
+  static create(fleet: LocalFleet, seeded: SeededRandom, log: (line: string) => void): FaultScript {
     return new FaultScript(fleet, seeded, log);
   }
 
--- a/packages/operator/src/soak/main.ts
+++ b/packages/operator/src/soak/main.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import yargs from "yargs";
-import { getBrokenCount } from "./checker.js";
+import { countViolations } from "./checker.js";
 import { runSoak, type SoakResult, userSizes } from "./soak.js";
 
 const millisecondsPerMinute = 60_000;
@@ -15,7 +15,7 @@
 }
 
 function printResult(user: string, result: SoakResult): void {
-  const { broken, findings, whole, problems, unsure } = result.check;
+  const { violations: broken, findings, whole, problems, unsure } = result.check;
   const { reclaims, deaths, outages, misbehaviours } = result.faults;
   print(
     `${user}: ${result.requests} requests, ${whole} whole, ${problems} problems (${unsure} unsure), ${result.returns} returns`,
@@ -58,6 +58,6 @@
     print: () => undefined,
   });
   printResult(name, result);
-  brokenCount += getBrokenCount(result.check.broken);
+  brokenCount += countViolations(result.check.violations);
 }
 process.exitCode = brokenCount === 0 ? 0 : 1;
--- a/packages/operator/src/soak/seeded.ts
+++ b/packages/operator/src/soak/seededRandom.ts
@@ -6,11 +6,11 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
 /** A source of draws. */
-export class Seeded {
+export class SeededRandom {
   private constructor(private readonly generator: ReturnType<typeof xoroshiro128plus>) {}
 
-  static create(seed: number): Seeded {
-    return new Seeded(xoroshiro128plus(seed));
+  static create(seed: number): SeededRandom {
+    return new SeededRandom(xoroshiro128plus(seed));
   }
 
   /** Draws a whole number from `lowest` to `highest`, both included. */
--- a/packages/operator/src/soak/soak.ts
+++ b/packages/operator/src/soak/soak.ts
@@ -4,13 +4,13 @@
  * @module
  */
 import { Logger } from "@gladewall/kernel";
-import { quickEngine } from "@gladewall/standins";
+import { fastEngineOptions } from "@gladewall/standins";
 import { LocalFleet } from "../local/localFleet.js";
 import { sampleConfiguration, sampleKeys } from "../local/sampleTable.js";
 import { Caller } from "./caller.js";
 import { checkPromises, type CheckResult } from "./checker.js";
 import { type FaultCounts, FaultScript } from "./faults.js";
-import { Seeded } from "./seeded.js";
+import { SeededRandom } from "./seededRandom.js";
 import { type Ask, AskKind, type Told } from "./types.js";
 
 /** Sizes of one user. */
@@ -75,8 +75,8 @@
 /** Runs a soak to its end. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const fleet = await createSoakFleet(options);
-  const seeded = Seeded.create(options.seed);
-  const script = FaultScript.create(fleet, Seeded.create(options.seed + 1), (line) =>
+  const seeded = SeededRandom.create(options.seed);
+  const script = FaultScript.create(fleet, SeededRandom.create(options.seed + 1), (line) =>
     options.print(`  ${line}`),
   );
   const caller = createSoakCaller(fleet);
@@ -110,7 +110,7 @@
       ...sampleConfiguration,
       rows: sampleConfiguration.rows.map((row) => ({ ...row, ...unlimited })),
     },
-    engine: { ...quickEngine, width: 16, tokenInterval: 10 },
+    engine: { ...fastEngineOptions, width: 16, tokenIntervalMs: 10 },
     logger: Logger.createSilent(),
     overrides,
   });
@@ -131,7 +131,7 @@
   });
 }
 
-function createAsk(seeded: Seeded, number: number): Ask {
+function createAsk(seeded: SeededRandom, number: number): Ask {
   const kind = seeded.chooseWeighted(kinds)?.kind ?? AskKind.Stream;
   const outputTokens = seeded.getInteger(3, 120);
   const requestClass = seeded.getInteger(0, 3) === 0 ? "urgent" : "standard";
--- a/packages/operator/src/soak/types.ts
+++ b/packages/operator/src/soak/types.ts
@@ -55,7 +55,7 @@
 }
 
 /** Broken promises, counted. All must be zero. */
-export interface BrokenPromises {
+export interface ViolationCounts {
   /** Accepted and never answered. */
   lost: number;
   /** Run twice although not to be repeated. */
--- a/packages/operator/test/front.test.ts
+++ b/packages/operator/test/front.test.ts
@@ -2,7 +2,7 @@
 import { connect } from "node:net";
 import t from "tap";
 import { Logger } from "@gladewall/kernel";
-import { quickEngine, RunState } from "@gladewall/standins";
+import { fastEngineOptions, RunState } from "@gladewall/standins";
 import { LocalFleet, sampleConfiguration, sampleKeys } from "../src/index.js";
 
 const fleet = await LocalFleet.create({
@@ -11,7 +11,7 @@
   webEndpoints: 1,
   halls: ["zogno", "piazza"],
   configuration: sampleConfiguration,
-  engine: { ...quickEngine, tokenInterval: 5 },
+  engine: { ...fastEngineOptions, tokenIntervalMs: 5 },
   logger: Logger.createSilent(),
   overrides: ["front.body_timeout=100", "front.body_bytes=2000", "requests.resume_grace=0"],
 });
--- a/packages/operator/test/path.test.ts
+++ b/packages/operator/test/path.test.ts
@@ -2,7 +2,7 @@
 import t from "tap";
 import { request } from "undici";
 import { Logger } from "@gladewall/kernel";
-import { getWholeAnswer, quickEngine, RunState } from "@gladewall/standins";
+import { getFullText, fastEngineOptions, RunState } from "@gladewall/standins";
 import { LocalFleet, localOperatorKey, sampleConfiguration, sampleKeys } from "../src/index.js";
 
 const fleet = await LocalFleet.create({
@@ -11,7 +11,7 @@
   webEndpoints: 2,
   halls: ["zogno", "piazza", "lenna"],
   configuration: sampleConfiguration,
-  engine: quickEngine,
+  engine: fastEngineOptions,
   logger: Logger.createSilent(),
   overrides: [],
 });
@@ -39,7 +39,7 @@
 t.test("the official OpenAI client completes, streams and reads typed errors", async (t) => {
   const messages = [{ role: "user" as const, content: "Where is the skip?" }];
   const whole = await createClient(0).chat.completions.create({ model: "model", messages, max_tokens: 9 });
-  const expected = getWholeAnswer("user: Where is the skip?", 9);
+  const expected = getFullText("user: Where is the skip?", 9);
   t.equal(whole.choices[0]?.message.content, expected);
   t.equal(whole.usage?.completion_tokens, 9);
   const parts: string[] = [];
@@ -52,7 +52,7 @@
   for await (const chunk of stream) parts.push(chunk.choices[0]?.delta.content ?? "");
   t.equal(parts.join(""), expected);
   const text = await createClient(0).completions.create({ model: "model", prompt: "Gate?", max_tokens: 3 });
-  t.equal(text.choices[0]?.text, getWholeAnswer("Gate?", 3));
+  t.equal(text.choices[0]?.text, getFullText("Gate?", 3));
   t.type(
     await getError(createClient(0, "wrong").chat.completions.create({ model: "model", messages })),
     OpenAI.AuthenticationError,
--- a/packages/operator/test/promises.test.ts
+++ b/packages/operator/test/promises.test.ts
@@ -1,13 +1,13 @@
 import t, { type Test } from "tap";
 import { FailureCode, Logger, LogLevel, Outcome } from "@gladewall/kernel";
 import type { Configuration } from "@gladewall/policy";
-import { EngineFault, KeyValueFault, quickEngine, WebFault } from "@gladewall/standins";
+import { EngineFault, KeyValueFault, fastEngineOptions, WebFault } from "@gladewall/standins";
 import {
   type Ask,
   AskKind,
   Caller,
   checkPromises,
-  getBrokenCount,
+  countViolations,
   LocalFleet,
   sampleConfiguration,
   sampleKeys,
@@ -15,7 +15,7 @@
   Verdict,
 } from "../src/index.js";
 
-const slowEngine = { ...quickEngine, tokenInterval: 10 };
+const slowEngine = { ...fastEngineOptions, tokenIntervalMs: 10 };
 const quickLosses = [
   "peers.ping_interval=50",
   "peers.lost_after=400",
@@ -68,7 +68,7 @@
 
 function check(t: Test, fleet: LocalFleet, told: readonly Told[]): void {
   const result = checkPromises(told, fleet.getRecords());
-  t.equal(getBrokenCount(result.broken), 0, JSON.stringify(result.findings));
+  t.equal(countViolations(result.violations), 0, JSON.stringify(result.findings));
 }
 
 /** Resolves when some engine has given so many tokens of a request. */
@@ -139,7 +139,7 @@
   const telling = caller.ask(ask);
   const engine = await waitForTokens(fleet, ask.mark, 10);
   fleet.platform.reclaim(engine, 600);
-  await fleet.waitForView((entry) => entry.view.get(engine)?.takenAt !== undefined);
+  await fleet.waitForView((entry) => entry.view.get(engine)?.reclaimAt !== undefined);
   const before = fleet.engines.get(engine)?.records.length;
   const others = await Promise.all(Array.from({ length: 12 }, () => caller.ask(createAsk(AskKind.Whole, 3))));
   t.equal(fleet.engines.get(engine)?.records.length, before, "nothing new went to the leaving endpoint");
@@ -224,7 +224,7 @@
 
 t.test("claims whose answers are lost still run once", async (t) => {
   const { fleet, caller } = await createFleet(t);
-  fleet.keyValue.setFault(KeyValueFault.AnswerLost);
+  fleet.keyValue.setFault(KeyValueFault.ResponseLost);
   const told = await Promise.all(
     [AskKind.Booking, AskKind.Draft].map((kind) => caller.ask(createAsk(kind, 5))),
   );
--- a/packages/policy/src/blocks.ts
+++ b/packages/policy/src/blocks.ts
@@ -8,7 +8,7 @@
 const highestBlocks = 256;
 
 /** Returns the chained hashes of a prompt's whole blocks; each stands for the prompt up to its end. */
-export function hashBlocks(prompt: string): readonly number[] {
+export function hashPromptBlocks(prompt: string): readonly number[] {
   const hashes: number[] = [];
   let chained = 0;
   for (
--- a/packages/policy/src/configuration.ts
+++ b/packages/policy/src/configuration.ts
@@ -12,7 +12,7 @@
   type RepeatPattern,
   RepeatRule,
   type ServiceRecord,
-  type TableRow,
+  type PolicyRow,
   type WorkspaceRecord,
 } from "./types.js";
 
@@ -36,7 +36,7 @@
 }
 
 /** Returns the name of a row: `workspace/service/class`. */
-export function getRowName(row: Pick<TableRow, "workspace" | "service" | "class">): string {
+export function getRowName(row: Pick<PolicyRow, "workspace" | "service" | "class">): string {
   return `${row.workspace}/${row.service}/${row.class}`;
 }
 
@@ -56,7 +56,7 @@
 };
 
 /** Returns every mistake of a row; `name` is how messages call it. */
-export function findRowFailures(row: Readonly<Record<string, unknown>>, name: string): Failure[] {
+export function validateRow(row: Readonly<Record<string, unknown>>, name: string): Failure[] {
   const failures: Failure[] = [];
   const report = (column: string, detail: string): void => {
     failures.push(Failure.create(FailureCode.TableInvalid, { row: name, column, detail }));
@@ -86,12 +86,12 @@
 }
 
 /** Returns every mistake of a configuration. */
-export function findConfigurationFailures(configuration: Configuration): Failure[] {
+export function validateConfiguration(configuration: Configuration): Failure[] {
   const failures: Failure[] = [];
   const seen = new Set<string>();
   for (const row of configuration.rows) {
     const name = getRowName(row);
-    failures.push(...findRowFailures({ ...row }, name));
+    failures.push(...validateRow({ ...row }, name));
     if (seen.has(name))
       failures.push(
         Failure.create(FailureCode.TableInvalid, {
@@ -151,12 +151,12 @@
   }
   const configuration: Configuration = {
     version: Number(parsed.version ?? 0),
-    rows: (parsed.rows ?? []) as readonly TableRow[],
+    rows: (parsed.rows ?? []) as readonly PolicyRow[],
     workspaces: (parsed.workspaces ?? []) as readonly WorkspaceRecord[],
     services: (parsed.services ?? []) as readonly ServiceRecord[],
     edits: (parsed.edits ?? []) as readonly EditRecord[],
   };
-  const failure = findConfigurationFailures(configuration)[0];
+  const failure = validateConfiguration(configuration)[0];
   return failure ? Err(failure) : Ok(configuration);
 }
 
@@ -170,7 +170,7 @@
 }
 
 /** Tells whether a call of a web service may be repeated by the service's own patterns. */
-export function getServiceRepeat(service: ServiceRecord, method: string, path: string): RepeatRule {
+export function getServiceRepeatRule(service: ServiceRecord, method: string, path: string): RepeatRule {
   const matches = (pattern: RepeatPattern): boolean =>
     (pattern.method === "*" || pattern.method === method) && path.startsWith(pattern.pathPrefix);
   return service.never.some(matches) ? RepeatRule.Never : RepeatRule.Allowed;
--- a/packages/policy/src/load.ts
+++ b/packages/policy/src/endpointLoadEstimate.ts
@@ -21,7 +21,7 @@
 const millisecondsPerSecond = 1000;
 
 /** Belief about one endpoint. Times in milliseconds, rates in tokens a second. */
-export class EndpointLoad {
+export class EndpointLoadEstimate {
   /** Hash of the endpoint's id, for rendezvous. */
   readonly hash: number;
   /** Endpoint takes no new work. */
@@ -44,17 +44,17 @@
     this.hash = hashText(record.id);
   }
 
-  static create(clock: Clock, record: InstanceRecord): EndpointLoad {
-    return new EndpointLoad(clock, record);
+  static create(clock: Clock, record: InstanceRecord): EndpointLoadEstimate {
+    return new EndpointLoadEstimate(clock, record);
   }
 
   /** Requests of this entry that the endpoint has. */
-  getOwn(): number {
+  getOwnActiveCount(): number {
     return this.own;
   }
 
   /** Requests that the endpoint is believed to have, of all entries. */
-  getActive(): number {
+  getActiveCount(): number {
     return Math.max(this.own, this.reported + this.sinceReport);
   }
 
@@ -64,21 +64,21 @@
   }
 
   /** Puts a report in force; later dispatches correct it until the next. */
-  setReport(report: LoadReport): void {
+  applyReport(report: LoadReport): void {
     this.reported = report.running + report.queued;
     this.width = Math.max(1, report.width);
     this.sinceReport = 0;
   }
 
   /** Counts a dispatch of so many tokens to be read. */
-  addDispatch(prefillTokens: number): void {
+  recordDispatch(prefillTokens: number): void {
     this.own += 1;
     this.sinceReport += 1;
     this.pendingPrefill += prefillTokens;
   }
 
   /** Counts the first token of a run: its prompt has been read. */
-  addFirstToken(prefillTokens: number, elapsed: number): void {
+  recordFirstToken(prefillTokens: number, elapsed: number): void {
     this.pendingPrefill = Math.max(0, this.pendingPrefill - prefillTokens);
     if (prefillTokens < 1 || elapsed <= 0) return;
     const rate = (prefillTokens / elapsed) * millisecondsPerSecond;
@@ -95,7 +95,7 @@
   }
 
   /** Counts the end of a run that did so many tokens of work. */
-  addEnd(elapsed: number, tokens: number, isGood: boolean): void {
+  recordEnd(elapsed: number, tokens: number, isGood: boolean): void {
     this.own -= 1;
     this.sinceReport -= 1;
     if (!isGood) return;
@@ -106,20 +106,20 @@
   }
 
   /** Counts a failure: the endpoint is left alone for a time that doubles with each in a row. */
-  addFailure(backoff: number, highest: number): void {
+  recordFailure(backoff: number, highest: number): void {
     this.failures += 1;
     this.failedUntil = this.clock.getTime() + Math.min(highest, backoff * 2 ** (this.failures - 1));
   }
 
   /** Tells whether the endpoint is being left alone after failures. */
-  isBackedOff(): boolean {
+  isInBackoff(): boolean {
     return this.failedUntil > this.clock.getTime();
   }
 
   /** Expected milliseconds until a new run of so many uncached tokens gives its first token. */
-  getExpectedWait(prefillTokens: number): number {
+  estimateWaitMs(prefillTokens: number): number {
     const reading = ((this.pendingPrefill + prefillTokens) / this.prefillRate) * millisecondsPerSecond;
-    const ahead = this.getActive() + 1 - this.width;
+    const ahead = this.getActiveCount() + 1 - this.width;
     if (ahead <= 0) return reading;
     return reading + (ahead / this.width) * this.runTime;
   }
--- a/packages/policy/src/order.ts
+++ b/packages/policy/src/fairQueue.ts
@@ -17,11 +17,11 @@
 }
 
 /** Bounds of a queue. */
-export interface OrderOptions {
+export interface FairQueueOptions {
   /** Items that may wait. */
   readonly capacity: number;
   /** Milliseconds after which a passed-over item is served as if most urgent. */
-  readonly starvationBound: number;
+  readonly starvationLimitMs: number;
 }
 
 interface Waiting<Item extends QueueItem> {
@@ -39,17 +39,17 @@
 }
 
 /** Weighted fair queue with priorities (self-clocked fair queueing within each priority). */
-export class OrderQueue<Item extends QueueItem> {
+export class FairQueue<Item extends QueueItem> {
   private readonly lanes = new Map<number, Lane<Item>>();
   private count = 0;
 
   private constructor(
     private readonly clock: Clock,
-    private readonly options: OrderOptions,
+    private readonly options: FairQueueOptions,
   ) {}
 
-  static create<Item extends QueueItem>(clock: Clock, options: OrderOptions): OrderQueue<Item> {
-    return new OrderQueue<Item>(clock, options);
+  static create<Item extends QueueItem>(clock: Clock, options: FairQueueOptions): FairQueue<Item> {
+    return new FairQueue<Item>(clock, options);
   }
 
   /** Number of waiting items. */
@@ -102,7 +102,7 @@
   }
 
   private findStarved(isEligible: (item: Item) => boolean): { lane: Lane<Item>; index: number } | undefined {
-    const limit = this.clock.getTime() - this.options.starvationBound;
+    const limit = this.clock.getTime() - this.options.starvationLimitMs;
     let found: { lane: Lane<Item>; index: number } | undefined;
     let oldest = limit;
     for (const lane of this.lanes.values()) {
