--- a/packages/operator/src/bench/capacityBench.ts
+++ b/packages/operator/src/bench/capacityBench.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- capacity`: what control costs an entry, against the number of entries and of endpoints. All
- * entries run in this process; figures an instance are the process's divided by the entries.
+ * `npm run bench -- capacity`: measures the cost of control traffic for each entry, by number of entries and of
+ * endpoints. All entries run in this process; a figure per instance is the process's figure divided by the number of
+ * entries.
  * @module
  */
 import { InstanceRole, InstanceState, PriceClass } from "@gladewall/coordination";
@@ -14,37 +15,37 @@
 import { CallerRequestKind, ResultKind } from "../soak/types.js";
 import { type Fit, fitLine } from "./fitLine.js";
 
-/** One measured fleet. */
+/** Measurements of one fleet size. */
 export interface CapacityPoint {
   readonly entries: number;
   readonly endpoints: number;
-  /** Control bytes sent a second and instance, idle. */
+  /** Control bytes sent per second and instance, idle. */
   readonly sentBytes: number;
-  /** Control frames sent a second and instance, idle. */
+  /** Control frames sent per second and instance, idle. */
   readonly sentFrames: number;
-  /** Processor time an instance, idle, in percent of a core. */
+  /** CPU time per instance, idle, in percent of a core. */
   readonly processor: number;
-  /** Heap an instance, bytes. */
+  /** Heap per instance, bytes. */
   readonly memory: number;
-  /** Calls on the key-value service a second and instance, idle. */
+  /** Calls of the key-value service per second and instance, idle. */
   readonly serviceCalls: number;
-  /** Milliseconds from a saved configuration to in force everywhere. */
+  /** Milliseconds from saving a configuration until all entries have applied it. */
   readonly inForceMs: number;
-  /** Bytes that one configuration change makes an instance send. */
+  /** Bytes that each instance sends because of one configuration change. */
   readonly changeBytes: number;
 }
 
-/** One measured load of requests. */
+/** Measurements of one kind of request. */
 export interface RequestPoint {
   readonly kind: string;
   readonly requests: number;
-  /** Bytes sent to peers a request. */
+  /** Bytes sent to peers per request. */
   readonly peerBytes: number;
-  /** Processor time a request in this process, stand-ins and callers included, milliseconds. */
+  /** CPU time per request in this process, including the fake endpoints and the callers, milliseconds. */
   readonly processorMs: number;
 }
 
-/** All that the bench writes. */
+/** Content of the result file. */
 export interface CapacityResult {
   readonly command: string;
   readonly window: number;
@@ -65,13 +66,13 @@
 const unlimited = { requestsPerSecond: 1e6, tokensPerSecond: 1e9, concurrency: 1e6, latencyTarget: 1e6 };
 const outputTokens = 50;
 
-/** The sample rows without limits that a bench would meet. */
+/** The sample configuration with limits so high that the benchmark does not reach them. */
 const benchConfiguration: Configuration = {
   ...sampleConfiguration,
   rows: sampleConfiguration.rows.map((row) => ({ ...row, ...unlimited })),
 };
 
-/** Runs the bench; `window` milliseconds a point. */
+/** Runs the benchmark and measures each fleet size for `window` milliseconds. */
 export async function runCapacityBench(
   window: number,
   print: (line: string) => void,
@@ -100,7 +101,7 @@
   return point;
 }
 
-/** Settings that the capacity page names for large fleets. */
+/** Settings that the operators' capacity page recommends for large fleets. */
 const largeFleetSettings = ["endpoints.load_polls=2"];
 const largeFleet = 100;
 
@@ -148,7 +149,10 @@
   };
 }
 
-/** Names endpoints on the list that share one stand-in's port: what counts is what an entry keeps for each. */
+/**
+ * Publishes endpoints that all have the address of one fake engine. That suffices, because the benchmark measures the
+ * state that an entry keeps for each endpoint on the list.
+ */
 function publishEndpoints(fleet: LocalFleet, count: number): void {
   const [engine] = fleet.engines.values();
   for (let index = fleet.engines.size + fleet.webs.size; index < count; index++) {
@@ -263,7 +267,7 @@
   };
 }
 
-/** What goes on beside the requests: bytes and processor milliseconds a millisecond, of the whole fleet. */
+/** Measures the idle load of the whole fleet: bytes and milliseconds of CPU time, both per millisecond. */
 async function measureIdle(
   fleet: LocalFleet,
 ): Promise<{ readonly bytes: number; readonly processor: number }> {
@@ -295,7 +299,7 @@
 }
 
 function collectGarbage(): void {
-  // Only with --expose-gc, as `npm run bench` starts it.
+  // `gc` exists only with --expose-gc, which `npm run bench` sets.
   (globalThis as { gc?: () => void }).gc?.();
 }
 
--- a/packages/operator/src/bench/claimsBench.ts
+++ b/packages/operator/src/bench/claimsBench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- claims`: writes a second on the key-value service against claims a second. All claims come to one
- * ledger, as the usual writer of a shard gets everybody's.
+ * `npm run bench -- claims`: measures writes per second on the key-value service by claims per second. All claims go to
+ * one claim store, because the usual writer of a shard receives the claims of all entries.
  * @module
  */
 import { type Claim, ClaimStore } from "@gladewall/coordination";
@@ -8,7 +8,7 @@
 import { LatencyHistogram, SystemClock } from "@gladewall/kernel";
 import { FakeKeyValueServer } from "@gladewall/standins";
 
-/** One measured rate. */
+/** Measurements of one rate of claims. */
 export interface ClaimsPoint {
   readonly claimsPerSecond: number;
   readonly claims: number;
@@ -22,7 +22,7 @@
 const millisecondsPerSecond = 1000;
 const tickMs = 10;
 
-/** Runs the bench, `window` milliseconds a rate. */
+/** Runs the benchmark and measures each rate for `window` milliseconds. */
 export async function runClaimsBench(window: number, print: (line: string) => void): Promise<unknown> {
   const points: ClaimsPoint[] = [];
   for (const rate of rates) {
@@ -50,7 +50,7 @@
     list_interval: 1_000,
     prefix: "gladewall/",
     calls_per_second: 1_000,
-  }).expect("the plug-ins are known");
+  }).expect("the plug-ins are registered");
   const claimStore = ClaimStore.create({
     service: clients.keyValue,
     clock: SystemClock.create(),
--- a/packages/operator/src/bench/fitLine.ts
+++ b/packages/operator/src/bench/fitLine.ts
@@ -1,9 +1,9 @@
 /**
- * Least squares: the line through measured points, from which slopes are read.
+ * Linear regression by least squares, from which the benchmarks read slopes.
  * @module
  */
 
-/** A line and how well it fits: `value = base + slope * x`. */
+/** The line `value = base + slope * x` with its goodness of fit. */
 export interface Fit {
   readonly base: number;
   readonly slope: number;
@@ -11,7 +11,7 @@
   readonly r2: number;
 }
 
-/** Fits a line to points `[x, value]`. */
+/** Fits a line to points `[x, value]` by least squares. */
 export function fitLine(points: readonly (readonly [x: number, value: number])[]): Fit {
   const count = points.length;
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / count;
--- a/packages/operator/src/bench/fleetBench.ts
+++ b/packages/operator/src/bench/fleetBench.ts
@@ -1,22 +1,23 @@
 /**
- * `npm run bench -- fleet`: what gateways tell each other and ask the store without a load, against their number. All
- * of them run in one process with stand-ins, so bytes, messages and calls are measured, processor time is not.
+ * `npm run bench -- fleet`: measures the peer traffic and the store calls of idle gateways, by number of instances. All
+ * instances run in one process with a fake platform, so bytes, messages and calls are measured but CPU time is not.
  * @module
  */
 import { SystemClock, waitFor } from "@gladewall/kernel";
 import { createWorkspace, GatewayTestBench, FakePlatform, waitUntil } from "@gladewall/standins";
 
-/** One measured size of fleet. */
+/** Measurements of one fleet size. */
 export interface FleetPoint {
   readonly instances: number;
-  /** Of an instance that is no collector, and of one that is; in a mesh every instance is one. */
+  /** Mean of the instances that are no collector; undefined in a full mesh, where every instance is a collector. */
   readonly member: PeerTrafficRate | undefined;
+  /** Mean of the collectors. */
   readonly collector: PeerTrafficRate | undefined;
-  /** Calls on the store a second, all instances together. */
+  /** Calls of the store per second by all instances together. */
   readonly storeCalls: number;
 }
 
-/** Bytes and messages a second. */
+/** Peer traffic of an instance, in bytes and messages per second. */
 export interface PeerTrafficRate {
   readonly sentBytes: number;
   readonly receivedBytes: number;
@@ -28,7 +29,7 @@
 const endpoints = 60;
 const millisecondsPerSecond = 1_000;
 
-/** Runs the bench, `window` milliseconds a size. */
+/** Runs the benchmark and measures each fleet size for `window` milliseconds. */
 export async function runFleetBench(window: number, print: (line: string) => void): Promise<unknown> {
   const points: FleetPoint[] = [];
   for (const size of sizes) {
--- a/packages/operator/src/bench/main.ts
+++ b/packages/operator/src/bench/main.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench -- <name>`: measurements. Each prints as it goes and writes its result to `docs/results/`.
+ * `npm run bench -- <name>`: runs benchmarks by name. Each prints its measurements as they are made and writes its result
+ * to `docs/results/<name>.json`.
  * @module
  */
 import { mkdirSync, writeFileSync } from "node:fs";
--- a/packages/operator/src/bench/stalenessBench.ts
+++ b/packages/operator/src/bench/stalenessBench.ts
@@ -1,27 +1,27 @@
 /**
- * `npm run bench -- staleness`: a model of engines that read prompts one after another while many instances place
- * requests by what they knew of each engine some time ago. It tells what old knowledge costs, against choosing with
- * full knowledge, and whether choosing among few drawn engines, or by noise, makes up for it. No clock, no network:
- * draws are seeded.
+ * `npm run bench -- staleness`: simulates engines that prefill prompts one after another while many instances place
+ * requests by state of the engines that is some time old. It measures how much waiting time the stale state costs
+ * compared with current state, and whether choosing among a few random engines, or adding noise, compensates for it. The
+ * simulation uses no clock and no network, and its random numbers are seeded.
  * @module
  */
 import { SeededRandom } from "../soak/seededRandom.js";
 
-/** How instances choose. */
+/** Rule by which an instance chooses an engine. */
 export interface ChoiceRule {
   readonly name: string;
-  /** Engines drawn to choose among; undefined: all. */
+  /** Number of random engines to choose among; undefined for all. */
   readonly drawn?: number;
-  /** Milliseconds by which what is known of each engine is spread. */
+  /** Largest random time that is added to the known wait of each engine, milliseconds. */
   readonly spreadMs: number;
 }
 
-/** One measured case; times in milliseconds of waiting before a prompt is read. */
+/** Result of one case. The times are waits before a prompt is prefilled, in milliseconds. */
 export interface StalenessPoint {
   readonly engines: number;
   readonly instances: number;
   readonly requestsPerSecond: number;
-  /** Mean age of what an instance knows of others' requests. */
+  /** Mean time until an instance knows of a request that another instance placed. */
   readonly ageMs: number;
   readonly rule: string;
   readonly meanMs: number;
@@ -53,7 +53,7 @@
   { name: "least of 2 drawn", drawn: 2, spreadMs: 4 },
   { name: "least of 8 drawn", drawn: 8, spreadMs: 4 },
 ];
-/** Reading times and how often they come, as of long, short and middle prompts at 64 tokens a millisecond. */
+/** Prefill times of long, short and medium prompts at 64 tokens per millisecond, weighted by their frequency. */
 const prompts = [
   { weight: 21, readingMs: 187 },
   { weight: 33, readingMs: 13 },
@@ -62,11 +62,11 @@
 const seed = 26;
 const warmUpMs = 5_000;
 const lengthMs = 40_000;
-/** Placements older than this are shown in every view. */
+/** Age after which every instance knows of a placement. */
 const visibleAfterMs = 1_500;
 const resolution = 1_000_000;
 
-/** Runs all cases. */
+/** Runs all combinations of fleet, age and rule. */
 export async function runStalenessBench(print: (line: string) => void): Promise<unknown> {
   const points: StalenessPoint[] = [];
   for (const fleet of fleets) {
@@ -81,7 +81,7 @@
   return { command: "npm run bench -- staleness", seed, lengthMs, points };
 }
 
-/** Plays one case. */
+/** Simulates one case. */
 export function measureCase(fleet: Fleet, ageMs: number, rule: ChoiceRule): StalenessPoint {
   const draws = SeededRandom.create(seed);
   const drawFraction = (): number => draws.getInteger(0, resolution - 1) / resolution;
@@ -91,7 +91,7 @@
   for (let time = 0; time < lengthMs;) {
     time += (-Math.log(1 - drawFraction()) * 1_000) / fleet.requestsPerSecond;
     const readingMs = (draws.chooseWeighted(prompts)?.readingMs ?? 0) * (0.5 + drawFraction());
-    // An instance's own requests are a share of all: it knows those at once, the others after the age.
+    // An instance made 1 / `instances` of the requests itself and knows those at once, the others only after the age.
     const unseen = recent.filter(
       ({ at }) => at > time - ageMs * (0.5 + drawFraction()) && drawFraction() > 1 / fleet.instances,
     );
--- a/packages/operator/src/commands/local.ts
+++ b/packages/operator/src/commands/local.ts
@@ -1,5 +1,6 @@
 /**
- * `gladewall local`: the whole system in one process, with a few requests of both kinds and one explanation.
+ * `gladewall local`: starts the whole system in one process, then sends a model request and a web request and prints the
+ * explanation of the first.
  * @module
  */
 import { Logger, LogLevel } from "@gladewall/kernel";
@@ -8,21 +9,21 @@
 import { LocalFleet, localOperatorKey } from "../local/localFleet.js";
 import { sampleConfiguration, sampleKeys } from "../local/sampleTable.js";
 
-/** Options of the command. */
+/** Command-line options of `gladewall local`. */
 export interface LocalArguments {
   readonly exit: boolean;
   readonly entries: number;
   readonly verbose: boolean;
 }
 
-/** Halls of the skip yards. */
+/** Data halls of the local fleet. */
 const halls = ["zogno", "piazza", "lenna", "bergamo"];
 const runnerCount = 6;
 const webCount = 4;
 
 type Print = (line: string) => void;
 
-/** Runs the command; resolves with the exit code. */
+/** Runs the command and resolves with the exit code. */
 export async function runLocal(options: LocalArguments, print: Print): Promise<number> {
   const fleet = await LocalFleet.create({
     entries: options.entries,
--- a/packages/operator/src/index.ts
+++ b/packages/operator/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' side: command line and local fleet.
+ * Local fleet, sample configuration and the soak test's caller and checker. The command line is in `main.ts`.
  * @module
  */
 export * from "./local/localFleet.js";
--- a/packages/operator/src/local/localFleet.ts
+++ b/packages/operator/src/local/localFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A whole gladewall in one process, on loopback: stand-in platform, four data halls with runners and a web service,
- * and entries.
+ * Runs the whole system in one process on the loopback interface: a fake platform, model engines and web services in
+ * several data halls, and entries.
  * @module
  */
 import { type InstanceRecord, InstanceRole, InstanceState, PriceClass } from "@gladewall/coordination";
@@ -26,7 +26,7 @@
   FakeWeightStore,
 } from "@gladewall/standins";
 
-/** Sizes of a local fleet. */
+/** Size and settings of a local fleet. */
 export interface LocalOptions {
   readonly entries: number;
   readonly runners: number;
@@ -35,37 +35,37 @@
   readonly configuration: Configuration;
   readonly engine: EngineOptions;
   readonly logger: Logger;
-  /** More settings of entries, `section.key=value`. */
+  /** Further settings of the entries as `section.key=value`. */
   readonly overrides: readonly string[];
 }
 
-/** An entry and where it listens. */
+/** A started entry with its addresses and its record on the instance list. */
 export interface LocalEntry {
   readonly entry: Entry;
   readonly addresses: EntryAddresses;
   readonly record: InstanceRecord;
 }
 
-/** Operator key of a local fleet. */
+/** Operator key of all entries of a local fleet. */
 export const localOperatorKey = "local-operator-key";
 
 const peerSecret = "local-secret-of-all-entries";
 const reclaimablePrice = 120;
 const onDemandPrice = 400;
-/** Links that each entry keeps: the default of `[peers] links`. */
+/** Number of peer links that each entry keeps open, which is the default of `[peers] links`. */
 const linksPerEntry = 16;
-/** Milliseconds between readings of the list: short, so that a local fleet is soon linked. */
+/** Interval between readings of the instance list. It is short so that the entries of a local fleet link quickly. */
 const listIntervalMs = 50;
 const weightBytes = 16_000_000_000;
 
-/** The running fleet. */
+/** A running local fleet. Tests use its methods to stop, kill and replace instances. */
 export class LocalFleet {
   readonly entries: LocalEntry[] = [];
   readonly engines = new Map<string, FakeEngine>();
   readonly webs = new Map<string, FakeWebService>();
-  /** Instances that were killed. */
+  /** Ids of instances that were killed. */
   private readonly killed = new Set<string>();
-  /** Instances that have their notice. */
+  /** Ids of instances that have a reclaim notice. */
   private readonly leaving = new Set<string>();
   private readonly endpointRecords = new Map<string, InstanceRecord>();
   private incarnations = 0;
@@ -77,7 +77,7 @@
     readonly weights: FakeWeightStore,
   ) {}
 
-  /** Starts everything and waits until each entry has the configuration. */
+  /** Starts all instances and waits until the entries are ready, as `waitUntilReady` does. */
   static async create(options: LocalOptions): Promise<LocalFleet> {
     const keyValue = await FakeKeyValueServer.create();
     const platform = await FakeCloudServices.create();
@@ -95,7 +95,7 @@
     return fleet;
   }
 
-  /** Resolves when every entry has the configuration and is linked with all others. */
+  /** Resolves when every running entry has the configuration and is linked to the other entries (at most 16). */
   async waitUntilReady(): Promise<void> {
     const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     await Promise.all(live.map(({ entry }) => entry.waitUntilReady()));
@@ -104,12 +104,12 @@
     );
   }
 
-  /** Data hall of the instance of a number. */
+  /** Returns the data hall of the instance with an index. */
   getHall(index: number): string {
     return this.options.halls[index % this.options.halls.length] ?? "hall";
   }
 
-  /** Starts a model runner and puts it on the list. */
+  /** Starts a model engine and publishes it on the instance list. */
   async addEngine(index: number): Promise<InstanceRecord> {
     const engine = await FakeEngine.create(this.options.engine);
     const record = this.createRecord(`runner-${index}`, "model", "openai-engine", engine.address, index);
@@ -119,7 +119,7 @@
     return record;
   }
 
-  /** Starts a web endpoint and puts it on the list. */
+  /** Starts an endpoint of the web service and publishes it on the instance list. */
   async addWeb(index: number): Promise<InstanceRecord> {
     const web = await FakeWebService.create();
     const record = this.createRecord(`booking-${index}`, "booking", "http-service", web.address, index);
@@ -129,7 +129,7 @@
     return record;
   }
 
-  /** Starts an entry and puts it on the list. */
+  /** Starts an entry and publishes it on the instance list. */
   async addEntry(index: number): Promise<LocalEntry> {
     const name = `entry-${index}`;
     const draft = this.createRecord(name, "", "", "", index);
@@ -138,8 +138,11 @@
       environment: {},
       overrides: [`platform.list_interval=${listIntervalMs}`, ...this.options.overrides],
     });
-    const entry = Entry.create(settings.expect("local settings are good"), this.options.logger);
-    const started = entry.expect("local plug-ins are known");
+    const entry = Entry.create(
+      settings.expect("the settings of a local fleet are valid"),
+      this.options.logger,
+    );
+    const started = entry.expect("the plug-ins of a local fleet are registered");
     const addresses = await started.start();
     const record = { ...draft, address: addresses.peers, role: InstanceRole.Entry };
     const local = { entry: started, addresses, record };
@@ -148,21 +151,24 @@
     return local;
   }
 
-  /** Callers' addresses of entries that run and are ready, as a balancer sees them. */
+  /**
+   * Returns the caller addresses of the ready entries, as a load balancer knows them; of all running entries if none is
+   * ready.
+   */
   getCallerAddresses(): readonly string[] {
     const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     const ready = live.filter(({ entry }) => entry.getUnreadyReason() === undefined);
     return (ready.length > 0 ? ready : live).map(({ addresses }) => addresses.front);
   }
 
-  /** What the endpoints did, those that died too. */
+  /** Returns the records of all endpoints, including those that were killed. */
   getRecords(): { readonly runs: readonly RunRecord[]; readonly calls: readonly WebRecord[] } {
     const runs = [...this.engines.values()].flatMap((engine) => engine.records);
     const calls = [...this.webs.values()].flatMap((web) => web.records);
     return { runs, calls };
   }
 
-  /** Kills an entry as a death does; the list says so after its lag. */
+  /** Closes an entry as a crash would and removes it from the instance list, which shows that after its delay. */
   async killEntry(id: string): Promise<void> {
     const local = this.entries.find(({ record }) => record.id === id);
     if (!local || this.killed.has(id)) return;
@@ -171,25 +177,25 @@
     await local.entry.kill();
   }
 
-  /** Kills an endpoint as a death does. */
+  /** Closes an endpoint as a crash would and removes it from the instance list. */
   async killEndpoint(id: string): Promise<void> {
     this.killed.add(id);
     this.platform.remove(id);
     await (this.engines.get(id) ?? this.webs.get(id))?.close();
   }
 
-  /** Notes that an instance has its notice: it is chosen for no other failure. */
+  /** Records that an instance has a reclaim notice, so that it is not chosen for another fault. */
   markLeaving(id: string): void {
     this.leaving.add(id);
   }
 
-  /** Entries that may be taken while so many stay. */
+  /** Returns the entries of which one can be removed such that at least `least` remain. */
   getReplaceableEntries(least: number): readonly string[] {
     const free = this.entries.map(({ record }) => record.id).filter((id) => this.isFree(id));
     return free.length > least ? free : [];
   }
 
-  /** Endpoints that may be taken while so many of their service stay. */
+  /** Returns the endpoints of which one can be removed such that at least `least` of its service remain. */
   getReplaceableEndpoints(least: number): readonly string[] {
     const groups = [[...this.engines.keys()], [...this.webs.keys()]];
     return groups.flatMap((ids) => {
@@ -198,7 +204,7 @@
     });
   }
 
-  /** Reclaimable endpoints of data halls that may be taken together while so many of each service stay elsewhere. */
+  /** Returns endpoints of data halls that can be removed together such that at least `least` of each service remain. */
   getReclaimable(halls: ReadonlySet<string>, least: number): readonly string[] {
     const groups = [[...this.engines.keys()], [...this.webs.keys()]];
     return groups.flatMap((ids) => {
@@ -208,17 +214,17 @@
     });
   }
 
-  /** Engines that run. */
+  /** Returns the running engines. */
   getLiveEngines(): readonly FakeEngine[] {
     return [...this.engines].filter(([id]) => !this.killed.has(id)).map(([, engine]) => engine);
   }
 
-  /** Web endpoints that run. */
+  /** Returns the running endpoints of the web service. */
   getLiveWebs(): readonly FakeWebService[] {
     return [...this.webs].filter(([id]) => !this.killed.has(id)).map(([, web]) => web);
   }
 
-  /** Starts another endpoint of the same service in place of one that was taken. */
+  /** Starts another endpoint of the same service to replace one that was removed. */
   async replaceEndpoint(id: string): Promise<void> {
     const index = this.engines.size + this.webs.size;
     if (this.engines.has(id)) await this.addEngine(index);
@@ -229,7 +235,7 @@
     return !this.killed.has(id) && !this.leaving.has(id);
   }
 
-  /** Resolves when every running entry satisfies a condition. */
+  /** Resolves when every running entry satisfies the condition. */
   async waitForView(condition: (entry: Entry) => boolean): Promise<void> {
     const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     while (!live.every(({ entry }) => condition(entry))) {
@@ -237,7 +243,7 @@
     }
   }
 
-  /** Posts to a running entry and reads the answer. */
+  /** Sends a POST request to a running entry and returns the status and the parsed JSON body of the response. */
   async post(
     path: string,
     body: string,
@@ -254,7 +260,7 @@
     return { status: answer.statusCode, body: await answer.body.json() };
   }
 
-  /** Stops everything: entries as planned, then the stand-ins. */
+  /** Stops the entries as planned, then closes the fake endpoints and the fake platform. */
   async close(): Promise<void> {
     const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     await Promise.all(live.map(({ entry }) => entry.stop()));
--- a/packages/operator/src/local/sampleTable.ts
+++ b/packages/operator/src/local/sampleTable.ts
@@ -1,11 +1,11 @@
 /**
- * The table that `gladewall local` starts with: the skip yards' rows, keys included.
+ * The sample configuration of `gladewall local`: policy rows, workspaces with their keys, and services.
  * @module
  */
 import { ServiceKind } from "@gladewall/coordination";
 import { type Configuration, getKeyHash, RepeatRule, type PolicyRow, wildcard } from "@gladewall/policy";
 
-/** Keys of the sample workspaces; only for `local`. */
+/** API keys of the sample workspaces, by workspace. They are public and used only in local fleets. */
 export const sampleKeys = { dispatch: "local-dispatch-key", cab: "local-cab-key" } as const;
 
 const urgentPriority = 9;
@@ -27,7 +27,7 @@
   };
 }
 
-/** The sample configuration. */
+/** Configuration of a local fleet unless a test gives its own. */
 export const sampleConfiguration: Configuration = {
   version: 1,
   rows: [
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `gladewall`: the operators' command line.
+ * `gladewall`, the command line for operators. Its only command, `local`, runs the whole system in one process.
  * @module
  */
 import yargs from "yargs";
--- a/packages/operator/src/soak/caller.ts
+++ b/packages/operator/src/soak/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller that does what the documentation tells callers to do: follows `303`, comes back to a stream with
- * `Last-Event-ID`, repeats a keyed request with its key, and goes to another entry when one is lost.
+ * A client of the gateway that recovers as callers are expected to: follows `303`, reconnects to a stream with
+ * `Last-Event-ID`, retries a request with its idempotency key, and connects to another entry if one fails.
  * @module
  */
 import { Outcome, outcomeNames } from "@gladewall/kernel";
@@ -10,10 +10,10 @@
 
 /** Options of a caller. */
 export interface CallerOptions {
-  /** Returns the callers' address of an entry, as a balancer chooses it. */
+  /** Returns the address of the entry for the next request, as a load balancer would choose it. */
   readonly chooseEntry: () => string;
   readonly key: string;
-  /** Milliseconds after which a caller gives up. */
+  /** Time after which a request without a final response is abandoned, milliseconds. */
   readonly timeoutMs: number;
   readonly modelService: string;
   readonly webService: string;
@@ -31,7 +31,7 @@
   readonly retryAfterMs: number;
 }
 
-/** State of one call, over all its returns. */
+/** State of one request over all its reconnections and retries. */
 interface CallState {
   readonly request: CallerRequest;
   readonly started: number;
@@ -39,12 +39,12 @@
   readonly parts: string[];
   lastEventId: string | undefined;
   returns: number;
-  /** Code of the last problem after which it came back. */
+  /** Code of the last problem after which the caller reconnected or retried. */
   lastCode: number | undefined;
   firstMs: number | undefined;
 }
 
-/** What one exchange led to; undefined means that the caller has to come back. */
+/** Result of one exchange; undefined if the caller has to reconnect or retry. */
 type Step = Pick<CallerResult, "verdict" | "text" | "outcome" | "code"> | undefined;
 
 const outcomesByName: ReadonlyMap<string, Outcome> = new Map([
@@ -53,7 +53,7 @@
   [outcomeNames[Outcome.Ran], Outcome.Ran],
 ]);
 
-/** Makes requests and reports what it was told. */
+/** Makes requests and returns their results as a caller sees them. */
 export class Caller {
   private readonly agent = new Agent({
     headersTimeout: headersTimeoutMs,
@@ -67,7 +67,7 @@
     return new Caller(options);
   }
 
-  /** Makes one request and follows it to its end. */
+  /** Makes one request and reconnects or retries until it has a final result or the timeout passes. */
   async makeRequest(ask: CallerRequest): Promise<CallerResult> {
     const call: CallState = {
       request: ask,
@@ -108,12 +108,12 @@
       call.firstMs ??= performance.now() - call.started;
       return await this.handle(call, response);
     } catch {
-      // The entry is gone, or cut the answer: the caller comes back.
+      // The entry failed or interrupted the response, so the caller reconnects.
       return undefined;
     }
   }
 
-  /** Comes back to a request whose id is known, or makes it (again, with its key). */
+  /** Reconnects to a request whose id is known; otherwise sends it, or sends it again with its key. */
   private send(call: CallState): Promise<Dispatcher.ResponseData> {
     const id = call.requests[call.requests.length - 1];
     const origin = `http://${this.options.chooseEntry()}`;
@@ -178,7 +178,7 @@
     if (!problem) return undefined;
     call.lastCode = problem.code;
     if (problem.code === codeUnknownRequest) {
-      // A keyed request is asked for again by its key; one without is looked for until patience ends.
+      // A request with a key is sent again. One without a key is read by its id again until the timeout passes.
       if (call.request.kind !== CallerRequestKind.Stream) call.requests.length = 0;
       return undefined;
     }
@@ -231,7 +231,7 @@
   }
 }
 
-/** Returns the part of an answer that shows whose it is. */
+/** Returns the part of a response that identifies its request. */
 function getAnswerText(ask: CallerRequest, text: string): string {
   const body = JSON.parse(text) as {
     body?: string;
--- a/packages/operator/src/soak/checker.ts
+++ b/packages/operator/src/soak/checker.ts
@@ -1,5 +1,6 @@
 /**
- * Compares what callers were told with the endpoints' independent records of what really ran.
+ * Compares the results that callers saw with the endpoints' own records of what they ran, and reports each violation of a
+ * guarantee.
  * @module
  */
 import { Outcome } from "@gladewall/kernel";
@@ -12,26 +13,26 @@
   ResultKind,
 } from "./types.js";
 
-/** What the endpoints did. */
+/** Records of all runs at engines and all calls of web services. */
 export interface EndpointRecords {
   readonly runs: readonly RunRecord[];
   readonly calls: readonly WebRecord[];
 }
 
-/** A broken promise in words, for finding its cause. */
+/** A violated guarantee, with the details needed to find its cause. */
 export interface Violation {
   readonly promise: keyof ViolationCounts;
   readonly told: CallerResult;
   readonly detail: string;
 }
 
-/** Result of a check. */
+/** Result of a check: counts of violations, of complete responses and of problems. */
 export interface CheckResult {
   readonly violations: ViolationCounts;
   readonly findings: readonly Violation[];
   readonly complete: number;
   readonly problems: number;
-  /** Problems whose outcome is "unknown" or "ran". */
+  /** Number of problems whose outcome is "unknown" or "ran". */
   readonly uncertain: number;
 }
 
@@ -40,7 +41,7 @@
   CallerRequestKind.Booking,
 ]);
 
-/** Checks every promise for every caller. */
+/** Checks every guarantee for each result. */
 export function checkGuarantees(told: readonly CallerResult[], records: EndpointRecords): CheckResult {
   const violations: ViolationCounts = { lost: 0, doubled: 0, foreign: 0, cut: 0, notRunButRan: 0 };
   const findings: Violation[] = [];
@@ -61,17 +62,17 @@
   };
 }
 
-/** Number of broken promises in all. */
+/** Returns the total number of violations. */
 export function countViolations(broken: ViolationCounts): number {
   return broken.lost + broken.doubled + broken.foreign + broken.cut + broken.notRunButRan;
 }
 
-/** Counts how often each mark was really worked on. */
+/** Counts how often the endpoints ran the request of each mark. */
 function countRuns(records: EndpointRecords): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   const add = (mark: string): void => void counts.set(mark, (counts.get(mark) ?? 0) + 1);
   for (const run of records.runs) {
-    // A run that was cancelled in the endpoint's queue never emitted anything and did no work.
+    // A run that was cancelled while it was queued at the endpoint emitted nothing and does not count as run.
     const didWork =
       run.position > run.start || run.state === RunState.Running || run.state === RunState.Finished;
     if (didWork) add(run.prompt.replace(/^user: /, ""));
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -1,12 +1,13 @@
 /**
- * The failures of a soak, drawn by a seeded script. Each mends itself: what is taken is replaced, as the platform does.
+ * Injects the faults of a soak test, chosen by a seeded random generator. Each fault ends by itself: an instance that was
+ * removed is replaced, as the platform does.
  * @module
  */
 import { EngineFault, KeyValueFault, WebFault } from "@gladewall/standins";
 import type { LocalFleet } from "../local/localFleet.js";
 import type { SeededRandom } from "./seededRandom.js";
 
-/** Failures counted by kind. */
+/** Number of injected faults by kind. */
 export interface FaultCounts {
   reclaims: number;
   crashes: number;
@@ -40,7 +41,7 @@
   KeyValueFault.MissedWatches,
 ];
 
-/** Provokes failures until told to stop. */
+/** Injects faults until it is stopped. */
 export class FaultInjector {
   readonly counts: FaultCounts = { reclaims: 0, crashes: 0, outages: 0, misbehaviours: 0 };
   private readonly faults: readonly Fault[];
@@ -75,17 +76,17 @@
     return new FaultInjector(fleet, seeded, log);
   }
 
-  /** Provokes a failure each `pauseMs` on average, often several at once, until `stop`. */
+  /** Injects a fault every `pauseMs` on average until `stop`; faults may overlap. */
   async run(pauseMs: number): Promise<void> {
     while (!this.isStopped) {
       const fault = this.seeded.chooseWeighted(this.faults);
       if (fault) this.start(fault);
-      // Short pauses are as likely as long ones: failures come together.
+      // The pause is uniformly distributed from 0, so that some faults overlap.
       await pause(this.seeded.getInteger(0, pauseMs * 2));
     }
   }
 
-  /** Provokes nothing more, and waits until everything is mended. */
+  /** Injects no more faults, and resolves when the injected ones have ended. */
   async stop(): Promise<void> {
     this.isStopped = true;
     await Promise.all(this.running);
--- a/packages/operator/src/soak/main.ts
+++ b/packages/operator/src/soak/main.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run soak -- --seed N --minutes M`: bounded in count and time; exit code 1 where a promise was broken.
+ * `npm run soak -- --seed N --minutes M`: runs the soak test, limited in requests and time. Exits with 1 if a guarantee
+ * was violated.
  * @module
  */
 import yargs from "yargs";
--- a/packages/operator/src/soak/seededRandom.ts
+++ b/packages/operator/src/soak/seededRandom.ts
@@ -1,11 +1,11 @@
 /**
- * Seeded draws, so that a soak's script is the same for the same seed.
+ * Seeded random numbers, so that a soak test chooses the same requests and faults for the same seed.
  * @module
  */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** A source of draws. */
+/** A seeded random number generator. */
 export class SeededRandom {
   private constructor(private readonly generator: ReturnType<typeof xoroshiro128plus>) {}
 
@@ -13,17 +13,17 @@
     return new SeededRandom(xoroshiro128plus(seed));
   }
 
-  /** Draws a whole number from `lowest` to `highest`, both included. */
+  /** Returns a random integer from `lowest` to `highest`, both included. */
   getInteger(lowest: number, highest: number): number {
     return uniformInt(this.generator, lowest, highest);
   }
 
-  /** Draws one of a list; undefined where the list is empty. */
+  /** Returns a random item of a list, or undefined if the list is empty. */
   choose<Item>(items: readonly Item[]): Item | undefined {
     return items.length === 0 ? undefined : items[this.getInteger(0, items.length - 1)];
   }
 
-  /** Draws one of a list by weights. */
+  /** Returns a random item of a list, with a probability proportional to its weight; undefined if the list is empty. */
   chooseWeighted<Item extends { readonly weight: number }>(items: readonly Item[]): Item | undefined {
     const total = items.reduce((sum, item) => sum + item.weight, 0);
     let place = this.getInteger(1, Math.max(1, total));
--- a/packages/operator/src/soak/soak.ts
+++ b/packages/operator/src/soak/soak.ts
@@ -1,6 +1,6 @@
 /**
- * The soak: callers ask without pause while a seeded script provokes failures; at the end what they were told is
- * compared with what ran.
+ * The soak test: callers make requests without pause while a seeded fault injector causes failures. At the end the
+ * results that callers saw are compared with what the endpoints ran.
  * @module
  */
 import { Logger } from "@gladewall/kernel";
@@ -13,34 +13,34 @@
 import { SeededRandom } from "./seededRandom.js";
 import { type CallerRequest, CallerRequestKind, type CallerResult } from "./types.js";
 
-/** Sizes of one user. */
+/** Size of the fleet of one user of the gateway. */
 export interface UserSize {
   readonly halls: readonly string[];
   readonly runners: number;
   readonly webEndpoints: number;
 }
 
-/** Both users' sizes of today. */
+/** Fleet sizes of the two users, by their name. */
 export const userSizes: Readonly<Record<string, UserSize>> = {
   "skip-yards": { halls: ["zogno", "piazza", "lenna", "bergamo"], runners: 6, webEndpoints: 4 },
   tsarevets: { halls: ["lozenets", "mladost", "lyulin", "druzhba"], runners: 13, webEndpoints: 4 },
 };
 
-/** Options of a soak. */
+/** Options of a soak test. */
 export interface SoakOptions {
   readonly seed: number;
   readonly user: UserSize;
   readonly entries: number;
-  /** Milliseconds of failures. */
+  /** Time during which requests are made and faults are injected, milliseconds. */
   readonly durationMs: number;
-  /** Callers that ask at the same time. */
+  /** Number of concurrent callers. */
   readonly callers: number;
-  /** Requests in all, at most. */
+  /** Maximum number of requests in total. */
   readonly maxRequests: number;
   readonly print: (line: string) => void;
 }
 
-/** What a soak found. */
+/** Result of a soak test. */
 export interface SoakResult {
   readonly requests: number;
   readonly faults: FaultCounts;
@@ -72,7 +72,7 @@
   { kind: CallerRequestKind.Page, weight: 1 },
 ];
 
-/** Runs a soak to its end. */
+/** Runs a soak test to its end. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const fleet = await createSoakFleet(options);
   const seeded = SeededRandom.create(options.seed);
--- a/packages/operator/src/soak/types.ts
+++ b/packages/operator/src/soak/types.ts
@@ -1,69 +1,69 @@
 /**
- * Shapes of the soak: what callers ask, what they are told, and what is counted.
+ * Types of the soak test: callers' requests, their results, and the counted violations.
  * @module
  */
 import type { Outcome } from "@gladewall/kernel";
 
-/** Kinds of request that the soak makes. */
+/** Kind of a request of the soak test. */
 export enum CallerRequestKind {
-  /** A model's answer, streamed; may be repeated. */
+  /** A streamed model response that may be repeated. */
   Stream = 1,
-  /** A model's answer in one document; may be repeated; with a key. */
+  /** A model response in one document, with an idempotency key; may be repeated. */
   Whole = 2,
-  /** A citation draft: a model's answer that may run only once; with a key. */
+  /** A model response in one document, with an idempotency key, that may run only once (a citation draft). */
   Draft = 3,
-  /** A booking at a web service that may run only once; with a key. */
+  /** A POST to a web service, with an idempotency key, that may run only once. */
   Booking = 4,
-  /** A page of a web service. */
+  /** A GET of a page of a web service. */
   Page = 5,
 }
 
-/** One request that a caller makes. */
+/** A request that a caller makes. */
 export interface CallerRequest {
   readonly kind: CallerRequestKind;
-  /** Unique text that the endpoint's record shows. */
+  /** Unique text by which the request is found in the endpoints' records. */
   readonly mark: string;
   readonly outputTokens: number;
   readonly requestClass: string;
 }
 
-/** What a caller was told in the end. */
+/** Kind of a request's final result at its caller. */
 export enum ResultKind {
-  /** A whole answer. */
+  /** A response that the caller takes as complete. */
   Complete = 1,
   /** A refusal or failure with an outcome. */
   Problem = 2,
-  /** Nothing in all the time it had. */
+  /** No final response before the caller's timeout. */
   TimedOut = 3,
 }
 
-/** What became of one request, as its caller saw it. */
+/** Final result of a request as its caller saw it. */
 export interface CallerResult {
   readonly ask: CallerRequest;
   readonly verdict: ResultKind;
-  /** Text of a whole answer. */
+  /** Text of the response, as far as it was received. */
   readonly text: string;
-  /** Outcome and code of a problem. */
+  /** Outcome of a problem; with `code`, undefined for a complete response. */
   readonly outcome: Outcome | undefined;
   readonly code: number | undefined;
-  /** Request ids the caller has seen, the last one last. */
+  /** Request ids that the caller received, the latest last. */
   readonly requests: readonly string[];
-  /** Times the caller had to come back. */
+  /** Number of times that the caller reconnected or retried. */
   readonly returns: number;
-  /** Milliseconds to the first byte of an answer; undefined without one. */
+  /** Milliseconds until the first response head; undefined without one. */
   readonly firstMs: number | undefined;
 }
 
-/** Broken promises, counted. All must be zero. */
+/** Number of violations of each guarantee. All must be zero. */
 export interface ViolationCounts {
-  /** Accepted and never answered. */
+  /** The caller got no final response. */
   lost: number;
-  /** Run twice although not to be repeated. */
+  /** A request that may run only once ran more than once. */
   doubled: number;
-  /** Another's answer. */
+  /** The caller got the response to another request. */
   foreign: number;
-  /** Passed off as whole, but not. */
+  /** A truncated response was presented as complete. */
   cut: number;
-  /** Told "not run", but it ran. */
+  /** The outcome was "not run", but the request ran. */
   notRunButRan: number;
 }
