--- a/packages/entry/src/callerServer.ts
+++ b/packages/entry/src/callerServer.ts
@@ -119,7 +119,7 @@
       callerLeft.abort();
       this.handleResponseClosed();
     });
-    response.setTimeout(this.settings.write_timeout, () => this.endSlowReader(response));
+    response.setTimeout(this.settings.write_timeout, () => this.closeSlowReader(response));
     const id = this.createId();
     const url = tryParseUrl(request);
     const badPath = Failure.create(FailureCode.BadRequest, { detail: "the path" });
@@ -150,7 +150,7 @@
   }
 
   /** Closes the connection of a caller that does not read, but only while written bytes wait to be read. */
-  private endSlowReader(response: ServerResponse): void {
+  private closeSlowReader(response: ServerResponse): void {
     if (response.writableLength > 0) response.destroy();
   }
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -71,7 +71,7 @@
       getUnreadyReason: () => this.getUnreadyReason(),
       getStatus: () => this.getStatus(),
     });
-    membership.onOwnNotice((remaining) => void this.leave(remaining));
+    membership.onOwnNotice((remainingMs) => void this.leave(remainingMs));
     this.setGauges();
   }
 
@@ -141,11 +141,11 @@
   }
 
   /**
-   * Stops within `remaining` milliseconds: lets requests end until `notice_lead` milliseconds before that, then hands the
-   * others over to their backups and closes.
+   * Stops within `remainingMs`: lets requests end until `notice_lead` milliseconds before that, then hands the others over
+   * to their backups and closes.
    */
-  leave(remaining: number): Promise<void> {
-    this.ending ??= this.leaveWithin(remaining);
+  leave(remainingMs: number): Promise<void> {
+    this.ending ??= this.leaveWithin(remainingMs);
     return this.ending;
   }
 
@@ -170,12 +170,12 @@
     await this.finishLeaving();
   }
 
-  private async leaveWithin(remaining: number): Promise<void> {
-    const { notice_lead: lead } = this.settings.entry;
+  private async leaveWithin(remainingMs: number): Promise<void> {
+    const { notice_lead: leadMs } = this.settings.entry;
     this.startLeaving();
-    await this.waitForIdleWithin(Math.max(0, remaining - lead));
+    await this.waitForIdleWithin(Math.max(0, remainingMs - leadMs));
     await this.serving.handOver();
-    await this.waitForIdleWithin(lead);
+    await this.waitForIdleWithin(leadMs);
     await this.finishLeaving();
   }
 
@@ -198,10 +198,10 @@
     await this.front.waitForIdle();
   }
 
-  private async waitForIdleWithin(limit: number): Promise<void> {
+  private async waitForIdleWithin(limitMs: number): Promise<void> {
     let cancel = (): void => undefined;
     const timedOut = new Promise<void>((resolve) => {
-      const timer = this.clock.startTimer(limit, resolve);
+      const timer = this.clock.startTimer(limitMs, resolve);
       cancel = () => timer.cancel();
     });
     await Promise.race([this.waitForIdle(), timedOut]);
--- a/packages/entry/src/envelope.ts
+++ b/packages/entry/src/envelope.ts
@@ -24,7 +24,7 @@
 const webWorkTokens = 1;
 const classPattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
-/** Returns a new request id: the name of the entry that accepts it, a dot and 15 random bytes in base64url. */
+/** Returns a new request id: the name of the entry that accepts it, a dot and random characters that can't be guessed. */
 export function createRequestId(entry: string): string {
   return `${entry}.${randomBytes(requestIdBytes).toString("base64url")}`;
 }
@@ -202,7 +202,7 @@
   return hash.digest("hex");
 }
 
-/** Returns the number of tokens that a request is charged with: prompt and output of a model request, otherwise 1. */
+/** Returns the number of tokens that a request is charged with: prompt and output of a model request, otherwise one. */
 export function getWorkTokens(envelope: Envelope): number {
   if (!envelope.model) return webWorkTokens;
   return envelope.model.promptTokens + envelope.model.outputTokens;
--- a/packages/entry/src/modelResponse.ts
+++ b/packages/entry/src/modelResponse.ts
@@ -17,28 +17,28 @@
 
 /** Formats the responses of one model form. */
 interface ResponseFormat {
-  readonly chunkObject: string;
-  readonly wholeObject: string;
+  readonly chunkObjectName: string;
+  readonly completeObjectName: string;
   formatChoice(text: string, finish: string | null): unknown;
-  formatWhole(text: string, finish: string): unknown;
+  formatCompleteChoice(text: string, finish: string): unknown;
 }
 
 const responseFormats: Readonly<Record<ModelForm, ResponseFormat>> = {
   [ModelForm.Chat]: {
-    chunkObject: "chat.completion.chunk",
-    wholeObject: "chat.completion",
+    chunkObjectName: "chat.completion.chunk",
+    completeObjectName: "chat.completion",
     formatChoice: (content, finish) => ({ index: 0, delta: { content }, finish_reason: finish }),
-    formatWhole: (content, finish) => ({
+    formatCompleteChoice: (content, finish) => ({
       index: 0,
       message: { role: "assistant", content },
       finish_reason: finish,
     }),
   },
   [ModelForm.Text]: {
-    chunkObject: "text_completion",
-    wholeObject: "text_completion",
+    chunkObjectName: "text_completion",
+    completeObjectName: "text_completion",
     formatChoice: (text, finish) => ({ index: 0, text, finish_reason: finish }),
-    formatWhole: (text, finish) => ({ index: 0, text, finish_reason: finish }),
+    formatCompleteChoice: (text, finish) => ({ index: 0, text, finish_reason: finish }),
   },
 };
 
@@ -69,7 +69,7 @@
   if (request.log.state === ResponseState.Moved) return sendMoved(response, request.envelope.id);
   const failure = getFailure(request);
   if (failure) return sendProblem(response, failure, request.envelope.id);
-  const body = formatWhole(request, text.join(""), finish, usage);
+  const body = formatCompletion(request, text.join(""), finish, usage);
   response.writeHead(200, {
     "content-type": "application/json",
     "content-length": Buffer.byteLength(body),
@@ -135,7 +135,7 @@
   const usage = chunk.usage && envelope.model?.includesUsage ? formatUsage(chunk.usage) : undefined;
   const body = {
     id: envelope.id,
-    object: writer.chunkObject,
+    object: writer.chunkObjectName,
     created: getCreated(request),
     model: envelope.service,
     choices,
@@ -144,27 +144,32 @@
   return `id: ${envelope.id}:${chunk.position}\ndata: ${JSON.stringify(body)}\n\n`;
 }
 
-function formatWhole(request: ActiveRequest, text: string, finish: string, usage: Usage | undefined): string {
+function formatCompletion(
+  request: ActiveRequest,
+  text: string,
+  finish: string,
+  usage: Usage | undefined,
+): string {
   const { envelope } = request;
   const writer = responseFormats[envelope.model?.form ?? ModelForm.Chat];
   return JSON.stringify({
     id: envelope.id,
-    object: writer.wholeObject,
+    object: writer.completeObjectName,
     created: getCreated(request),
     model: envelope.service,
-    choices: [formatWholeChoice(request, writer, text, finish)],
+    choices: [formatMergedChoice(request, writer, text, finish)],
     usage: usage ? formatUsage(usage) : undefined,
   });
 }
 
 /** Creates the choice of a complete response. Tool calls and log probabilities are merged from the streamed chunks. */
-function formatWholeChoice(
+function formatMergedChoice(
   request: ActiveRequest,
   writer: ResponseFormat,
   text: string,
   finish: string,
 ): unknown {
-  const choice = writer.formatWhole(text, finish) as {
+  const choice = writer.formatCompleteChoice(text, finish) as {
     message?: Record<string, unknown>;
     logprobs?: unknown;
   };
--- a/packages/entry/src/platform.ts
+++ b/packages/entry/src/platform.ts
@@ -88,7 +88,10 @@
     this.tasks = [this.followList(), this.followNotices()];
   }
 
-  /** Reads the list once; an entry that starts does so before it follows the list. */
+  /**
+   * Reads the list once. A starting entry waits for this reading, so that it knows the instances of the fleet before it
+   * follows the list.
+   */
   async readList(): Promise<void> {
     const list = await this.clients.list.read();
     if (list.isErr()) {
--- a/packages/entry/src/plugins/httpCall.ts
+++ b/packages/entry/src/plugins/httpCall.ts
@@ -65,7 +65,7 @@
   return code === "ECONNREFUSED" || code === "EHOSTUNREACH" || code === "ENETUNREACH" || code === "ENOTFOUND";
 }
 
-/** Returns the message of an error, or its code if it has no message. */
+/** Returns the message of an error, or its code if it has no message, for logs and details of failures. */
 export function getErrorText(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   const code = (error as { code?: string }).code;
--- a/packages/entry/src/plugins/httpKeyValue.ts
+++ b/packages/entry/src/plugins/httpKeyValue.ts
@@ -47,11 +47,11 @@
   async watch(
     key: string,
     revision: number,
-    wait: number,
+    waitMs: number,
     signal: AbortSignal,
   ): Promise<Result<StoredValue | undefined, Failure>> {
-    const path = `${getPath(key)}?index=${revision}&wait=${wait}`;
-    const timeout = wait + this.options.timeout;
+    const path = `${getPath(key)}?index=${revision}&wait=${waitMs}`;
+    const timeout = waitMs + this.options.timeout;
     return parseRead(
       await callService(this.pool, { method: "GET", path, effect: CallEffect.None, timeout, signal }),
     );
@@ -80,9 +80,9 @@
   async acquireLease(
     name: string,
     holder: string,
-    ttl: number,
+    ttlMs: number,
   ): Promise<Result<GrantedLease | undefined, Failure>> {
-    const created = await this.change("/v1/session/create", JSON.stringify({ TTL: ttl, Name: holder }));
+    const created = await this.change("/v1/session/create", JSON.stringify({ TTL: ttlMs, Name: holder }));
     const session = created
       .andThen((response) => parseJson<{ ID: string }>(response))
       .map((answer) => answer.ID);
--- a/packages/entry/src/plugins/httpPlatform.ts
+++ b/packages/entry/src/plugins/httpPlatform.ts
@@ -70,11 +70,11 @@
 
   async waitForNotices(
     after: number,
-    wait: number,
+    waitMs: number,
     signal: AbortSignal,
   ): Promise<Result<NoticeBatch, Failure>> {
-    const path = `/v1/notices?after=${after}&wait=${wait}`;
-    const timeout = wait + this.options.timeout;
+    const path = `/v1/notices?after=${after}&wait=${waitMs}`;
+    const timeout = waitMs + this.options.timeout;
     const response = await callService(this.pool, {
       method: "GET",
       path,
--- a/packages/operator/src/bench/capacityBench.ts
+++ b/packages/operator/src/bench/capacityBench.ts
@@ -72,27 +72,33 @@
   rows: sampleConfiguration.rows.map((row) => ({ ...row, ...unlimited })),
 };
 
-/** Runs the benchmark and measures each fleet size for `window` milliseconds. */
+/** Runs the benchmark and measures each fleet size for `windowMs`. */
 export async function runCapacityBench(
-  window: number,
+  windowMs: number,
   print: (line: string) => void,
 ): Promise<CapacityResult> {
   const points: CapacityPoint[] = [];
-  for (const entries of entryCounts) points.push(await measureAndPrint(entries, 19, window, print));
+  for (const entries of entryCounts) points.push(await measureAndPrint(entries, 19, windowMs, print));
   for (const endpoints of endpointCounts) {
-    points.push(await measureAndPrint(entriesForEndpoints, endpoints, window, print));
+    points.push(await measureAndPrint(entriesForEndpoints, endpoints, windowMs, print));
   }
   const requests = await measureRequests(print);
-  return { command: "npm run bench -- capacity", window, points, requests, fits: createFits(points) };
+  return {
+    command: "npm run bench -- capacity",
+    window: windowMs,
+    points,
+    requests,
+    fits: createFits(points),
+  };
 }
 
 async function measureAndPrint(
   entries: number,
   endpoints: number,
-  window: number,
+  windowMs: number,
   print: (line: string) => void,
 ): Promise<CapacityPoint> {
-  const point = await measurePoint(entries, endpoints, window);
+  const point = await measurePoint(entries, endpoints, windowMs);
   const { sentBytes, processor, memory, serviceCalls, inForceMs } = point;
   print(
     `${entries} entries, ${endpoints} endpoints: ${sentBytes.toFixed(0)} B/s, ${processor.toFixed(2)} % of a core, ` +
@@ -118,7 +124,7 @@
   });
 }
 
-async function measurePoint(entries: number, endpoints: number, window: number): Promise<CapacityPoint> {
+async function measurePoint(entries: number, endpoints: number, windowMs: number): Promise<CapacityPoint> {
   collectGarbage();
   const heapBefore = process.memoryUsage().heapUsed;
   const fleet = await createFleet(entries, endpoints > largeFleetEndpoints ? largeFleetSettings : []);
@@ -126,12 +132,12 @@
   await pause(settleTimeMs);
   const before = readCounters(fleet);
   const processorBefore = process.cpuUsage();
-  await pause(window);
+  await pause(windowMs);
   const used = process.cpuUsage(processorBefore);
   const after = readCounters(fleet);
   collectGarbage();
   const memory = (process.memoryUsage().heapUsed - heapBefore) / entries;
-  const seconds = window / millisecondsPerSecond;
+  const seconds = windowMs / millisecondsPerSecond;
   const perInstance = (amount: number): number => amount / seconds / entries;
   const change = await measureChange(fleet);
   await fleet.close();
@@ -303,6 +309,6 @@
   (globalThis as { gc?: () => void }).gc?.();
 }
 
-function pause(duration: number): Promise<void> {
-  return new Promise((resolve) => setTimeout(resolve, duration));
+function pause(durationMs: number): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
--- a/packages/operator/src/bench/claimsBench.ts
+++ b/packages/operator/src/bench/claimsBench.ts
@@ -22,21 +22,21 @@
 const millisecondsPerSecond = 1000;
 const tickMs = 10;
 
-/** Runs the benchmark and measures each rate for `window` milliseconds. */
-export async function runClaimsBench(window: number, print: (line: string) => void): Promise<unknown> {
+/** Runs the benchmark and measures each rate for `windowMs`. */
+export async function runClaimsBench(windowMs: number, print: (line: string) => void): Promise<unknown> {
   const points: ClaimsPoint[] = [];
   for (const rate of rates) {
-    const point = await measureRate(rate, window);
+    const point = await measureRate(rate, windowMs);
     points.push(point);
     print(
       `${rate} claims/s: ${point.won} of ${point.claims} won, ${point.writesPerSecond.toFixed(1)} writes/s, ` +
         `median ${point.medianMs.toFixed(1)} ms, 99th ${point.p99Ms.toFixed(1)} ms`,
     );
   }
-  return { command: "npm run bench -- claims", window, points };
+  return { command: "npm run bench -- claims", window: windowMs, points };
 }
 
-async function measureRate(rate: number, window: number): Promise<ClaimsPoint> {
+async function measureRate(rate: number, windowMs: number): Promise<ClaimsPoint> {
   const server = await FakeKeyValueServer.create();
   const { address } = server;
   const clients = createPlatformClients({
@@ -72,7 +72,7 @@
   const running: Promise<void>[] = [];
   const started = performance.now();
   const getDueCount = (): number => ((performance.now() - started) / millisecondsPerSecond) * rate;
-  while (performance.now() - started < window) {
+  while (performance.now() - started < windowMs) {
     while (running.length < getDueCount()) running.push(claim(running.length));
     await new Promise((resolve) => setTimeout(resolve, tickMs));
   }
--- a/packages/operator/src/bench/fleetBench.ts
+++ b/packages/operator/src/bench/fleetBench.ts
@@ -29,18 +29,18 @@
 const endpoints = 60;
 const millisecondsPerSecond = 1_000;
 
-/** Runs the benchmark and measures each fleet size for `window` milliseconds. */
-export async function runFleetBench(window: number, print: (line: string) => void): Promise<unknown> {
+/** Runs the benchmark and measures each fleet size for `windowMs`. */
+export async function runFleetBench(windowMs: number, print: (line: string) => void): Promise<unknown> {
   const points: FleetPoint[] = [];
   for (const size of sizes) {
-    const point = await measureFleet(size, window);
+    const point = await measureFleet(size, windowMs);
     points.push(point);
     print(formatPoint(point));
   }
-  return { command: "npm run bench -- fleet", window, workspaces, endpoints, points };
+  return { command: "npm run bench -- fleet", window: windowMs, workspaces, endpoints, points };
 }
 
-async function measureFleet(size: number, window: number): Promise<FleetPoint> {
+async function measureFleet(size: number, windowMs: number): Promise<FleetPoint> {
   const platform = FakePlatform.create();
   const names = Array.from({ length: workspaces }, (_, index) => `workspace-${index}`);
   platform.configure({
@@ -60,7 +60,7 @@
   const callsBefore = countCalls();
   const clock = SystemClock.create();
   const since = clock.getTime();
-  await waitFor(clock, window);
+  await waitFor(clock, windowMs);
   const seconds = (clock.getTime() - since) / millisecondsPerSecond;
   const rates = gateways.map((gateway, index) => ({
     isCollector: gateway.isCollector,
--- a/packages/operator/src/bench/main.ts
+++ b/packages/operator/src/bench/main.ts
@@ -12,16 +12,16 @@
 
 type Bench = (print: (line: string) => void) => Promise<unknown>;
 
-const capacityWindow = 4_000;
+const capacityWindowMs = 4_000;
 const resultsFolder = fileURLToPath(new URL("../../../../../docs/results/", import.meta.url));
 
-const claimsWindow = 4_000;
-const fleetWindow = 4_000;
+const claimsWindowMs = 4_000;
+const fleetWindowMs = 4_000;
 
 const benches: Readonly<Record<string, Bench>> = {
-  claims: (print) => runClaimsBench(claimsWindow, print),
-  capacity: (print) => runCapacityBench(capacityWindow, print),
-  fleet: (print) => runFleetBench(fleetWindow, print),
+  claims: (print) => runClaimsBench(claimsWindowMs, print),
+  capacity: (print) => runCapacityBench(capacityWindowMs, print),
+  fleet: (print) => runFleetBench(fleetWindowMs, print),
   staleness: runStalenessBench,
 };
 
--- a/packages/operator/src/bench/stalenessBench.ts
+++ b/packages/operator/src/bench/stalenessBench.ts
@@ -111,12 +111,12 @@
   { drawn, spreadMs }: ChoiceRule,
   drawFraction: () => number,
 ): number {
-  const hidden = new Map<number, number>();
-  for (const { engine, readingMs } of unseen) hidden.set(engine, (hidden.get(engine) ?? 0) + readingMs);
+  const unseenMs = new Map<number, number>();
+  for (const { engine, readingMs } of unseen) unseenMs.set(engine, (unseenMs.get(engine) ?? 0) + readingMs);
   let best = 0;
   let leastMs = Infinity;
   for (const engine of drawEngines(busyUntil.length, drawn, drawFraction)) {
-    const knownMs = Math.max(0, busyUntil[engine]! - time - (hidden.get(engine) ?? 0));
+    const knownMs = Math.max(0, busyUntil[engine]! - time - (unseenMs.get(engine) ?? 0));
     const score = knownMs + drawFraction() * spreadMs;
     if (score >= leastMs) continue;
     leastMs = score;
--- a/packages/operator/src/commands/local.ts
+++ b/packages/operator/src/commands/local.ts
@@ -91,7 +91,7 @@
   return stream.status === 200 && booking.status === 201 && stream.body.includes("[DONE]");
 }
 
-interface Answer {
+interface PrintedResponse {
   readonly status: number;
   readonly body: string;
   readonly request: string;
@@ -102,7 +102,7 @@
   key: string,
   body: unknown,
   headers: Record<string, string> = {},
-): Promise<Answer> {
+): Promise<PrintedResponse> {
   const response = await request(url, {
     method: "POST",
     headers: { authorization: `Bearer ${key}`, "content-type": "application/json", ...headers },
--- a/packages/operator/src/local/localFleet.ts
+++ b/packages/operator/src/local/localFleet.ts
@@ -189,28 +189,31 @@
     this.leaving.add(id);
   }
 
-  /** Returns the entries of which one can be removed such that at least `least` remain. */
-  getReplaceableEntries(least: number): readonly string[] {
+  /** Returns the entries of which one can be removed such that at least `minRemaining` remain. */
+  getReplaceableEntries(minRemaining: number): readonly string[] {
     const free = this.entries.map(({ record }) => record.id).filter((id) => this.isFree(id));
-    return free.length > least ? free : [];
+    return free.length > minRemaining ? free : [];
   }
 
-  /** Returns the endpoints of which one can be removed such that at least `least` of its service remain. */
-  getReplaceableEndpoints(least: number): readonly string[] {
+  /** Returns the endpoints of which one can be removed such that at least `minRemaining` of its service remain. */
+  getReplaceableEndpoints(minRemaining: number): readonly string[] {
     const groups = [[...this.engines.keys()], [...this.webs.keys()]];
     return groups.flatMap((ids) => {
       const free = ids.filter((id) => this.isFree(id));
-      return free.length > least ? free : [];
+      return free.length > minRemaining ? free : [];
     });
   }
 
-  /** Returns endpoints of data halls that can be removed together such that at least `least` of each service remain. */
-  getReclaimable(halls: ReadonlySet<string>, least: number): readonly string[] {
+  /**
+   * Returns endpoints of data halls that can be removed together such that at least `minRemaining` of each service
+   * remain.
+   */
+  getReclaimable(halls: ReadonlySet<string>, minRemaining: number): readonly string[] {
     const groups = [[...this.engines.keys()], [...this.webs.keys()]];
     return groups.flatMap((ids) => {
       const free = ids.filter((id) => this.isFree(id));
       const taken = free.filter((id) => halls.has(this.endpointRecords.get(id)?.hall ?? ""));
-      return taken.slice(0, Math.max(0, free.length - least));
+      return taken.slice(0, Math.max(0, free.length - minRemaining));
     });
   }
 
@@ -264,7 +267,7 @@
   async close(): Promise<void> {
     const live = this.entries.filter(({ record }) => !this.killed.has(record.id));
     await Promise.all(live.map(({ entry }) => entry.stop()));
-    await Promise.all([...this.engines.values(), ...this.webs.values()].map((standin) => standin.close()));
+    await Promise.all([...this.engines.values(), ...this.webs.values()].map((server) => server.close()));
     await Promise.all([this.keyValue.close(), this.platform.close(), this.weights.close()]);
   }
 
--- a/packages/operator/src/soak/checker.ts
+++ b/packages/operator/src/soak/checker.ts
@@ -47,14 +47,14 @@
   const findings: Violation[] = [];
   const counts = countRuns(records);
   for (const result of results) {
-    for (const finding of findViolations(result, counts.get(result.ask.mark) ?? 0)) {
-      violations[finding.promise] += 1;
-      findings.push(finding);
+    for (const violation of findViolations(result, counts.get(result.ask.mark) ?? 0)) {
+      violations[violation.promise] += 1;
+      findings.push(violation);
     }
   }
   const problems = results.filter((result) => result.verdict === ResultKind.Problem);
   return {
-    violations: violations,
+    violations,
     findings,
     complete: results.filter((result) => result.verdict === ResultKind.Complete).length,
     problems: problems.length,
@@ -82,19 +82,19 @@
   return counts;
 }
 
-function findViolations(told: CallerResult, runs: number): readonly Violation[] {
+function findViolations(result: CallerResult, runs: number): readonly Violation[] {
   const findings: Violation[] = [];
   const add = (promise: keyof ViolationCounts, detail: string): void =>
-    void findings.push({ promise, told, detail });
-  if (told.verdict === ResultKind.TimedOut) add("lost", `no final answer after ${told.returns} returns`);
-  if (runOnceKinds.has(told.ask.kind) && runs > 1) add("doubled", `ran ${runs} times`);
-  const saysNotRun = told.verdict === ResultKind.Problem && told.outcome === Outcome.NotRun;
-  if (saysNotRun && runs > 0) add("notRunButRan", `ran ${runs} times, code ${told.code}`);
-  if (told.verdict !== ResultKind.Complete) return findings;
-  const expected = getExpectedText(told.ask);
-  if (told.text === expected) return findings;
-  const isPrefix = expected.startsWith(told.text);
-  add(isPrefix ? "cut" : "foreign", `got ${JSON.stringify(told.text.slice(0, 80))}`);
+    void findings.push({ promise, told: result, detail });
+  if (result.verdict === ResultKind.TimedOut) add("lost", `no final answer after ${result.returns} returns`);
+  if (runOnceKinds.has(result.ask.kind) && runs > 1) add("doubled", `ran ${runs} times`);
+  const isReportedNotRun = result.verdict === ResultKind.Problem && result.outcome === Outcome.NotRun;
+  if (isReportedNotRun && runs > 0) add("notRunButRan", `ran ${runs} times, code ${result.code}`);
+  if (result.verdict !== ResultKind.Complete) return findings;
+  const expected = getExpectedText(result.ask);
+  if (result.text === expected) return findings;
+  const isPrefix = expected.startsWith(result.text);
+  add(isPrefix ? "cut" : "foreign", `got ${JSON.stringify(result.text.slice(0, 80))}`);
   return findings;
 }
 
--- a/packages/operator/src/soak/faults.ts
+++ b/packages/operator/src/soak/faults.ts
@@ -105,11 +105,11 @@
     await this.reclaimEndpointById(id, hasNotice ? this.random.getInteger(500, 2_500) : 0);
   }
 
-  private async reclaimEndpointById(id: string, notice: number): Promise<void> {
+  private async reclaimEndpointById(id: string, noticeMs: number): Promise<void> {
     this.counts.reclaims += 1;
-    this.fleet.platform.reclaim(id, notice);
+    this.fleet.platform.reclaim(id, noticeMs);
     this.fleet.markLeaving(id);
-    await pause(notice);
+    await pause(noticeMs);
     await this.fleet.killEndpoint(id);
     await pause(replaceDelayMs);
     await this.fleet.replaceEndpoint(id);
@@ -120,10 +120,10 @@
     if (id === undefined) return;
     this.counts.reclaims += 1;
     if (!hasNotice) this.counts.crashes += 1;
-    const notice = hasNotice ? this.random.getInteger(1_200, 2_500) : 0;
-    this.fleet.platform.reclaim(id, notice);
+    const noticeMs = hasNotice ? this.random.getInteger(1_200, 2_500) : 0;
+    this.fleet.platform.reclaim(id, noticeMs);
     this.fleet.markLeaving(id);
-    await pause(notice);
+    await pause(noticeMs);
     await this.fleet.killEntry(id);
     await pause(replaceDelayMs);
     await this.fleet.addEntry(this.fleet.entries.length);
@@ -150,9 +150,9 @@
   private async reclaimHalls(): Promise<void> {
     const first = this.random.getInteger(0, this.fleet.options.halls.length - 1);
     const halls = new Set([this.fleet.getHall(first), this.fleet.getHall(first + 1)]);
-    const notice = this.random.getInteger(1_000, 2_500);
+    const noticeMs = this.random.getInteger(1_000, 2_500);
     const taken = this.fleet.getReclaimable(halls, minEndpoints);
-    await Promise.all(taken.map((id) => this.reclaimEndpointById(id, notice)));
+    await Promise.all(taken.map((id) => this.reclaimEndpointById(id, noticeMs)));
   }
 
   private async failService(): Promise<void> {
@@ -186,6 +186,6 @@
   }
 }
 
-function pause(duration: number): Promise<void> {
-  return new Promise((resolve) => setTimeout(resolve, duration));
+function pause(durationMs: number): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
--- a/packages/operator/src/soak/main.ts
+++ b/packages/operator/src/soak/main.ts
@@ -28,8 +28,8 @@
   print(
     `  broken promises: lost ${lost}, doubled ${doubled}, foreign ${foreign}, cut ${cut}, "not run" that ran ${notRunButRan}`,
   );
-  for (const finding of findings.slice(0, maxViolationsShown))
-    print(`    ${finding.promise}: ${finding.detail} ${JSON.stringify(finding.told)}`);
+  for (const violation of findings.slice(0, maxViolationsShown))
+    print(`    ${violation.promise}: ${violation.detail} ${JSON.stringify(violation.told)}`);
 }
 
 const options = await yargs(process.argv.slice(2))
--- a/packages/operator/src/soak/seededRandom.ts
+++ b/packages/operator/src/soak/seededRandom.ts
@@ -13,9 +13,9 @@
     return new SeededRandom(xoroshiro128plus(seed));
   }
 
-  /** Returns a random integer from `lowest` to `highest`, both included. */
-  getInteger(lowest: number, highest: number): number {
-    return uniformInt(this.generator, lowest, highest);
+  /** Returns a random integer from `min` to `max`, both included. */
+  getInteger(min: number, max: number): number {
+    return uniformInt(this.generator, min, max);
   }
 
   /** Returns a random item of a list, or undefined if the list is empty. */
@@ -26,7 +26,7 @@
   /** Returns a random item of a list, with a probability proportional to its weight; undefined if the list is empty. */
   chooseWeighted<Item extends { readonly weight: number }>(items: readonly Item[]): Item | undefined {
     const total = items.reduce((sum, item) => sum + item.weight, 0);
-    let place = this.getInteger(1, Math.max(1, total));
-    return items.find((item) => (place -= item.weight) <= 0);
+    let remaining = this.getInteger(1, Math.max(1, total));
+    return items.find((item) => (remaining -= item.weight) <= 0);
   }
 }
--- a/packages/operator/src/soak/soak.ts
+++ b/packages/operator/src/soak/soak.ts
@@ -83,17 +83,17 @@
   const end = performance.now() + options.durationMs;
   const results: CallerResult[] = [];
   let requestCount = 0;
-  const work = async (): Promise<void> => {
+  const runCaller = async (): Promise<void> => {
     while (performance.now() < end && requestCount < options.maxRequests) {
       requestCount += 1;
       results.push(await caller.makeRequest(createRequest(random, requestCount)));
     }
   };
   const injecting = injector.run(faultPauseMs);
-  const working = Promise.all(Array.from({ length: options.callers }, work));
+  const callers = Promise.all(Array.from({ length: options.callers }, runCaller));
   await new Promise((resolve) => setTimeout(resolve, options.durationMs));
   await Promise.all([injector.stop(), injecting]);
-  await working;
+  await callers;
   const check = checkGuarantees(results, fleet.getRecords());
   await caller.close();
   await fleet.close();
